--- a/src/work.c
+++ b/src/work.c
@@ -1,4 +1,4 @@
-/* Stage work as an entry host asks for it. */
+/* Stage work as an entry host orders it. */
 #include "container.h"
 #include "log.h"
 #include "text.h"
@@ -43,7 +43,7 @@
 
 static void dispatch (struct work_order *order, int64_t now);
 
-/* One part of a split pool may be full while another one has room. */
+/* One shard of a split pool may be full while another has room. */
 static bool
 dispatch_elsewhere (struct work_order *order, int64_t now)
 {
@@ -57,7 +57,7 @@
   return true;
 }
 
-/* Its owner says how it ended. */
+/* The owner reported how the order ended. */
 static void
 answered (struct work_order *order, enum piece_end end, int64_t now)
 {
@@ -124,8 +124,9 @@
   batch_submit (work->config.batch, local, now);
 }
 
-/* No connection to the owner: it is being made, or the owner is dead.  Made here instead, the
- * pieces would meet the owner's own calls at the targets, and both would find them full. */
+/* There is no connection to the owner: it is being opened, or the owner is dead.  If this host made
+ * the pieces itself, its calls would compete with the owner's for the targets, and both would find
+ * them full. */
 static void
 send_later (struct work_order *order, struct work_owner *owner, int64_t now)
 {
@@ -137,7 +138,7 @@
   timer_arm (work->config.timers, &order->timer, now + WORK_SEND_AGAIN);
 }
 
-/* Send to the owner, or do it here where we own the pool. */
+/* Sends the order to the owner, or runs it here if this host owns the pool. */
 static void
 dispatch (struct work_order *order, int64_t now)
 {
@@ -183,8 +184,8 @@
   finish (order, PIECE_LATE, now);
 }
 
-/* The owner may be dead, or the message lost with its connection: the pieces are made again, by the
- * owner as it is now known. */
+/* The owner may be dead, or the message was lost with its connection: the pieces are made again, by
+ * the owner that is now known. */
 static void
 resend_orders (struct work *work, struct work_owner *owner, int64_t now)
 {
@@ -269,7 +270,7 @@
   order->inputs_copy = order->inputs == NULL ? NULL : talloc_strdup (work, order->inputs);
   DL_APPEND (work->orders, order);
   counter_add (work->submitted, 1);
-  /* From the loop, so that done() never comes while its user is still at work on the order. */
+  /* Dispatched from the event loop, so that done() is never called from within this function. */
   timer_arm (work->config.timers, &order->timer, now);
 }
 
@@ -333,7 +334,7 @@
     batch_release_result (work->config.batch, how, pool, domain, &results[i], now);
 }
 
-/* What an owner answers to an order. */
+/* An owner's answer to an order. */
 struct work_answer
 {
   uint64_t number;
@@ -341,7 +342,7 @@
   char pool[ROUTING_NAME_SIZE];
   char domain[ROUTING_NAME_SIZE];
   int64_t wait;  /* of the owner's queue */
-  int64_t usual; /* wait of late */
+  int64_t usual; /* its smoothed wait */
   uint32_t n;
   struct stage_result results[DIALECT_PIECES_MAX];
 };
@@ -362,9 +363,9 @@
   return pack_read_end (in);
 }
 
-/* An owner of before may still answer: its results are as good, but only whole ones.  Results for
- * an order that was withdrawn, or that another owner has made, would fill their targets until they
- * expire; the owner that made them is told to free them. */
+/* An earlier owner may still answer: its results are as good, but only if complete.  Results for an
+ * order that was withdrawn, or that another owner has made, would occupy room at their targets
+ * until they expire; the owner that made them is told to free them. */
 static void
 got_done (struct work *work, struct pack_reader *in, const char *from, int64_t now)
 {
--- a/src/work_book.c
+++ b/src/work_book.c
@@ -1,4 +1,4 @@
-/* Later stages of a request, booked with their pools' owners when the request begins. */
+/* Bookings of later stages, made with their pools' owners when a request begins. */
 #include "container.h"
 #include "text.h"
 #include "work_private.h"
@@ -15,7 +15,7 @@
 
 static void send_booking (struct work *work, struct work_booking *booking, int64_t now);
 
-/* One part of a split pool may be full while another one has room. */
+/* One shard of a split pool may be full while another has room. */
 static bool
 book_elsewhere (struct work_booking *booking, int64_t now)
 {
@@ -36,7 +36,7 @@
   booking->ops->refused (booking, now);
 }
 
-/* From the loop: its user may be at work on the request while it books. */
+/* Called from the event loop: the caller may be using the request while it books. */
 static void
 booking_fired (struct timer *timer, int64_t now)
 {
@@ -63,7 +63,7 @@
   pack_uint (out, stage);
 }
 
-/* Where the message is lost nothing is booked, and the order is taken like any other. */
+/* If the message is lost, nothing is booked and the order is treated like any other. */
 static void
 book_there (struct work *work, const struct work_booking *booking, int64_t now)
 {
--- a/src/work_owner.c
+++ b/src/work_owner.c
@@ -1,4 +1,5 @@
-/* Which entry host owns a pool, which of them live, and where a split pool's pieces are made. */
+/* Which entry host owns a pool, which owners are alive, and where a split pool's pieces are
+ * made. */
 #include "log.h"
 #include "text.h"
 #include "work_private.h"
@@ -64,7 +65,7 @@
       const struct sync_host *host = view->hosts[i];
       uint64_t score = owner_score (host->name, pool, domain);
 
-      /* A host elsewhere is taken where there is none in the domain. */
+      /* A host in another failure domain is used only if there is none in this one. */
       if (strcmp (host->domain, domain) != 0)
         score >>= 1;
       else
@@ -119,8 +120,8 @@
   return shard == NULL || now - shard->told > WORK_WAIT_FRESH ? 0 : shard->wait;
 }
 
-/* Where the pool is split it is not known yet which part will make a later stage: the longest wait
- * that was told. */
+/* In a split pool it is not known yet which shard will make a later stage, so the longest reported
+ * wait counts. */
 int64_t
 work_usual_wait (const struct work *work, const char *pool, int64_t now)
 {
@@ -231,7 +232,7 @@
          && has_targets (work, order->pool, order->booked);
 }
 
-/* What is booked and not used would turn others away. */
+/* A booking that is not used would cause others to be rejected. */
 static void
 give_up_booking (struct work *work, struct work_order *order)
 {
@@ -242,7 +243,8 @@
   order->booked[0] = '\0';
 }
 
-/* Where it was booked, unless its inputs lie elsewhere by now and may be used there. */
+/* Uses the shard where the order was booked, unless it prefers another one by now that has not
+ * refused. */
 void
 work_choose_domain (struct work *work, struct work_order *order, int64_t now)
 {
--- a/src/work_private.h
+++ b/src/work_private.h
@@ -1,4 +1,4 @@
-/* What the files of stage work share. */
+/* Declarations shared by the files of stage work. */
 #ifndef WORK_PRIVATE_H
 #define WORK_PRIVATE_H
 
@@ -9,17 +9,17 @@
 
 enum work_message
 {
-  WORK_RUN = 0,    /* to the owner */
-  WORK_DONE = 1,   /* its answer */
-  WORK_CANCEL = 2, /* to the owner */
-  WORK_FREE = 3,   /* to the owner: results nobody needs */
+  WORK_RUN = 0,    /* to the owner: an order */
+  WORK_DONE = 1,   /* from the owner: how an order ended */
+  WORK_CANCEL = 2, /* to the owner: an order is withdrawn */
+  WORK_FREE = 3,   /* to the owner: results that are no longer needed */
   WORK_PING = 4,   /* to the owner */
-  WORK_PONG = 5,   /* its answer */
-  WORK_TAKEN = 6,  /* of the owner: all pieces of an order are in calls */
-  WORK_LET_GO = 7, /* to the owner: results that may be dropped where room is short */
-  WORK_BOOK = 8,   /* to the owner: an order will come */
-  WORK_UNBOOK = 9, /* to the owner: it will not */
-  WORK_BUSY = 10,  /* of the owner: what was booked could not be in time */
+  WORK_PONG = 5,   /* from the owner: answer to WORK_PING */
+  WORK_TAKEN = 6,  /* from the owner: all pieces of an order are in calls */
+  WORK_LET_GO = 7, /* to the owner: results that may be evicted where room is short */
+  WORK_BOOK = 8,   /* to the owner: a stage is booked */
+  WORK_UNBOOK = 9, /* to the owner: a booking is cancelled */
+  WORK_BUSY = 10,  /* from the owner: a booked stage could not be in time */
   WORK_MESSAGE_COUNT
 };
 
@@ -31,14 +31,14 @@
   uint32_t orders;
 };
 
-/* The part of a pool that one owner has, and how long its queue is. */
+/* The part of a pool that one owner has, and the waits that it reported. */
 struct work_shard
 {
   char pool[ROUTING_NAME_SIZE];
   char domain[ROUTING_NAME_SIZE];
   int64_t wait;
-  int64_t usual; /* beyond the expected time of an order */
-  int64_t told;  /* when */
+  int64_t usual; /* smoothed, beyond the expected time of an order */
+  int64_t told;  /* time of the report */
 };
 
 struct work
@@ -63,14 +63,15 @@
 
 struct work_owner *work_owner_find (struct work *work, const char *name);
 
-/* The record of an owner; in place of one without orders when all are taken, NULL without one. */
+/* The record of an owner, created on first use.  When the table is full it replaces one without
+ * orders; NULL if there is none. */
 struct work_owner *work_owner_take (struct work *work, const char *name);
 
-/* The host with the highest score, where the pool is split one in the targets' failure domain;
- * ourselves when no other is known. */
+/* The host with the highest score; if the pool is split, one in the targets' failure domain.  This
+ * host if no other is known to be alive. */
 const char *work_owner_of (struct work *work, const char *pool, const char *domain, int64_t now);
 
-/* An order of ours came to the owner, or left it. */
+/* Adds `change` to the number of this host's orders at the owner. */
 void work_owner_count (struct work *work, const char *name, int change);
 
 void work_owner_heard (struct work *work, const char *name, int64_t now);
@@ -78,9 +79,9 @@
 /* Is the pool split by failure domain? */
 bool work_is_split (const struct work *work, const char *pool);
 
-/* The part of a pool to make pieces in, "" where it is not split: the one that is wanted, unless
- * its queue is longer than what results cost that cross.  False when all parts have refused; `out`
- * is as it was then. */
+/* Chooses the shard of a pool to make pieces in, "" if it is not split: the wanted one, unless the
+ * wait there is longer than at another by more than the cost of crossing domains.  Returns false,
+ * and leaves `out` unchanged, if all shards have refused. */
 bool work_choose_shard (struct work *work,
                         const char *pool,
                         const char *wanted,
@@ -88,17 +89,17 @@
                         char out[ROUTING_NAME_SIZE],
                         int64_t now);
 
-/* The part refuses.  False when there is no other one to ask. */
+/* Records that the shard refused.  Returns false if there is no other one to ask. */
 bool work_refuse_part (struct work *work,
                        const char *request,
                        const char *pool,
                        const char *domain,
                        struct work_parts *refused);
 
-/* Set the order's `domain`: that of the targets which make its pieces. */
+/* Sets the order's `domain`: that of the targets which make its pieces. */
 void work_choose_domain (struct work *work, struct work_order *order, int64_t now);
 
-/* An owner told how long its queue is. */
+/* Records the waits that an owner reported, in microseconds. */
 void work_note_wait (struct work *work,
                      const char *pool,
                      const char *domain,
@@ -110,10 +111,10 @@
 
 void work_message_begin (enum work_message type, struct bytes *out);
 
-/* Send and release `out`. */
+/* Sends and frees `out`. */
 enum status work_message_send (struct work *work, const char *host, struct bytes *out);
 
-/* A message without a body. */
+/* Sends a message without a body. */
 void work_message_send_short (struct work *work, const char *host, enum work_message type);
 
 enum status work_message_send_run (struct work *work, const struct work_order *order, int64_t now);
@@ -129,7 +130,7 @@
 void work_book_got_busy (struct work *work, struct pack_reader *in, const char *from, int64_t now);
 void work_book_drop_all (struct work *work);
 
-/* What was booked in a part with its owner will not come there. */
+/* Cancels what was booked in a shard with its owner. */
 void work_book_cancel (struct work *work,
                        const char *owner,
                        const char *pool,
@@ -137,13 +138,13 @@
                        const char *request,
                        uint32_t stage);
 
-/* ---- work_remote.c: orders of other hosts, for pools that we own ---- */
+/* ---- work_remote.c: orders of other hosts, for pools that this host owns ---- */
 
 void work_remote_run (struct work *work, struct pack_reader *in, const char *from, int64_t now);
 
 void work_remote_cancel (struct work *work, struct pack_reader *in, const char *from, int64_t now);
 
-/* Results that another host has done with. */
+/* Releases results for another host. */
 void work_remote_release (struct work *work,
                           struct pack_reader *in,
                           enum batch_release how,
--- a/src/work_remote.c
+++ b/src/work_remote.c
@@ -1,4 +1,4 @@
-/* Stage work that other entry hosts order at the pools we own. */
+/* Orders of other entry hosts for pools that this host owns. */
 #include "text.h"
 #include "work_private.h"
 #include <string.h>
@@ -34,7 +34,7 @@
   struct bytes out;
 
   (void) now;
-  /* Its user has nothing to give back. */
+  /* Without inputs there are no results that its host could release. */
   if (order->inputs == NULL)
     return;
   work_message_begin (WORK_TAKEN, &out);
