--- a/src/engine_cache.c
+++ b/src/engine_cache.c
@@ -1,11 +1,11 @@
-/* Which shared parts of prompts each model engine holds. */
+/* Model of the prefix cache of each model engine. */
 #include "engine_cache.h"
 #include <stdbool.h>
 #include <talloc.h>
 #include <uthash.h>
 #include <utlist.h>
 
-/* A part in an engine's cache, by last use. */
+/* A part in an engine's cache, in a list by last use. */
 struct engine_part
 {
   uint64_t key;
@@ -15,7 +15,7 @@
   UT_hash_handle hh;
 };
 
-/* In how many engines a part is. */
+/* The number of engines that hold a part. */
 struct engine_place
 {
   uint64_t key;
@@ -26,14 +26,14 @@
 struct engine_caches
 {
   struct engine_place *places;
-  uint64_t room; /* tokens of shared parts in one engine, 0 when not known */
+  uint64_t room; /* for shared parts in one engine, in tokens; 0 when not known */
 };
 
 struct engine_cache
 {
   struct engine_caches *caches;
   struct engine_part *parts; /* by key */
-  struct engine_part *used;  /* the last used first */
+  struct engine_part *used;  /* most recently used first */
   uint64_t tokens;
 };
 
--- a/src/engine_cache.h
+++ b/src/engine_cache.h
@@ -1,8 +1,7 @@
-/* Which shared parts of prompts each model engine holds.
+/* Model of the prefix cache of each model engine: which shared prompt parts it holds.
  *
- * Load pattern: many prompts begin with the same parts, an engine reads a part once and keeps it
- * while it has room.  An engine's own order of giving parts up is not known; the least used goes
- * first.
+ * Load pattern: many prompts begin with the same parts; an engine reads a part once and keeps it
+ * while it has room.  An engine's real eviction order is not known; least recently used is assumed.
  *
  * Pure. */
 #ifndef ENGINE_CACHE_H
@@ -15,10 +14,12 @@
 
 #define ENGINE_PARTS_MAX 8
 
-/* Of an engine's cache so much is taken to hold shared parts; the rest is running requests. */
+/* The fraction of an engine's cache that is assumed to hold shared parts; running requests take the
+ * rest. */
 #define ENGINE_CACHE_SHARE 0.6
 
-/* A prompt: cumulative keys of the parts that it shares, and all its tokens. */
+/* A prompt: cumulative keys and token counts of the parts that it shares with others, and the count
+ * of its other tokens. */
 struct engine_prompt
 {
   uint32_t n_parts;
@@ -27,29 +28,31 @@
   uint32_t own_tokens;
 };
 
-/* Those of all engines. */
+/* The caches of all engines. */
 struct engine_caches;
 
-/* One engine's.  Freed with `caches`, or by talloc_free before.  NULL when memory is out. */
+/* The cache of one engine.  Freed with `caches`, or by talloc_free before. */
 struct engine_cache;
 
-/* Freed with `parent`.  NULL when memory is out. */
+/* Freed with `parent`.  NULL when out of memory. */
 struct engine_caches *engine_caches_new (void *parent);
 
-/* `tokens` of one engine's whole cache, 0 when not known. */
+/* `tokens`: the size of one engine's whole cache, 0 when not known. */
 void engine_caches_set_tokens (struct engine_caches *caches, uint64_t tokens);
 
+/* NULL when out of memory. */
 struct engine_cache *engine_cache_new (struct engine_caches *caches);
 
-/* The engine reads the prompt, and holds its parts then. */
+/* Record that the engine reads the prompt and holds its parts from then on. */
 void engine_cache_use (struct engine_cache *cache, const struct engine_prompt *prompt);
 
-/* Shared tokens that the engine would have to read: a part counts as cached only if all before it
- * are.  NULL is an engine that holds nothing. */
+/* The shared tokens that the engine would have to read.  A part counts as cached only if all parts
+ * before it are.  `cache` NULL: an engine that holds nothing. */
 uint32_t engine_cache_to_read (const struct engine_cache *cache,
                                const struct engine_prompt *prompt);
 
-/* Shared tokens that it does not hold and another engine does. */
+/* The shared tokens that this engine does not hold and another one does.  `cache` NULL: an engine
+ * that holds nothing. */
 uint32_t engine_cache_held_elsewhere (const struct engine_caches *caches,
                                       const struct engine_cache *cache,
                                       const struct engine_prompt *prompt);
--- a/src/engine_load.c
+++ b/src/engine_load.c
@@ -1,4 +1,4 @@
-/* What model engines have to read. */
+/* Estimate of the queue of prompts at each model engine. */
 #include "engine_load.h"
 #include <math.h>
 #include <talloc.h>
@@ -6,37 +6,40 @@
 #include <utlist.h>
 #include <xxhash.h>
 
-/* From a request's arrival at an idle engine to its first byte, beside the reading. */
+/* The time from a request's arrival at an idle engine to its first byte, without the reading. */
 #define FIRST_TIME (4 * USEC_PER_MSEC)
 
-/* Samples of the reading rate: prompts long enough, and nothing before them. */
+/* The reading rate is sampled from prompts of at least this length with nothing before them. */
 #define RATE_SAMPLE_TOKENS 1000
 #define RATE_SMOOTHING 0.1
 
-/* One sample counts as so many times the rate at most: a prompt that was cached, though nobody told
- * of it, takes no time at all. */
+/* A sample is limited to the rate times this: a prompt that was cached unknown to this host takes
+ * almost no time. */
 #define RATE_SAMPLE_MOST 2.0
 
-/* How slow a target is against the common rate, learned from its own answers. */
+/* A target's slowness is the ratio of its wait to the one at the common rate, learned from its own
+ * answers. */
 #define SLOWNESS_SMOOTHING 0.25
 #define SLOWNESS_MAX 20.0
 
-/* An engine that was slow gets few requests: what was seen loses half its weight in so long. */
+/* Slowness decays with this half-life: an engine that was slow gets few requests that could show
+ * that it has recovered. */
 #define SLOWNESS_HALF_LIFE (2 * USEC_PER_SEC)
 
-/* Requests that ended, for copies of their starts that arrive later; a power of two. */
+/* Ended requests that are remembered, to recognise copies of their starts that arrive later; a
+ * power of two. */
 #define ENDED_KEPT 1024
 
-/* A request on its way through an engine. */
+/* A request at an engine that has not ended. */
 struct engine_request
 {
   uint64_t request;
   uint32_t tokens; /* to be read for it */
   int64_t started;
-  int64_t expected; /* wait expected at its start */
-  int64_t reading;  /* part of it that is the engine's own reading */
-  int64_t begins;   /* its answer, as expected now */
-  bool told;        /* we hear of it when it begins */
+  int64_t expected; /* wait, as estimated at its start */
+  int64_t reading;  /* the part of it in which the engine reads this prompt */
+  int64_t begins;   /* when its answer begins, as expected now */
+  bool told;        /* this host will be told when it begins */
   bool began;
   struct engine_request *prev;
   struct engine_request *next;
@@ -47,8 +50,8 @@
   uint64_t id;
   struct engine_request *requests;
   struct engine_cache *cache;
-  int64_t read_until;  /* it reads what was sent to it, as expected now */
-  int64_t other_began; /* the answer that began last here, or ended untold */
+  int64_t read_until;  /* when it has read all prompts sent to it, as expected now */
+  int64_t other_began; /* when an answer last began here, or a request ended without that */
   double slowness;
   int64_t slowness_at;
   UT_hash_handle hh;
@@ -58,8 +61,8 @@
 {
   struct engine_target *targets;
   struct engine_caches *caches;
-  double rate;                /* tokens a millisecond */
-  uint64_t ended[ENDED_KEPT]; /* keys of requests, each in the place that its own bits name */
+  double rate;                /* tokens per millisecond */
+  uint64_t ended[ENDED_KEPT]; /* keys of ended requests, each at the index key % ENDED_KEPT */
 };
 
 static int
@@ -164,7 +167,7 @@
   load->ended[key % ENDED_KEPT] = key;
 }
 
-/* Is it still read, or waits for that? */
+/* Whether its prompt is being read or waits to be. */
 static bool
 is_unread (const struct engine_request *request, int64_t now)
 {
@@ -175,8 +178,8 @@
   return request->told ? now - request->started < bound : now < request->begins;
 }
 
-/* How much later than expected the engine is by now: an answer that we would have heard of has not
- * begun. */
+/* How late the engine is: the longest overdue answer among those whose beginning would have been
+ * reported. */
 static int64_t
 lateness_of (const struct engine_target *target, int64_t now)
 {
@@ -199,7 +202,8 @@
   return n;
 }
 
-/* Those after one that began, or left the queue, earlier or later than expected do as well. */
+/* A request began, or left the queue, earlier or later than expected by `by`: shift the requests
+ * after it as well. */
 static void
 shift_after (struct engine_target *target, struct engine_request *first, int64_t by, int64_t now)
 {
@@ -255,7 +259,7 @@
   out->read_again = engine_cache_held_elsewhere (load->caches, cache, prompt);
 }
 
-/* Forget requests whose end was never told. */
+/* Drop requests whose end was never reported. */
 static void
 drop_old (struct engine_target *target, int64_t now)
 {
@@ -271,8 +275,8 @@
     }
 }
 
-/* A start that is known already: relayed twice, or sent again.  It may be news that we shall hear
- * of the beginning. */
+/* Whether a start is known already: it was relayed twice, or sent again.  The copy may still bring
+ * that the beginning will be reported, so `told` is merged. */
 static bool
 is_known (const struct engine_load *load,
           const struct engine_target *target,
@@ -320,8 +324,8 @@
   engine_cache_use (target->cache, prompt);
 }
 
-/* Did it wait for nothing that its host did not know of?  The answer of a prompt that was read
- * before it began in between; of one whose beginning nobody tells it is not known. */
+/* Whether the engine read the prompt at once.  Another host's prompt may have been read before it
+ * unknown to the sender: its answer began meanwhile, or its beginning is not reported. */
 static bool
 read_at_once (const struct engine_target *target, const struct engine_request *request)
 {
@@ -335,7 +339,7 @@
   return true;
 }
 
-/* The rate from prompts that had nothing before them; the slowness of a target from all. */
+/* Learn the rate from prompts that had nothing before them, and the target's slowness from all. */
 static void
 learn (struct engine_load *load,
        struct engine_target *target,
--- a/src/engine_load.h
+++ b/src/engine_load.h
@@ -1,9 +1,9 @@
-/* What model engines have to read, as all entry hosts together know it.
+/* Estimate of the queue of prompts at each model engine, from the events of all entry hosts.
  *
- * An engine reads prompts one after another, so the wait for a first byte is the prompts before it;
- * a part that it read lately is not read again.  Each host tells the others what it sends, when the
- * answer begins and when it ends (engine_news.c), so that all choose on the same picture, a few
- * milliseconds old, without asking the engines.
+ * An engine reads prompts (prefill) one after another, so the wait for a first byte is the time to
+ * read the prompts before it; a part that it read lately is still cached and not read again.  Each
+ * host tells the others what it sends, when the answer begins and when it ends (engine_news.c), so
+ * that all choose by the same estimate, a few milliseconds old, without asking the engines.
  *
  * Pure: time is passed in. */
 #ifndef ENGINE_LOAD_H
@@ -17,26 +17,28 @@
 
 BEGIN_DECLS
 
-/* Prompt tokens that an engine reads in a millisecond, until its answers show another rate. */
+/* Initial estimate of the reading rate, in prompt tokens per millisecond; answers correct it. */
 #define ENGINE_FIRST_RATE 60.0
 
-/* A start without news of its first byte counts as begun after so many times what was expected, and
- * a little: the message may be lost. */
+/* A request whose first byte is not reported counts as begun after the expected wait times this
+ * factor, plus ENGINE_BEGUN_MORE: the message may be lost. */
 #define ENGINE_BEGUN_FACTOR 1.3
 #define ENGINE_BEGUN_MORE (50 * USEC_PER_MSEC)
 
-/* And is forgotten after this. */
+/* A request whose end is not reported is dropped this long after its start. */
 #define ENGINE_FORGET (20 * USEC_PER_SEC)
 
 struct engine_load;
 
-/* Freed with `parent`.  `cache_tokens` of one engine, 0 when not known. */
+/* Freed with `parent`.  NULL when out of memory. */
 struct engine_load *engine_load_new (void *parent);
+
+/* `cache_tokens`: the size of one engine's cache, 0 when not known. */
 void engine_load_set_cache (struct engine_load *load, uint64_t cache_tokens);
 
-/* A host sent a prompt, its answer began, it ended.  `told`: we shall hear of the beginning; where
- * not it is taken to come as expected.  Idempotent by target and request: a prompt that is sent to
- * the same target again is another request. */
+/* A host sent a prompt, its answer began, it ended.  `told`: this host will be told of the
+ * beginning; otherwise the answer is assumed to begin when expected.  Idempotent by target and
+ * request number: a prompt that is sent to the same target again has another number. */
 void engine_load_started (struct engine_load *load,
                           uint64_t target,
                           uint64_t request,
@@ -46,17 +48,18 @@
 void engine_load_began (struct engine_load *load, uint64_t target, uint64_t request, int64_t now);
 void engine_load_ended (struct engine_load *load, uint64_t target, uint64_t request, int64_t now);
 
-/* The target is gone: nothing of it counts. */
+/* The target is gone: drop its requests and its cache. */
 void engine_load_forget (struct engine_load *load, uint64_t target);
 
 struct engine_cost
 {
-  int64_t wait;        /* until the answer begins, expected, in microseconds */
-  int64_t reading;     /* the part of it in which the engine reads this prompt */
-  uint32_t read_again; /* shared tokens to be read that another engine holds */
-  uint32_t running;    /* requests on it */
+  int64_t wait;        /* expected until the answer begins, in microseconds */
+  int64_t reading;     /* the part of `wait` in which the engine reads this prompt */
+  uint32_t read_again; /* shared tokens to read that another engine holds already */
+  uint32_t running;    /* requests on the engine that have not ended */
 };
 
+/* Estimate what the prompt would cost on the target if it were sent now. */
 void engine_load_cost (struct engine_load *load,
                        uint64_t target,
                        const struct engine_prompt *prompt,
--- a/src/engine_news.c
+++ b/src/engine_news.c
@@ -1,4 +1,4 @@
-/* News of model engines between entry hosts. */
+/* Events of model engines between entry hosts. */
 #include "engine_news.h"
 #include "container.h"
 #include "pack.h"
@@ -8,21 +8,22 @@
 
 #define NEWS_EVENTS_MAX 1024
 
-/* Failure domains whose starts one host passes on; hosts of any further one are told singly. */
+/* Other failure domains to which a host sends relay messages.  Hosts of any further domain are sent
+ * the starts directly. */
 #define NEWS_DOMAINS_MAX 32
 
-/* How a message is taken.  Written into messages: never renumbered. */
+/* The kind of a message.  Wire format: never renumbered. */
 enum news_kind
 {
   NEWS_DIRECT = 1, /* all events of the sender */
-  NEWS_PASSED = 2, /* starts alone, the sender's or those that it passes on */
-  NEWS_RELAY = 3,  /* starts alone, to be passed on in the receiver's domain */
+  NEWS_PASSED = 2, /* starts only: the sender's, or those that it relays */
+  NEWS_RELAY = 3,  /* starts only, for the receiver to relay in its domain */
 };
 
-/* Written into messages: never renumbered. */
+/* Wire format: never renumbered. */
 enum news_event
 {
-  NEWS_STARTED = 0, /* target, request, tokens of its own, parts with their tokens */
+  NEWS_STARTED = 0, /* target, request, own tokens, parts with their tokens */
   NEWS_BEGAN = 1,   /* target, request */
   NEWS_ENDED = 2,   /* target, request */
   NEWS_EVENT_COUNT
@@ -35,16 +36,16 @@
   struct timer timer;
   struct bytes starts;
   uint32_t n_starts;
-  struct bytes ends; /* and beginnings */
+  struct bytes ends; /* beginnings and ends */
   uint32_t n_ends;
   struct timer pass_timer;
-  struct bytes passed; /* starts of hosts of other domains, for those of ours */
+  struct bytes passed; /* starts of hosts of other domains, to relay in this host's domain */
   uint32_t n_passed;
   struct counter *sent;
 };
 
-/* Do that host and we tell each other of beginnings and ends as well as of starts?  NULL: one that
- * no controller has named yet. */
+/* Whether `host` and this host send each other beginnings and ends as well as starts.  NULL: a host
+ * that no controller has announced yet. */
 static bool
 tells_all (const struct engine_news *news,
            const struct host_view *view,
@@ -84,7 +85,7 @@
   counter_add (news->sent, 1);
 }
 
-/* To all hosts with which we tell each other everything. */
+/* Send to all hosts with which this host exchanges all events. */
 static void
 send_near (struct engine_news *news, const struct bytes *message)
 {
@@ -96,7 +97,7 @@
       send_to (news, view->hosts[i], message);
 }
 
-/* The host of a domain that passes starts on there: the highest hash of a name. */
+/* The host of a domain that relays starts there: the one whose name has the highest hash. */
 struct passer
 {
   const struct sync_host *host;
@@ -115,9 +116,9 @@
   return &passers[(*n)++];
 }
 
-/* Starts to the hosts of other domains: in a large fleet to one of each, as messages to each host
- * grow with the square of the hosts.  Only that one passes them on: where each host of a domain is
- * told, each would tell all others. */
+/* Send the starts to the hosts of other domains.  In a large fleet they go to one host of each
+ * domain, as messages to every host grow with the square of the number of hosts.  Only that host
+ * gets a relay message: if all hosts of a domain got one, each would send it to all others. */
 static void
 send_far (struct engine_news *news)
 {
@@ -192,7 +193,7 @@
 
 static const struct timer_ops pass_timer_ops = { .fire = pass_fired };
 
-/* Events that were read, as they came. */
+/* Queue the encoded events of a relay message, unchanged, to be relayed. */
 static void
 pass_soon (
     struct engine_news *news, const void *events, size_t length, uint32_t n_events, int64_t now)
--- a/src/engine_news.h
+++ b/src/engine_news.h
@@ -1,4 +1,5 @@
-/* Tells the other entry hosts what this one sends to model engines, and takes in what they tell. */
+/* Sends the events of this host's requests to model engines (started, began, ended) to the other
+ * entry hosts, and applies those that they send. */
 #ifndef ENGINE_NEWS_H
 #define ENGINE_NEWS_H
 
@@ -11,22 +12,24 @@
 
 BEGIN_DECLS
 
-/* News wait so long for more: a picture a few milliseconds old is as good, and a message for each
- * event would cost more than it tells. */
+/* Events are batched for this long: an estimate a few milliseconds old is as good, and a message
+ * for each event would cost more than it is worth. */
 #define ENGINE_NEWS_DELAY (15 * USEC_PER_MSEC)
 
-/* Beyond so many entry hosts only starts are told to all, so that all know where a shared part
- * lies; the rest goes to the hosts in the same failure domain, as the messages grow with the square
- * of the hosts.  Where no end is told, the picture goes by what was expected. */
+/* Up to this many entry hosts, all events go to all hosts.  Beyond it only starts do, so that all
+ * know which engine holds a shared part; beginnings and ends go to the hosts of the same failure
+ * domain, as messages grow with the square of the number of hosts.  Hosts to which they are not
+ * sent estimate them from the expected waits. */
 #define ENGINE_NEWS_ALL 24
 
-/* Beyond so many a start is told to the hosts in the same domain and to one in each other domain,
- * which passes it on: told to each host, starts alone are most of what one does. */
+/* Up to this many entry hosts, a start goes to every host.  Beyond it a start goes to the hosts of
+ * the same domain and to one host of each other domain, which relays it: sent to every host, starts
+ * alone would be most of a host's work. */
 #define ENGINE_NEWS_SINGLY 96
 
-/* Starts that are passed on wait so long for more: one message then carries those of all hosts of
- * other domains.  While the host that passes on is not known to be gone its domain misses them, and
- * reads some parts again. */
+/* Starts to relay are batched for this long: one message then carries those of all hosts of other
+ * domains.  Until the controllers announce that a relaying host is gone, its domain misses these
+ * starts, and its engines read some parts again. */
 #define ENGINE_NEWS_PASS_DELAY (30 * USEC_PER_MSEC)
 
 struct engine_news;
@@ -42,7 +45,7 @@
 
 struct engine_news *engine_news_new (void *parent, const struct engine_news_config *config);
 
-/* Each notes the event here and tells the others. */
+/* Record an event in this host's estimate and send it to the other hosts. */
 void engine_news_started (struct engine_news *news,
                           uint64_t target,
                           uint64_t request,
