--- a/src/order.c
+++ b/src/order.c
@@ -1,4 +1,4 @@
-/* Orders to targets: leading, fencing numbers, and the pass over the board. */
+/* Orders to targets: leadership, fencing numbers, and the pass over the board. */
 #include "container.h"
 #include "log.h"
 #include "order_private.h"
@@ -9,9 +9,10 @@
 
 #define PASS_PERIOD (USEC_PER_SEC / 4)
 #define FENCE_WITHIN (2 * USEC_PER_SEC)
-#define FENCE_PERIOD (2 * USEC_PER_SEC) /* between two asks for a number */
+#define FENCE_PERIOD (2 * USEC_PER_SEC) /* between two proposals for a fencing number */
 
-/* An assignment of the target itself goes before one of its pool; the first by name wins. */
+/* An assignment of the target itself takes precedence over one of its pool; among equals the first
+ * by name does. */
 const struct assignment_spec *
 order_wanted (const struct orders *orders, const struct board_target *target)
 {
@@ -41,7 +42,7 @@
   orders->n_assignments = 0;
   orders->assignments = talloc_zero_array (orders, struct assignment_spec, count + 1);
   if (orders->assignments == NULL)
-    return; /* `stale` stays */
+    return; /* `stale` stays set, so the next pass tries again */
   for (; object != NULL; object = store_after (store, RESOURCE_ASSIGNMENT, object->name))
     {
       union resource_spec spec;
@@ -90,7 +91,7 @@
     order_target_drop (orders->targets);
 }
 
-/* A leaving target gets no orders; one whose lease ran out is not there. */
+/* Orders go only to usable targets: not to one that is leaving or whose lease has expired. */
 static void
 pass (struct orders *orders, int64_t now)
 {
@@ -121,7 +122,7 @@
       order_target_drop (target);
 }
 
-/* The assignments changed: look at every target anew. */
+/* The assignments changed: the targets that were done are due again at once. */
 static void
 look_again (struct orders *orders, int64_t now)
 {
@@ -184,7 +185,7 @@
   log_event (LOG_MODULE_STORE, LOG_LEVEL_INFO, "orders-take-over", NULL);
 }
 
-/* Calls in flight are cut: what a follower sends could cross the new leader's orders. */
+/* Cancel the calls in flight: a follower's orders could interleave with the new leader's. */
 static void
 step_down (struct orders *orders)
 {
@@ -194,9 +195,10 @@
   log_event (LOG_MODULE_STORE, LOG_LEVEL_INFO, "orders-step-down", NULL);
 }
 
-/* Failure guarded against: the former leader, cut off, has sent an order that arrives after ours
- * at a target that ignores the number, and undoes it.  By then its lease is over, so it sends
- * nothing new, and its last call has met its deadline. */
+/* Whether the former leader's orders have certainly ended.  Failure guarded against: it was cut off
+ * after it had sent an order, which arrives after ours at a target that ignores the fencing number,
+ * and undoes ours.  After this time its lease has expired, so it sends nothing new, and its last
+ * call has reached its deadline. */
 static bool
 former_leader_done (const struct orders *orders, int64_t now)
 {
--- a/src/order.h
+++ b/src/order.h
@@ -1,10 +1,10 @@
-/* Orders to targets, as declared state: one leader reconciles what targets have with what the
- * assignments want.
+/* Orders to targets.  Assignments declare the wanted state; one leader reconciles the targets with
+ * it.
  *
- * Some targets refuse an order with an old fencing number, others ignore the number.  For the
- * latter the leader alone protects them: it sends nothing until the former leader's lease and its
- * last call have surely ended, stops at once when it leads no more, has one call at a time for a
- * target, and counts an order as done only when the target's state shows it. */
+ * Some targets refuse an order with an old fencing number, others ignore the number.  The latter
+ * are protected by the leader alone: it sends nothing until the former leader's lease and its last
+ * call have certainly ended, stops at once when it no longer leads, has one call at a time in
+ * flight for a target, and counts an order as done only when the target's state shows it. */
 #ifndef ORDER_H
 #define ORDER_H
 
@@ -19,8 +19,8 @@
 
 BEGIN_DECLS
 
-#define ORDER_CALL_WITHIN (5 * USEC_PER_SEC)  /* of one call to a target */
-#define ORDER_FORMER_LEASE (3 * USEC_PER_SEC) /* a leader's lease at most, with drift */
+#define ORDER_CALL_WITHIN (5 * USEC_PER_SEC)  /* deadline of one call to a target */
+#define ORDER_FORMER_LEASE (3 * USEC_PER_SEC) /* longest lease of a leader, with clock drift */
 
 struct orders;
 
@@ -33,12 +33,12 @@
   struct timer_service *timers;
   struct counters *counters;
   struct dump *dump;
-  const char *host;       /* our name, */
+  const char *host;       /* this host's name */
   int64_t wall_offset_ms; /* wall clock minus monotonic clock at the start */
   int64_t former_lease;   /* 0 for ORDER_FORMER_LEASE */
 };
 
-/* On every host that may lead. */
+/* For every host that may lead.  Freed with `parent`.  NULL when out of memory. */
 struct orders *order_new (void *parent, const struct order_config *config, int64_t now);
 
 END_DECLS
--- a/src/order_plan.c
+++ b/src/order_plan.c
@@ -1,4 +1,4 @@
-/* What a target should have against what it has. */
+/* The next order for a target. */
 #include "order_plan.h"
 #include "text.h"
 #include <jansson.h>
@@ -56,7 +56,10 @@
   out->fence = (uint64_t) json_integer_value (json_object_get (root, "fence"));
   out->incarnation = (uint64_t) json_integer_value (json_object_get (root, "incarnation"));
   json_decref (root);
-  return good ? STATUS_OK : status_fail (STATUS_MALFORMED, "target's state cannot be read");
+  return good ? STATUS_OK
+              : status_fail (STATUS_MALFORMED,
+                             "target's state must be a JSON object with models and "
+                             "adapters as arrays of names, version and role as names");
 }
 
 static bool
--- a/src/order_plan.h
+++ b/src/order_plan.h
@@ -1,4 +1,4 @@
-/* What a target should have against what it has: the next order, as a pure function. */
+/* The next order for a target, from its wanted and its reported state: a pure function. */
 #ifndef ORDER_PLAN_H
 #define ORDER_PLAN_H
 
@@ -28,7 +28,7 @@
 
 const char *order_kind_text (enum order_kind kind);
 
-/* A target's own word on what it has: GET /v1/state. */
+/* The state that a target reports: the answer to GET /v1/state. */
 struct order_state
 {
   char models[ORDER_LOADED_MAX][RESOURCE_NAME_SIZE];
@@ -49,9 +49,10 @@
   char value[RESOURCE_NAME_SIZE];
 };
 
-/* The next order towards what is wanted; false when the state is as wanted.  The version first, for
- * it may reload the rest; what is to go last, so that the target serves meanwhile.  An assignment
- * that names no models leaves the models alone, and so on. */
+/* The next order towards the wanted state; false when the state is as wanted.  The version comes
+ * first, because setting it may reload the rest; unloading comes last, so that the target serves
+ * meanwhile.  What an assignment does not name stays as it is: without models in it, none is loaded
+ * or unloaded. */
 bool order_next (const struct assignment_spec *wanted,
                  const struct order_state *state,
                  struct order_step *out);
--- a/src/order_private.h
+++ b/src/order_private.h
@@ -1,4 +1,4 @@
-/* What the parts of the orders share. */
+/* Shared by the modules order, order_target and order_status. */
 #ifndef ORDER_PRIVATE_H
 #define ORDER_PRIVATE_H
 
@@ -8,12 +8,12 @@
 
 #define ORDER_FAULT_SIZE 128
 
-/* name, text: where a target stands */
+/* name, text: the phases of a target */
 #define ORDER_PHASE_LIST(X)                                                                        \
   X (IDLE, "idle")                                                                                 \
-  X (READING, "reading") /* its state, before an order or at a regular look */                     \
+  X (READING, "reading") /* its state, before an order or periodically */                          \
   X (ORDERING, "ordering")                                                                         \
-  X (SETTLING, "settling") /* ordered: looked at until the state shows it */                       \
+  X (SETTLING, "settling") /* order sent: the state is polled until it shows the order */          \
   X (DONE, "done")
 
 enum order_phase
@@ -34,17 +34,17 @@
   char name[RESOURCE_NAME_SIZE];
   char assignment[RESOURCE_NAME_SIZE];
   enum order_phase phase;
-  struct http_call *call; /* the one in flight, NULL for none */
-  bool posting;           /* it is an order, not a look */
+  struct http_call *call; /* in flight, NULL for none */
+  bool posting;           /* `call` sends an order; otherwise it reads the state */
   int code;
   struct bytes body;
   struct order_step step;
-  bool stepped;       /* `step` was ordered and has not shown yet */
-  int64_t ordered_at; /* when */
+  bool stepped;       /* `step` was sent, and the state does not show it yet */
+  int64_t ordered_at; /* when `step` was sent */
   int64_t next_at;
   int64_t pause;
-  uint32_t sent; /* orders since it last was as wanted */
-  bool seen;     /* during a pass over the board */
+  uint32_t sent; /* orders since the state was last as wanted */
+  bool seen;     /* found in the current pass over the board */
   char fault[ORDER_FAULT_SIZE];
 };
 
@@ -60,29 +60,30 @@
   bool status_proposed;
   bool leading;
   int64_t led_since;
-  uint64_t fence;      /* 0 until the log gave one for this leadership */
-  uint64_t fence_seen; /* the highest that a target stated */
+  uint64_t fence;      /* fencing number, 0 until the log has assigned one to this leadership */
+  uint64_t fence_seen; /* the highest fencing number that a target has reported */
   int64_t fence_asked_at;
-  struct assignment_spec *assignments; /* in the order of their names */
+  struct assignment_spec *assignments; /* sorted by name */
   uint32_t n_assignments;
-  bool stale; /* read the assignments again */
+  bool stale; /* `assignments` has to be read again */
   struct order_target *targets;
   uint32_t in_flight;
-  int64_t status_at;                     /* when one was last written */
-  char status_after[RESOURCE_NAME_SIZE]; /* the assignment looked at last */
+  int64_t status_at;                     /* when a status was last proposed */
+  char status_after[RESOURCE_NAME_SIZE]; /* the assignment whose status was checked last */
   struct counter *sent;
   struct counter *done;
   struct counter *refused;
 };
 
-/* The target is gone from the board or from the assignments, or we lead no more. */
+/* Drop a target and cancel its call: it has left the board or the assignments, or this host no
+ * longer leads. */
 void order_target_drop (struct order_target *target);
 
-/* Go on with a target whose time has come. */
+/* Start the target's next call if it is due and none is in flight. */
 void order_target_step (struct order_target *target, const struct board_target *entry, int64_t now);
 extern const struct http_call_sink_ops order_target_sink_ops;
 
-/* Write one assignment's status back when it changed; rate-bounded. */
+/* Write back the status of one assignment that has changed; rate-limited. */
 void order_status_write (struct orders *orders, int64_t now);
 extern const struct proposal_ops order_status_ops;
 
--- a/src/order_status.c
+++ b/src/order_status.c
@@ -1,4 +1,4 @@
-/* What came of the assignments, written back as their status. */
+/* Writes the progress of assignments back as their status. */
 #include "container.h"
 #include "order_private.h"
 #include "store_group.h"
@@ -11,7 +11,7 @@
 #define STATUS_WITHIN (2 * USEC_PER_SEC)
 #define NAMED_MAX 8
 
-/* Counts, and the first targets that are not as wanted, each with its phase and last fault. */
+/* Counts, and the first NAMED_MAX targets that are not as wanted, each with its last fault. */
 static json_t *
 build_status (const struct orders *orders, const char *assignment)
 {
@@ -39,7 +39,7 @@
 {
   struct orders *orders = CONTAINER_OF (proposal, struct orders, status_proposal);
 
-  (void) status; /* a status that was not written differs still, and is written later */
+  (void) status; /* a status that was not written still differs, so it is proposed again */
   (void) result;
   (void) length;
   (void) now;
@@ -85,7 +85,7 @@
 
   if (orders->status_proposed || now < orders->status_at + STATUS_PERIOD)
     return;
-  /* In turn, so that one that changes always does not keep the others out. */
+  /* Round robin, so that an assignment that changes constantly does not starve the others. */
   for (object = first != NULL ? first : object; object != NULL && left > 0; left--)
     {
       json_t *status = build_status (orders, object->name);
--- a/src/order_target.c
+++ b/src/order_target.c
@@ -1,4 +1,4 @@
-/* One target: look, order, look again until the order shows. */
+/* One target: read its state, send an order, and poll the state until it shows the order. */
 #include "log.h"
 #include "order_private.h"
 #include "text.h"
@@ -6,10 +6,10 @@
 #include <string.h>
 #include <utlist.h>
 
-#define LOOK_PERIOD (15 * USEC_PER_SEC) /* of a target that is as wanted */
+#define LOOK_PERIOD (15 * USEC_PER_SEC) /* between reads of the state of a target as wanted */
 #define SETTLE_FIRST (USEC_PER_SEC)
 #define SETTLE_MAX (15 * USEC_PER_SEC)
-#define ORDER_AGAIN (60 * USEC_PER_SEC) /* an order that does not show is sent again */
+#define ORDER_AGAIN (60 * USEC_PER_SEC) /* until an order that has no effect is sent again */
 #define IN_FLIGHT_MAX 64
 #define STATE_BYTES_MAX (64u << 10)
 
@@ -152,8 +152,8 @@
   target->fault[0] = '\0';
 }
 
-/* The target's own word: what is missing is ordered next, unless it was ordered just now and the
- * target needs its time. */
+/* Handle the state that the target reports: prepare the next order, unless the same order was sent
+ * less than ORDER_AGAIN ago, as the target may still be carrying it out. */
 static void
 take_state (struct order_target *target, int64_t now)
 {
@@ -191,8 +191,8 @@
   target->next_at = now;
 }
 
-/* 409: the target has seen a higher number than ours.  Another leader was there, or the log of an
- * earlier life of the system had got further: a new number is asked for. */
+/* 409: the target has seen a higher fencing number than ours, from another leader or from an
+ * earlier installation of the system whose log had advanced further.  A new number is requested. */
 static void
 take_refusal (struct order_target *target, int64_t now)
 {
@@ -241,10 +241,10 @@
   else if (target->posting)
     take_refusal (target, now);
   else
-    fail (target, "its state is not to be had", now);
+    fail (target, "GET /v1/state was not answered with status 200", now);
 }
 
-/* An order whose answer is lost may have been taken: looking comes before ordering again. */
+/* An order whose answer is lost may have been accepted: the state is read before it is resent. */
 static void
 sink_failed (struct http_call_sink *sink, enum status why, bool sent, int64_t now)
 {
--- a/src/target_watch.c
+++ b/src/target_watch.c
@@ -1,4 +1,4 @@
-/* Did a target end when a connection to it broke? */
+/* Determines whether a target ended when a connection to it broke. */
 #include "target_watch.h"
 #include "container.h"
 #include "log.h"
@@ -9,7 +9,7 @@
 #include <talloc.h>
 #include <utlist.h>
 
-/* An incarnation under watch. */
+/* A watched incarnation. */
 struct watched
 {
   struct target_watch *watch;
@@ -17,9 +17,9 @@
   char address[ROUTING_NAME_SIZE];
   uint64_t started;
   uint64_t incarnation;
-  int64_t broke;      /* the first connection of which it is not known that the target lived on */
-  int64_t last_broke; /* the last one */
-  int64_t probed;     /* the last probe began */
+  int64_t broke;      /* the first break that the target is not known to have outlived */
+  int64_t last_broke; /* the last break */
+  int64_t probed;     /* when the last probe began */
   uint32_t breaks;
   enum target_fate fate;
   struct tcp_stream probe;
@@ -50,7 +50,7 @@
   return fate_texts[fate];
 }
 
-/* Of the breaks until `until`. */
+/* Report the fate at the breaks up to `until`. */
 static void
 tell_fate (
     struct watched *watched, enum target_fate fate, const char *by, int64_t until, int64_t now)
@@ -67,7 +67,7 @@
                                        now);
 }
 
-/* Of all its breaks. */
+/* Set the fate and report it for all breaks so far. */
 static void
 set_fate (struct watched *watched, enum target_fate fate, const char *by, int64_t now)
 {
@@ -85,7 +85,7 @@
     tcp_close (&watched->probe, true);
 }
 
-/* Somebody listens there: this incarnation, or already the next one. */
+/* The address accepts connections: this incarnation listens there, or already the next one. */
 static void
 probe_connected (struct tcp_stream *stream, int64_t now)
 {
@@ -109,7 +109,7 @@
 
   timer_disarm (loop_timers (watched->watch->config.loop), &watched->probe_timer);
   if (end == TCP_END_REFUSED && watched->fate == TARGET_FATE_UNKNOWN)
-    set_fate (watched, TARGET_FATE_ENDED, "its address takes no connection", now);
+    set_fate (watched, TARGET_FATE_ENDED, "its address refuses connections", now);
 }
 
 static const struct tcp_stream_ops probe_ops = {
@@ -142,7 +142,7 @@
   timer_arm (loop_timers (loop), &watched->probe_timer, now + TARGET_WATCH_PROBE);
 }
 
-/* A probe shows nothing of a connection that broke after it began. */
+/* Probe again if a connection broke after the last probe began, which shows nothing about it. */
 static void
 probe_again (struct watched *watched, int64_t now)
 {
@@ -151,9 +151,9 @@
     begin_probe (watched, now);
 }
 
-/* ---- what the controllers tell ---- */
+/* ---- the registry ---- */
 
-/* It lived at `alive`, so what broke before was no end. */
+/* The target lived at `alive`, so it did not end at the breaks before. */
 static void
 note_alive (struct watched *watched, int64_t alive, int64_t now)
 {
@@ -163,7 +163,7 @@
     return;
   if (all)
     watched->fate = TARGET_FATE_LIVES;
-  tell_fate (watched, TARGET_FATE_LIVES, "it renewed", alive, now);
+  tell_fate (watched, TARGET_FATE_LIVES, "it renewed its registration", alive, now);
   watched->broke = alive + 1;
 }
 
@@ -177,9 +177,9 @@
   if (record == NULL || (watched->started != 0 && record->word.started != watched->started))
     ended = "another incarnation";
   else if (record->word.state == REGISTRY_GONE)
-    ended = "said to be gone";
+    ended = "reported as gone";
   else if (record->expired)
-    ended = "not heard for a lease";
+    ended = "its lease has expired";
   if (ended != NULL && watched->fate == TARGET_FATE_UNKNOWN)
     set_fate (watched, TARGET_FATE_ENDED, ended, now);
   if (ended == NULL && watched->fate != TARGET_FATE_LIVES)
@@ -211,7 +211,7 @@
       if (watched->fate != TARGET_FATE_LIVES && now < watched->broke + TARGET_WATCH_FOR)
         continue;
       if (watched->fate == TARGET_FATE_UNKNOWN)
-        set_fate (watched, TARGET_FATE_UNKNOWN, "nothing shows it", now);
+        set_fate (watched, TARGET_FATE_UNKNOWN, "neither shown before the watch ended", now);
       forget (watched);
     }
   if (watch->watched != NULL)
@@ -268,7 +268,7 @@
 {
   struct watched *watched = find (watch, target->id_hash);
 
-  /* It has said that it leaves: its connections end with it, whatever ran on them. */
+  /* A leaving target ends all its connections, whatever requests run on them. */
   if (target->left)
     return TARGET_FATE_UNKNOWN;
   if (watched == NULL)
--- a/src/target_watch.h
+++ b/src/target_watch.h
@@ -1,12 +1,13 @@
-/* Did a target end when a connection to it broke?
+/* Determines whether a target ended when a connection to it broke.
  *
- * A connection that breaks says little: links are cut, connections reset, answers broken off by
- * targets that go on.  A target has ended where its address takes no connection any more, where it
- * starts anew, or where nobody hears it for a lease; it lives where the same incarnation renews
- * after the break.
+ * A broken connection alone does not show that: links are cut, connections reset and answers broken
+ * off while the target goes on.  A target has ended if its address refuses connections, if it has
+ * restarted as another incarnation, or if its lease has expired; it lives if the same incarnation
+ * renews after the break.
  *
- * Load pattern: breaks are rare and come in crowds, all of one target at one moment; so there is
- * one watch for each incarnation, and one probe a period, however many of its connections broke. */
+ * Load pattern: breaks are rare and come in bursts, all of one target at one moment; so there is
+ * one watch per incarnation, and at most one probe per period, however many of its connections
+ * broke. */
 #ifndef TARGET_WATCH_H
 #define TARGET_WATCH_H
 
@@ -20,16 +21,18 @@
 
 #define TARGET_WATCHES_MAX 64
 
-/* A probe that meets neither a connection nor a refusal is over. */
+/* Timeout of a probe that is neither accepted nor refused. */
 #define TARGET_WATCH_PROBE (1000 * USEC_PER_MSEC)
 
-/* A renewal this much later than the break was made after it, whatever held up its news. */
+/* A renewal counts as made after a break if it is heard more than this later, since reports of
+ * renewals may be delayed. */
 #define TARGET_WATCH_LIVES (1000 * USEC_PER_MSEC)
 
-/* What the controllers tell is looked at this often while a target is watched. */
+/* While a target is watched, its registry record is checked this often, and it is probed at most
+ * this often. */
 #define TARGET_WATCH_PERIOD (100 * USEC_PER_MSEC)
 
-/* After this a watch ends: a lease, and what a start takes. */
+/* A watch ends after this: the time of a lease plus that of a restart. */
 #define TARGET_WATCH_FOR (15 * USEC_PER_SEC)
 
 /* name, text */
@@ -55,8 +58,8 @@
 
 struct target_watch_listener_ops
 {
-  /* Of the breaks until `until`.  LIVES may follow ENDED: a link that refused connections for its
-   * target is whole again.  UNKNOWN comes at the end of a watch that showed neither. */
+  /* The fate at the breaks up to `until`.  LIVES may follow ENDED: a faulty link had refused the
+   * connections in the target's place.  UNKNOWN is reported when a watch ends without either. */
   void (*fate) (struct target_watch_listener *listener,
                 uint64_t incarnation,
                 enum target_fate fate,
@@ -74,13 +77,13 @@
 
 struct target_watch;
 
-/* Freed with `parent`.  NULL when memory is out. */
+/* Freed with `parent`.  NULL when out of memory. */
 struct target_watch *target_watch_new (void *parent, const struct target_watch_config *config);
 
-/* What is known of an incarnation; UNKNOWN where none of its connections broke lately. */
+/* The known fate of an incarnation; UNKNOWN also if none of its connections broke lately. */
 enum target_fate target_watch_fate (const struct target_watch *watch, uint64_t incarnation);
 
-/* A connection to the target broke under a request.  What is known of this incarnation already. */
+/* A connection to the target broke during a request.  Returns the fate that is known already. */
 enum target_fate target_watch_broke (struct target_watch *watch,
                                      const struct balance_target *target,
                                      int64_t now);
