--- a/tests/unit_engine_load.cc
+++ b/tests/unit_engine_load.cc
@@ -1,4 +1,4 @@
-// The picture of model engines that entry hosts share.
+// Estimates of the queues and caches of model engines.
 #include "engine_load.h"
 #include <algorithm>
 #include <gtest/gtest.h>
@@ -42,7 +42,7 @@
   }
 };
 
-TEST_F (EngineLoad, APartIsCheaperWhereItWasRead)
+TEST_F (EngineLoad, APromptCostsLessOnAnEngineThatHoldsItsPart)
 {
   struct engine_prompt p = prompt (1, 13000, 100);
 
@@ -57,7 +57,7 @@
   EXPECT_EQ (cost (1, p).read_again, 0u);
 }
 
-TEST_F (EngineLoad, PromptsBeforeItMakeARequestWait)
+TEST_F (EngineLoad, ARequestWaitsForThePromptsBeforeIt)
 {
   struct engine_prompt p = prompt (1, 0, 6000);
   int64_t idle = cost (1, p).wait;
@@ -73,8 +73,8 @@
 }
 
 // The message that an answer began is lost with its connection.  The engine must not look busy for
-// ever, or nobody sends it anything again.
-TEST_F (EngineLoad, ForgetsAStartWhoseNewsAreLost)
+// ever, or no host sends it a request again.
+TEST_F (EngineLoad, AStartCountsAsBegunWhenItsBeginningIsNotReported)
 {
   struct engine_prompt p = prompt (1, 0, 6000);
   int64_t idle = cost (1, p).wait;
@@ -84,10 +84,10 @@
   EXPECT_LE (cost (1, p).wait, idle);
 }
 
-// So many hosts share the engines that only starts are told to all.  An engine that is busy for
-// four fifths of the time must not seem to have a queue that grows without end, or its prompts go
-// to engines that have to read their parts again.
-TEST_F (EngineLoad, AQueueOfWhichOnlyTheStartsAreToldDoesNotGrowByItself)
+// Beyond ENGINE_NEWS_ALL hosts only starts are sent to all.  The estimated queue of an engine that
+// is busy for four fifths of the time must not grow without end, or its prompts go to engines that
+// have to read their parts again.
+TEST_F (EngineLoad, AQueueEstimatedFromStartsAloneStaysBounded)
 {
   struct engine_prompt p = prompt (1, 0, 6000); // 100 ms to read
   int64_t idle = cost (1, p).wait;
@@ -102,9 +102,9 @@
   EXPECT_LE (most, 2 * idle);
 }
 
-// Sixteen prompts come at once.  The wait for one more is what is left to be read, also when the
-// beginnings are not told, and does not end for all of them at once.
-TEST_F (EngineLoad, AQueueOfWhichOnlyTheStartsAreToldShrinksAsItIsRead)
+// Sixteen prompts come at once.  The wait for one more is the time to read what is left of them,
+// also when beginnings are not reported, and does not drop to nothing for all of them at once.
+TEST_F (EngineLoad, AQueueEstimatedFromStartsAloneShrinksAsItIsRead)
 {
   struct engine_prompt p = prompt (1, 0, 6000);
   int64_t idle = cost (1, p).wait;
@@ -118,7 +118,7 @@
   EXPECT_EQ (cost (1, p).wait, idle);
 }
 
-// A beginning that is told corrects what was expected of the prompts after it.
+// A reported beginning corrects the expected beginnings of the prompts after it.
 TEST_F (EngineLoad, ABeginningCorrectsTheQueueBehindIt)
 {
   struct engine_prompt p = prompt (1, 0, 6000);
@@ -126,17 +126,17 @@
 
   for (uint64_t i = 0; i < 4; i++)
     engine_load_started (load, 1, i, &p, true, now);
-  now += idle / 2; // twice as fast as thought
+  now += idle / 2; // twice as fast as expected
   engine_load_began (load, 1, 0, now);
   EXPECT_LE (cost (1, p).wait, 4 * idle);
-  engine_load_ended (load, 1, 3, now); // its caller left
+  engine_load_ended (load, 1, 3, now); // its caller disconnected
   EXPECT_LE (cost (1, p).wait, 3 * idle);
   now += idle + idle / 4; // the next one is late by a quarter
   EXPECT_GE (cost (1, p).wait, idle + cost (2, p).wait);
 }
 
-// An engine turns slow for some seconds.  It gets less, and after a while is tried again.
-TEST_F (EngineLoad, ASlowEngineCostsMoreUntilItIsForgotten)
+// An engine is slow for some seconds.  It gets fewer requests, and more again after a while.
+TEST_F (EngineLoad, ASlowEngineCostsMoreUntilItsSlownessDecays)
 {
   struct engine_prompt p = prompt (1, 0, 3000);
 
@@ -152,8 +152,9 @@
   EXPECT_LT (cost (1, p).wait, 2 * cost (2, p).wait);
 }
 
-// Two hosts send to an idle engine at once; the one hears of the other's prompt too late.
-TEST_F (EngineLoad, AQueueThatIsToldOfTooLateIsNotSlowReading)
+// Two hosts send to an idle engine at once; one of them hears of the other's prompt too late.  The
+// wait for it must not be learned as a lower reading rate.
+TEST_F (EngineLoad, AQueueReportedTooLateDoesNotLowerTheRate)
 {
   struct engine_prompt p = prompt (1, 0, 3000);
   int64_t reading = cost (2, p).wait;
@@ -173,8 +174,8 @@
   EXPECT_EQ (cost (2, p).wait, reading);
 }
 
-// All engines take half as long again, or three times as long: ten seconds later that is expected.
-TEST_F (EngineLoad, BelievesThatEnginesBecameSlower)
+// All engines take 1.5 times as long, or three times: ten seconds later that is expected.
+TEST_F (EngineLoad, LearnsThatAllEnginesBecameSlower)
 {
   const uint64_t ENGINES = 20;
   struct engine_prompt p = prompt (1, 0, 3000);
@@ -201,8 +202,9 @@
     }
 }
 
-// One prompt in twenty has parts in the cache that this host knows nothing of.
-TEST_F (EngineLoad, PartsThatItDoesNotKnowToBeCachedAreNotFastReading)
+// One prompt in twenty has cached parts that this host does not know of.  Their short waits must
+// not be learned as a higher reading rate.
+TEST_F (EngineLoad, PartsCachedUnknownToThisHostDoNotRaiseTheRate)
 {
   struct engine_prompt p = prompt (1, 0, 3000);
   int64_t reading = cost (2, p).wait;
@@ -217,7 +219,7 @@
   EXPECT_GT (cost (2, p).wait, 0.8 * reading);
 }
 
-TEST_F (EngineLoad, DropsTheLeastUsedPartWhenTheCacheIsFull)
+TEST_F (EngineLoad, EvictsTheLeastRecentlyUsedPartWhenTheCacheIsFull)
 {
   struct engine_prompt a = prompt (1, 1000, 0);
   struct engine_prompt b = prompt (2, 1000, 0);
@@ -228,12 +230,13 @@
   engine_load_started (load, 1, 2, &b, true, now);
   engine_load_started (load, 1, 3, &a, true, now);
   engine_load_started (load, 1, 4, &c, true, now);
-  EXPECT_EQ (cost (2, b).read_again, 0u); // nobody holds it any more
+  EXPECT_EQ (cost (2, b).read_again, 0u); // no engine holds it any more
   EXPECT_EQ (cost (2, a).read_again, 1000u);
 }
 
-// A start arrives twice, by two ways or because it was sent again: the queue seems twice as long.
-TEST_F (EngineLoad, AStartThatComesTwiceCountsOnce)
+// A start arrives twice, by two paths or because it was sent again.  Counted twice, the queue would
+// seem twice as long.
+TEST_F (EngineLoad, ADuplicateStartCountsOnce)
 {
   struct engine_prompt p = prompt (1, 0, 6000);
   int64_t idle = cost (1, p).wait;
@@ -249,8 +252,8 @@
   EXPECT_EQ (cost (2, p).running, 1u);
 }
 
-// A start that is overtaken by its own end: the request would count as running until forgotten.
-TEST_F (EngineLoad, AStartThatComesAfterItsEndDoesNotCount)
+// A start arrives after its own end: the request would count as running until it is dropped.
+TEST_F (EngineLoad, AStartAfterItsEndDoesNotCount)
 {
   struct engine_prompt p = prompt (1, 0, 6000);
   int64_t idle = cost (1, p).wait;
@@ -264,9 +267,9 @@
   EXPECT_EQ (cost (1, p).wait, idle);
 }
 
-// Of a start that came by another way first it is told when it begins: taken as not told, a late
-// engine would count as free.
-TEST_F (EngineLoad, AStartThatComesTwiceIsToldIfOneOfThemIs)
+// The first copy of a start says that its beginning will not be reported, the second that it will.
+// If the first one were decisive, a late engine would count as free.
+TEST_F (EngineLoad, ADuplicateStartIsToldIfOneCopyIs)
 {
   struct engine_prompt p = prompt (1, 0, 6000);
   int64_t idle = cost (1, p).wait;
@@ -277,7 +280,7 @@
   EXPECT_GT (cost (1, p).wait, idle);
 }
 
-TEST_F (EngineLoad, ATargetThatIsGoneHoldsNothing)
+TEST_F (EngineLoad, AForgottenTargetHoldsNoPartsAndNoRequests)
 {
   struct engine_prompt p = prompt (1, 1000, 10);
 
--- a/tests/unit_engine_model.cc
+++ b/tests/unit_engine_model.cc
@@ -1,4 +1,4 @@
-// Load patterns replayed on virtual time against the hosts' own choice among model engines.
+// Load patterns simulated on virtual time with the hosts' real choice among model engines.
 #include "engine_model.h"
 #include <gtest/gtest.h>
 
@@ -12,17 +12,17 @@
 
   engine_model_defaults (&options);
   options.pattern = pattern;
-  options.hosts = 26; // beyond 24 only starts are told to all
+  options.hosts = 26; // beyond 24 only starts are sent to all
   options.engines = 20;
   options.parts = 200;
   options.span = 12 * USEC_PER_SEC;
   return options;
 }
 
-// Engines are busy for four fifths of the time, and what their hosts hear are starts alone.  Queues
-// that seem longer than they are send prompts away from the engines that hold their parts, which
-// are read again, and the queues do get longer.
-TEST (EngineModel, ManyHostsSeeTheQueuesAsTheyAre)
+// Engines are busy for four fifths of the time, and hosts hear of starts alone.  Failure guarded
+// against: queues that are estimated too long send prompts away from the engines that hold their
+// parts; the parts are read again, which makes the queues longer.
+TEST (EngineModel, ManyHostsEstimateTheQueuesCorrectly)
 {
   struct engine_model_options options = many_hosts (ENGINE_PATTERN_STEADY);
   struct engine_model_result result;
@@ -35,9 +35,9 @@
   EXPECT_LT (result.wait_p95, 2 * USEC_PER_SEC);
 }
 
-// Twice as many requests come for a while, more than the engines can read.  They wait, but what is
-// read again does not add to it.
-TEST (EngineModel, ABurstIsNotMadeWorseByReadingAgain)
+// Twice as many requests come for a while, more than the engines can read.  They wait, but parts
+// that are read again must not add much to it.
+TEST (EngineModel, ABurstCausesLittleReadingAgain)
 {
   struct engine_model_options options = many_hosts (ENGINE_PATTERN_BURST);
   struct engine_model_result result;
@@ -46,9 +46,9 @@
   EXPECT_LT (result.tokens_again, result.tokens_read / 5);
 }
 
-// A tenth of the engines read at a quarter of their rate.  They get less, and the p95 of all waits
-// stays near that of the others.
-TEST (EngineModel, SlowEnginesAreSpared)
+// A tenth of the engines read at a quarter of their rate.  They get fewer requests, and the p95 of
+// all waits stays near that of a run without slow engines.
+TEST (EngineModel, SlowEnginesRaiseTheP95WaitLittle)
 {
   struct engine_model_options options = many_hosts (ENGINE_PATTERN_SLOW);
   struct engine_model_result result;
@@ -61,11 +61,11 @@
   EXPECT_LT (result.wait_p95, 3 * steady.wait_p95 / 2);
 }
 
-// Few hosts before many engines, and all is told.  A queue that a host cannot see yet was taken for
-// a slow pool: it expected seconds where there were none, spread prompts away from their parts, and
-// the parts that were read again made the queues it had feared.  Told all, hosts are to wait for no
-// more than 1.3 times what one host waits that decides alone.
-TEST (EngineModel, FewHostsDoNotTakeHiddenQueuesForASlowPool)
+// Few hosts before many engines, and all events are reported.  Failure guarded against: a host
+// takes a queue that it does not know of yet for a slow pool, expects waits of seconds where there
+// are none, and spreads prompts away from their parts; the parts are read again, and that makes the
+// queues.  Waits may be at most 1.3 times those with one host that decides alone.
+TEST (EngineModel, FewHostsDoNotTakeUnknownQueuesForASlowPool)
 {
   struct engine_model_options options;
   struct engine_model_result alone;
@@ -84,8 +84,8 @@
   EXPECT_LT (result.expected_mean, 1.3 * result.wait_mean);
 }
 
-// Reading all parts once would take longer than the whole time: no request fits in beside it.
-TEST (EngineModel, HasNoArrivalsWhereFirstReadsTakeAllTheTime)
+// Reading all parts once takes longer than the whole run, which leaves no time for other requests.
+TEST (EngineModel, HasNoArrivalsIfFirstReadsTakeAllTheTime)
 {
   struct engine_model_options options;
 
@@ -97,8 +97,8 @@
   EXPECT_TRUE (engine_model_has_arrivals (&options));
 }
 
-// The same options give the same figures, or no bound above would mean anything.
-TEST (EngineModel, IsTheSameEachTime)
+// The same options must give the same figures, or the bounds above would mean nothing.
+TEST (EngineModel, IsDeterministic)
 {
   struct engine_model_options options = many_hosts (ENGINE_PATTERN_LOST);
   struct engine_model_result one;
--- a/tests/unit_order.cc
+++ b/tests/unit_order.cc
@@ -1,4 +1,5 @@
-// Orders to targets: read back, one at a time, fenced, and safe where the number is ignored.
+// Orders to targets: verified by reading the state, one at a time, fenced, and safe at targets that
+// ignore the fencing number.
 #include "order.h"
 #include "order_plan.h"
 #include "store_group.h"
@@ -17,13 +18,13 @@
   bool checks = false;
   uint64_t fence = 0;
   std::vector<std::string> models = {};
-  int64_t load_takes = 0; // an order shows in the state only after this
+  int64_t load_takes = 0; // until a load_model order shows in the state
   std::vector<std::pair<int64_t, std::string>> loading = {};
   std::vector<std::string> orders = {}; // as they arrived: "fence order value"
   int in_flight = 0;
   int in_flight_max = 0;
   bool lose_answers = false;
-  int64_t hold_orders = 0; // an order reaches the target this late
+  int64_t hold_orders = 0; // extra delay until an order reaches the target
 
   std::string
   state (int64_t now)
@@ -84,7 +85,7 @@
     std::string method;
     std::string body;
     int64_t deadline;
-    bool cancelled; // closed by the client; what was sent still arrives
+    bool cancelled; // by the client; what was sent still arrives
   };
   std::list<struct flight> calls = {};
 
@@ -151,7 +152,7 @@
     return STATUS_OK;
   }
 
-  // A cancelled call's bytes may be on their way still: the worst case.
+  // The bytes of a cancelled call still arrive: the worst case.
   static void
   cancel (struct http_client *http, struct http_call *call)
   {
@@ -222,7 +223,7 @@
   struct target target;
 };
 
-TEST_F (Order, ATargetIsBroughtToWhatIsWantedAndReadBack)
+TEST_F (Order, ATargetIsReconciledAndItsStateVerified)
 {
   struct leader a (clock, target, "a", nullptr);
 
@@ -242,8 +243,8 @@
       std::string::npos);
 }
 
-// An order is taken and its answer lost.  Sent again at once, a slow load would be doubled; the
-// target's state is looked at first.
+// An order is accepted and its answer lost.  Sent again at once, it would start a slow load twice;
+// so the target's state is read first.
 TEST_F (Order, AnOrderWhoseAnswerIsLostIsNotSentTwice)
 {
   struct leader a (clock, target, "a", nullptr);
@@ -256,10 +257,10 @@
   EXPECT_EQ (target.models, std::vector<std::string> ({ "m1" }));
 }
 
-// The leader is cut off.  It holds its lease a while longer and sends a last order, of an older
-// configuration, which is slow to arrive; the new leader has another wish, and the target ignores
-// fencing numbers.  Were the new leader not to wait, the old order would arrive after its own and
-// undo it.
+// The leader is cut off.  It still holds its lease and sends a last order, from an older
+// configuration, which arrives late; the new leader wants another state, and the target ignores
+// fencing numbers.  Failure guarded against: without a wait the old order would arrive after the
+// new leader's and undo it.
 TEST_F (Order, AFormerLeadersLastOrderCannotUndoTheNewLeaders)
 {
   struct leader a (clock, target, "a", nullptr);
@@ -284,9 +285,9 @@
   EXPECT_EQ (target.models, std::vector<std::string> ({ "m2" }));
 }
 
-// A target that checks refuses an order with an old number: a host that wrongly goes on leading
-// cannot change it.
-TEST_F (Order, AnOldNumberIsRefusedWhereTheTargetChecks)
+// A target that checks fencing numbers refuses an order with an old one, so a host that wrongly
+// goes on leading cannot change it.
+TEST_F (Order, AnOrderRefusedForItsFencingNumberIsSentWithAHigherOne)
 {
   struct leader a (clock, target, "a", nullptr);
 
@@ -294,7 +295,7 @@
   target.fence = 40;
   a.want ("\"m1\"");
   clock.run (60 * SEC);
-  // It has seen 40 from another life of the system; the log gives a number above that.
+  // It has seen 40 from an earlier installation of the system; the log assigns a higher number.
   EXPECT_EQ (target.orders, std::vector<std::string> ({ "41 load_model m1" }));
 }
 
@@ -322,7 +323,7 @@
   EXPECT_LE (target.orders.size (), 11u);
 }
 
-TEST (OrderPlan, WhatIsNotNamedIsLeftAlone)
+TEST (OrderPlan, WhatAnAssignmentDoesNotNameStaysAsItIs)
 {
   struct assignment_spec wanted = {};
   struct order_state state = {};
--- a/tests/unit_target_watch.cc
+++ b/tests/unit_target_watch.cc
@@ -1,4 +1,4 @@
-// Whether a target ended when a connection to it broke, and which requests are the same.
+// Whether a target ended when a connection to it broke, and the digest that identifies a request.
 #include "request_digest.h"
 #include "target_watch.h"
 #include "unit_edges_support.h"
@@ -10,7 +10,7 @@
 namespace
 {
 
-// Takes connections until it is closed.
+// Accepts connections until it is destroyed.
 struct listening
 {
   struct tcp_listener listener;
@@ -71,7 +71,7 @@
     talloc_free (parent);
   }
 
-  // The target `id`, as it said at `now`, for the sequence.
+  // Registers a renewal of the target `id` with this sequence number, heard at `heard_at`.
   struct balance_target *
   target (const char *id,
           const std::string &address,
@@ -101,7 +101,7 @@
     timer_service_run (loop_timers (loop), now);
   }
 
-  // The newest of what was told; UNKNOWN where nothing was.
+  // The fate reported last, UNKNOWN for none.
   enum target_fate
   last () const
   {
@@ -121,8 +121,8 @@
   int64_t now = loop_now (loop);
 };
 
-// A target's process is gone: its address refuses.
-TEST_F (TargetWatch, TellsAnEndWhereTheAddressRefuses)
+// A target's process is gone: its address refuses connections.
+TEST_F (TargetWatch, ReportsAnEndWhenTheAddressRefusesConnections)
 {
   std::string address;
 
@@ -141,7 +141,7 @@
 }
 
 // Connections are reset while their target goes on: that is no end, however many there are.
-TEST_F (TargetWatch, TellsNoEndOfATargetThatGoesOn)
+TEST_F (TargetWatch, ReportsNoEndOfATargetThatGoesOn)
 {
   listening there (loop);
 
@@ -157,8 +157,8 @@
   EXPECT_EQ (there.taken.size (), 1u);
 }
 
-// A connection is reset, and the target ends a little later: its address refuses then.
-TEST_F (TargetWatch, ProbesAgainWhereAnotherConnectionBreaks)
+// A connection is reset, and the target ends a little later: its address then refuses connections.
+TEST_F (TargetWatch, ProbesAgainWhenAnotherConnectionBreaks)
 {
   auto there = std::make_unique<listening> (loop);
 
@@ -172,8 +172,8 @@
   EXPECT_EQ (last (), TARGET_FATE_ENDED);
 }
 
-// It renewed between two breaks: that tells of the first one alone.
-TEST_F (TargetWatch, TellsAnEndAfterAConnectionThatItOutlived)
+// The target renewed between two breaks: that shows that it lived at the first one only.
+TEST_F (TargetWatch, ReportsAnEndAfterABreakThatTheTargetOutlived)
 {
   const int64_t BETWEEN = TARGET_WATCH_LIVES + USEC_PER_MSEC;
   listening there (loop);
@@ -190,8 +190,9 @@
   EXPECT_EQ (last (), TARGET_FATE_ENDED);
 }
 
-// It is back at the same address before the probe comes: the list tells.
-TEST_F (TargetWatch, TellsAnEndWhereAnotherTookTheAddress)
+// The target has restarted at the same address before the probe arrives, which is accepted: the
+// registry shows the other incarnation.
+TEST_F (TargetWatch, ReportsAnEndWhenAnotherIncarnationTakesTheAddress)
 {
   listening there (loop);
 
@@ -202,8 +203,8 @@
   EXPECT_EQ (last (), TARGET_FATE_ENDED);
 }
 
-// A machine that lost power answers nothing at all.
-TEST_F (TargetWatch, TellsAnEndOfOneThatIsSilentForALease)
+// A machine that lost power neither accepts nor refuses connections.
+TEST_F (TargetWatch, ReportsAnEndWhenTheLeaseExpires)
 {
   listening there (loop);
 
@@ -213,8 +214,8 @@
   EXPECT_EQ (last (), TARGET_FATE_ENDED);
 }
 
-// A link that refused connections in its target's place is whole again.
-TEST_F (TargetWatch, TakesBackAnEndOfOneThatRenews)
+// A faulty link refused connections in the target's place and has recovered.
+TEST_F (TargetWatch, RetractsAnEndWhenTheTargetRenews)
 {
   std::string address;
 
@@ -231,16 +232,16 @@
   EXPECT_EQ (last (), TARGET_FATE_LIVES);
 }
 
-// A target that leaves ends its connections whatever ran on them.
-TEST_F (TargetWatch, PassesOverATargetThatLeaves)
+// A leaving target ends its connections, whatever requests run on them.
+TEST_F (TargetWatch, DoesNotWatchALeavingTarget)
 {
   target_watch_broke (watch, target ("t1", "127.0.0.1:9", 1, now, REGISTRY_LEAVING), now);
   pass (TARGET_WATCH_FOR);
   EXPECT_TRUE (heard.fates.empty ());
 }
 
-// Nothing tells: the watch ends, and says so.
-TEST_F (TargetWatch, EndsWhereNothingTells)
+// Neither an end nor a renewal shows: the watch ends and reports UNKNOWN.
+TEST_F (TargetWatch, ReportsUnknownWhenTheWatchEnds)
 {
   listening there (loop);
 
@@ -250,7 +251,7 @@
   EXPECT_EQ (last (), TARGET_FATE_UNKNOWN);
 }
 
-// ---- which requests are the same ----
+// ---- request digests ----
 
 class RequestDigest : public ::testing::Test
 {
@@ -304,8 +305,8 @@
   void *parent = talloc_new (nullptr);
 };
 
-// Another try bears another id and deadline, and may be framed otherwise.
-TEST_F (RequestDigest, IsThatOfEachTryOfARequest)
+// Another try of a request has another id and deadline, and may be framed differently.
+TEST_F (RequestDigest, IsEqualForAllTriesOfARequest)
 {
   std::string first =
       digest (post ("/a?b", "X-Attempt-Id: 1\r\nX-Deadline-Ms: 9\r\n", "body"), "o");
@@ -319,8 +320,9 @@
              first);
 }
 
-// Nobody's requests are taken for another's, and no part runs into the next.
-TEST_F (RequestDigest, DiffersInEachPart)
+// Requests of two organisations are never taken for the same, and bytes moved from one part to the
+// next change the digest.
+TEST_F (RequestDigest, DependsOnEachPart)
 {
   std::string first = digest (post ("/a?b", "", "body"), "o");
 
@@ -332,7 +334,7 @@
   EXPECT_NE (digest ("POST /a?b HTTP/1.1\r\nHost: g\r\nContent-Length: 4\r\n\r\nbody", "o"), first);
 }
 
-TEST_F (RequestDigest, IsReadAsItIsWritten)
+TEST_F (RequestDigest, IsReadBackAsWritten)
 {
   struct request_digest read;
   char text[REQUEST_DIGEST_TEXT];
