--- a/src/forward.c
+++ b/src/forward.c
@@ -1,4 +1,4 @@
-/* Requests from clients: admission, and what they belong to. */
+/* Requests from clients: admission, route, organisation and deadlines. */
 #include "forward.h"
 #include "container.h"
 #include "forward_private.h"
@@ -10,23 +10,23 @@
 #include <utlist.h>
 #include <xxhash.h>
 
-/* A request whose objective has passed is worth a fraction and costs its client the wait: its stage
- * work goes on for this share of the rest of its time, counted from the client's first try. */
+/* Share of the time from objective to deadline for which the stage work of a late request goes on.
+ * A late answer is worth only a fraction of one in time, and the client has to wait for it. */
 #define LATE_SHARE 0.25
 
-/* Requests between two looks at what changes slowly: how many hosts there are, targets that are
- * gone. */
+/* Requests between two updates of what changes slowly: the number of entry hosts, and the list of
+ * targets without those that are gone. */
 #define SWEEP_EVERY 32
 
-/* Times to come back, in seconds: what a start of the whole system takes, as a client that comes
- * back too soon may not come a third time; at once, elsewhere. */
+/* Retry-After, in seconds.  NOT_READY: the time that a start of the whole system takes, as a client
+ * that retries too soon may not try a third time.  LEAVING: retry at once, at another host. */
 #define NOT_READY_RETRY_AFTER 2.0
 #define LEAVING_RETRY_AFTER 0.0
 
-/* Clients that a start turned away come back spread over so many seconds.  At one moment they would
- * fill the stages' queues and make those late that could still be in time: mean worth of forty days
- * 0.463 without the spread, 0.474 with it, 0.468 with 2 s, and 0.445 where they were asked back as
- * soon as a start should be over. */
+/* Jitter added to NOT_READY_RETRY_AFTER, in seconds.  Clients that all retried at one moment would
+ * fill the stages' queues and delay requests that could still be in time.  Mean worth over 40 days:
+ * 0.463 without jitter, 0.474 with 1 s, 0.468 with 2 s, 0.445 with a Retry-After that ends as soon
+ * as a start should be over. */
 #define NOT_READY_SPREAD 1.0
 
 void
@@ -51,7 +51,7 @@
 
 /* ---- arrival ---- */
 
-/* The parts that a request shares with others; the last part is its own. */
+/* Reads the parts of the prompt.  All but the last may be shared with other requests. */
 static void
 take_prompt (struct forward_job *job)
 {
@@ -74,7 +74,8 @@
   job->prompt.present = true;
 }
 
-/* Which organisation's key the request bears; false when it is refused. */
+/* Finds the organisation whose key the request has.  If false, the request was refused and the job
+ * freed. */
 static bool
 check_key (struct forward_job *job, const struct routing *routing)
 {
@@ -83,8 +84,8 @@
 
   if (routing->n_organisations == 0 || job->route.open)
     return true;
-  /* A key may have been taken away meanwhile: a host that lost touch must not go on honouring it.
-   */
+  /* The key may have been revoked since the last confirmation: a host without contact to a quorum
+   * must not go on accepting it. */
   if (subscriber_age (forward->config.subscriber) > forward->config.confirmed_for)
     {
       job_refuse (job, FORWARD_STALE, NOT_READY_RETRY_AFTER);
@@ -180,7 +181,7 @@
       job_lose_patience (job, now);
       return;
     }
-  /* What was never handed to a target's connection cannot run. */
+  /* A request that was never written to a target's connection cannot have run. */
   if (job->target != NULL && !job->call.handed)
     job->runs--;
   job_drop_call (job);
@@ -189,7 +190,7 @@
 
 static const struct timer_ops timer_ops = { .fire = timer_fired };
 
-/* What changes slowly. */
+/* Updates what changes slowly. */
 static void
 look_around (struct forward *forward)
 {
@@ -230,7 +231,7 @@
     job_reject (job, FORWARD_BAD_REQUEST, HTTP_STATUS_BAD_REQUEST);
 }
 
-/* The client left: its work at targets ends with its connections. */
+/* The client disconnected: closing the connections to targets stops their work for it. */
 static void
 on_gone (struct h1_handler *handler, struct h1_exchange *exchange, int64_t now)
 {
@@ -247,7 +248,7 @@
 
 static const struct h1_handler_ops handler_ops = { .request = on_request, .gone = on_gone };
 
-/* ---- the whole ---- */
+/* ---- setup ---- */
 
 void
 forward_refuse_all (struct forward *forward)
@@ -289,7 +290,7 @@
                                        "From arrival to the last stage's end.", NULL);
 }
 
-/* What is in flight ends with the process; its exchanges are the server's. */
+/* Frees the requests in flight.  Their exchanges belong to the server. */
 static int
 free_forward (struct forward *forward)
 {
--- a/src/forward.h
+++ b/src/forward.h
@@ -1,7 +1,8 @@
-/* Requests from clients to targets: admission, stages, attempts, answers.
+/* Forwarding of client requests to targets: admission, stages, attempts, answers.
  *
- * What holds for each request: it runs at most as often as its route allows; its client gets the
- * whole answer of one run or sees a failure as such; an answer that says "not run" is true. */
+ * Guarantees for each request: it runs at most as often as its route allows; the client gets the
+ * complete answer of one run or an answer that is recognizable as a failure; an answer that says
+ * "not run" is true. */
 #ifndef FORWARD_H
 #define FORWARD_H
 
@@ -33,18 +34,19 @@
   struct quarantine_entry *quarantine;
   struct counters *counters;
   uint64_t seed;
-  int64_t confirmed_for; /* keyed requests are refused when the last confirmation is older */
-  double retry_share;    /* sends beyond the first, of all requests to a pool */
-  double retry_spare;    /* and this many over the window, on all entry hosts together */
+  int64_t confirmed_for; /* with an older confirmation, requests with keys are refused; us */
+  double retry_share;    /* retries allowed, as a share of the requests to a pool */
+  double retry_spare;    /* and this many more per window, for all entry hosts together */
 };
 
-/* Freed with `parent`.  NULL when memory is out. */
+/* Freed with `parent`.  Returns NULL when out of memory. */
 struct forward *forward_new (void *parent, const struct forward_config *config);
 
-/* Takes the requests of an h1_server. */
+/* The handler to configure an h1_server with. */
 struct h1_handler *forward_handler (struct forward *forward);
 
-/* From now on requests are refused as not run, to be sent elsewhere. */
+/* Refuses all further requests as not run, with a Retry-After of 0 so that clients try another host
+ * at once. */
 void forward_refuse_all (struct forward *forward);
 uint32_t forward_in_flight (const struct forward *forward);
 
--- a/src/forward_attempt.c
+++ b/src/forward_attempt.c
@@ -1,20 +1,20 @@
-/* One attempt of a request on a target: chosen, sent, its answer judged. */
+/* One attempt of a request at a target: choice of the target, sending, evaluation of the answer. */
 #include "container.h"
 #include "forward_private.h"
 #include "log.h"
 #include <jansson.h>
 #include <string.h>
 
-/* A failed request is sent again only while so much time is left, in microseconds. */
+/* Least time left before the deadline for a retry. */
 #define SEND_AGAIN_TIME (30 * USEC_PER_MSEC)
 
-/* An idempotent request waits for its first byte this many times as long as the target's answers
- * took lately, and half its objective at least, before it is sent to another target. */
+/* An idempotent request without a first byte is sent to another target after this multiple of the
+ * target's recent mean latency, but not before this share of its objective. */
 #define PATIENCE_FACTOR 4.0
 #define PATIENCE_OBJECTIVE_SHARE 0.5
 
-/* Times to come back, in seconds: soon, as one target's refusal says little of the next; and when
- * targets may have registered. */
+/* Retry-After, in seconds.  REFUSED: short, as one target's refusal says little about the others.
+ * NO_TARGET: targets may have registered by then. */
 #define REFUSED_RETRY_AFTER 0.2
 #define NO_TARGET_RETRY_AFTER 0.3
 
@@ -25,7 +25,7 @@
          || (job->route.kind == ROUTE_STREAM && job->route.resumable && !job->stream.place_lost);
 }
 
-/* ---- the request as it is sent ---- */
+/* ---- writing the request ---- */
 
 static void
 write_request (const struct forward_job *job, int64_t now, struct bytes *out)
@@ -59,7 +59,7 @@
   bytes_clear (&inputs);
 }
 
-/* ---- judging an answer ---- */
+/* ---- evaluating an answer ---- */
 
 static void
 tell_ended (struct forward_job *job, int64_t now)
@@ -81,7 +81,8 @@
   job->target = NULL;
 }
 
-/* The client left, or its time is up: that says nothing of the target. */
+/* Cancels the call because the client disconnected or the deadline passed.  This does not count as
+ * a failure of the target. */
 void
 job_drop_call (struct forward_job *job)
 {
@@ -137,7 +138,8 @@
   job->first_at = 0;
 }
 
-/* To another target; where stage results were given back already they are made again first. */
+/* Sends the request to another target.  If stage results were freed already, the stages run again
+ * first. */
 static void
 send_again (struct forward_job *job, int64_t now)
 {
@@ -148,7 +150,7 @@
     job_give_up (job, FORWARD_BROKEN, REFUSED_RETRY_AFTER);
 }
 
-/* The attempt came to nothing. */
+/* The attempt gave no answer that can be passed on: retries it or gives the request up. */
 static void
 attempt_failed (struct forward_job *job, bool ran, enum forward_reason reason, int64_t now)
 {
@@ -158,15 +160,15 @@
     job_give_up (job, job->runs == 0 ? FORWARD_REFUSED : reason, REFUSED_RETRY_AFTER);
 }
 
-/* A whole answer that says the request did not run. */
+/* A complete answer that says the request did not run. */
 static void
 answer_refused (struct forward_job *job, int64_t now)
 {
   job->runs--;
-  /* A result that the target could not fetch is made again. */
+  /* The target could not fetch an input: its stages run again. */
   if (job->status == HTTP_STATUS_CONFLICT && job_has_stages (job) && !job->remade)
     {
-      /* Nothing is wrong with the target: it may be asked again. */
+      /* The target itself is sound and may be chosen again. */
       job->n_tried--;
       reset_answer (job);
       job_remake_stages (job, now);
@@ -175,8 +177,8 @@
   attempt_failed (job, false, FORWARD_REFUSED, now);
 }
 
-/* The target's own failure is passed on as it is, if the request cannot be tried elsewhere.  A 503
- * would promise that it has not run, which this target does not say. */
+/* A signed failure answer is passed on unchanged if the request cannot be retried.  A 503 is not
+ * passed on: it would promise that the request has not run, which the target did not say. */
 static void
 answer_failure (struct forward_job *job, int64_t now)
 {
@@ -203,15 +205,16 @@
          && job->has_events;
 }
 
-/* The target's answer is whole, and the stream in it ends in half an event. */
+/* Whether the target's answer is a stream that ends inside an event, although the answer itself is
+ * complete. */
 static bool
 ends_inside_event (const struct forward_job *job)
 {
   return job->stream.begun && is_stream_answer (job) && job_is_inside_event (job);
 }
 
-/* Only the end of a stream ends the stream that the client is getting: any other answer, a whole
- * one too, says nothing of the events that are still due. */
+/* Only the proper end of a stream completes the stream that the client has the beginning of.  Any
+ * other answer, even a complete one, does not contain the events that are still missing. */
 static void
 answer_within_stream (struct forward_job *job, int64_t now)
 {
@@ -232,7 +235,7 @@
   bool failed = !job->not_run && (job->status >= 500 || (success && !job->is_signed) || cut);
 
   log_attempt (job, cut ? "ended inside an event" : "answered", now);
-  /* Another incarnation lives at that address. */
+  /* A different incarnation has that address. */
   if (job->status == HTTP_STATUS_MISDIRECTED_REQUEST)
     job->target->ejected_until = now + BALANCE_EJECT;
   release_target (job, failed, now);
@@ -251,7 +254,7 @@
     answer_failure (job, now);
 }
 
-/* Stop the target and judge its attempt by what it did not do. */
+/* Cancels the call, counts it as a failure of the target and retries or gives up. */
 static void
 abandon_attempt (struct forward_job *job, const char *why, enum forward_reason reason, int64_t now)
 {
@@ -271,12 +274,12 @@
 {
   if (facts->id != NULL)
     return strcmp (facts->id, job->facts.id) == 0;
-  /* Refusals need not say whose they are; a success must. */
+  /* A refusal may omit the id of the request; a success may not. */
   return head->status >= 300;
 }
 
-/* On a kept connection, an answer that names no request may be a late one to the call before: it
- * promises nothing of this one. */
+/* On a reused connection, an answer without a request id may be a late answer to the previous call,
+ * so it does not show that this request was refused. */
 static bool
 is_refusal (const struct forward_job *job,
             const struct h1_head *head,
@@ -293,7 +296,7 @@
   for (uint32_t i = 0; i < head->n_fields; i++)
     if (!h1_is_hop_by_hop (head, head->fields[i].name))
       h1_write_field (&job->fields, head->fields[i].name, head->fields[i].value);
-  /* The length that GET would have: there is no body of ours to measure. */
+  /* The length that GET would have: the answer to HEAD has no body to take it from. */
   if (job->call.no_body && head->has_length)
     h1_write_field (&job->fields, "Content-Length", h1_value (head, "content-length"));
 }
@@ -348,13 +351,13 @@
     }
   if (bytes_failed (&job->fields))
     {
-      abandon_attempt (job, "answer could not be kept", FORWARD_BROKEN, now);
+      abandon_attempt (job, "out of memory for the answer's header", FORWARD_BROKEN, now);
       return;
     }
   if (!job->stream.begun)
     begin_stream (job);
   if (!job_pass_events (job, data, length))
-    abandon_attempt (job, "events do not follow", FORWARD_BROKEN, now);
+    abandon_attempt (job, "event id out of order or event too large", FORWARD_BROKEN, now);
 }
 
 static void
@@ -372,7 +375,8 @@
   broke = call->handed && (end == H1_END_CUT || end == H1_END_RESET);
   if (broke)
     job_digest (job);
-  log_attempt (job, end == H1_END_WHOLE ? "answer could not be kept" : h1_end_text (end), now);
+  log_attempt (job, end == H1_END_WHOLE ? "answer too large or out of memory" : h1_end_text (end),
+               now);
   if (broke)
     job_note_break (job, end, now);
   release_target (job, true, now);
@@ -456,7 +460,8 @@
   if (job->n_tried < BALANCE_TRIED_MAX - 1)
     job->n_tried++;
   job->sends++;
-  /* Not by the client's id: another send of it, or of a client that uses one twice, counts too. */
+  /* Random, not the client's id: each retry, and each request of a client that uses an id twice,
+   * counts as a send of its own. */
   job->send_id = rng_u64 (&job->forward->rng);
   job->runs++;
   job->sent_at = now;
@@ -487,9 +492,9 @@
   attempt_failed (job, false, FORWARD_REFUSED, now);
 }
 
-/* No first byte in the usual time: the target may be dead. */
+/* The first-byte time-out passed: the target may be dead. */
 void
 job_lose_patience (struct forward_job *job, int64_t now)
 {
-  abandon_attempt (job, "no answer in the usual time", FORWARD_TIMEOUT, now);
+  abandon_attempt (job, "no first byte within the time-out", FORWARD_TIMEOUT, now);
 }
--- a/src/forward_budget.c
+++ b/src/forward_budget.c
@@ -1,12 +1,13 @@
-/* The budget for sending a request a second time, by pool.
+/* Retry budget of each pool: a token bucket.
  *
- * All entry hosts share it: each has an equal part of what is allowed at once, and earns more with
- * the requests that come to it. */
+ * The entry hosts share the limit.  Each has an equal part of the burst allowed at once, and gains
+ * tokens with the requests that it receives. */
 #include "forward_private.h"
 #include "text.h"
 #include <string.h>
 
-/* Of what is allowed, so much is used: windows slide, and hosts come and go. */
+/* Share of the allowed retries that is used.  The rest is a margin for sliding windows and a
+ * changing number of hosts. */
 #define BUDGET_SAFETY 0.6
 #define BUDGET_LEAST 2.0
 
--- a/src/forward_end.c
+++ b/src/forward_end.c
@@ -1,4 +1,4 @@
-/* How a request ends: served, refused as not run, failed. */
+/* The ends of a request: served, refused as not run, failed. */
 #include "forward_private.h"
 #include "log.h"
 #include <jansson.h>
@@ -43,7 +43,7 @@
              "took_us", (json_int_t) (now - job->arrived), "events", (int) job->stream.events);
 }
 
-/* An answer of our own.  The exchange stays with its client until the job is gone. */
+/* Sends an answer of this host, without a body.  The exchange is valid until the job is freed. */
 static void
 answer (struct forward_job *job, enum forward_reason reason, unsigned status, const char *fields)
 {
@@ -52,7 +52,7 @@
   job->exchange = NULL;
 }
 
-/* Nothing of the request runs or will run. */
+/* The request has not run and will not run. */
 void
 job_refuse (struct forward_job *job, enum forward_reason reason, double retry_after)
 {
@@ -64,7 +64,7 @@
   job_free (job);
 }
 
-/* It may have run: the status promises nothing. */
+/* The request may have run: the status does not say whether it did. */
 void
 job_fail (struct forward_job *job, enum forward_reason reason)
 {
@@ -91,7 +91,7 @@
     job_fail (job, reason);
 }
 
-/* The request is not one that the configuration allows. */
+/* The request is malformed or not allowed by the configuration. */
 void
 job_reject (struct forward_job *job, enum forward_reason reason, unsigned status)
 {
--- a/src/forward_place.c
+++ b/src/forward_place.c
@@ -1,14 +1,15 @@
-/* Where a stage should be made: each of its pieces fetches all its inputs, and each result goes to
- * the engine where no other stage needs it. */
+/* Placement of stages among failure domains.  Each piece of a stage fetches all inputs of the
+ * stage; a result that no other stage needs is fetched by the engine. */
 #include "forward_private.h"
 #include "text.h"
 #include <string.h>
 
-/* What crosses counts from so many bytes on: to wait for a target of one failure domain takes about
- * half a call, which is worth less than a few hundred kilobytes only. */
+/* Least transfer between failure domains, in bytes, for which a stage asks for a certain domain.
+ * Waiting for a target in one domain takes about half a call, which costs more than the transfer of
+ * a few hundred kilobytes. */
 #define CROSSING_LEAST 500000
 
-/* What lies in failure domains, and would cross to whoever reads it in another one. */
+/* Bytes held in, or needed by, each failure domain; they cross if the stage runs in another one. */
 struct places
 {
   struct balance_place at[BALANCE_PLACES_MAX];
@@ -32,7 +33,7 @@
   places->at[i].bytes += bytes;
 }
 
-/* The results of these stages, each read so many times. */
+/* Adds the results of these stages, each read `times` times. */
 static void
 add_results (const struct forward_job *job, uint32_t stages, uint32_t times, struct places *places)
 {
--- a/src/forward_private.h
+++ b/src/forward_private.h
@@ -1,4 +1,4 @@
-/* What the files of the forwarding path share. */
+/* Declarations shared by the forward_*.c files. */
 #ifndef FORWARD_PRIVATE_H
 #define FORWARD_PRIVATE_H
 
@@ -8,14 +8,14 @@
 
 #define FORWARD_POOLS_MAX 64
 
-/* Answers that are not streams are held whole up to this, in bytes, so that one that breaks off can
- * be asked for again where that is allowed. */
+/* Largest answer that is buffered, in bytes.  Answers other than streams are buffered completely,
+ * so that the request can be retried where that is allowed if the answer breaks off. */
 #define FORWARD_ANSWER_MAX (16u << 20)
 
-/* One event of a stream, in bytes: it is held until it is whole. */
+/* Largest event of a stream, in bytes.  An event is buffered until it is complete. */
 #define FORWARD_EVENT_MAX (1u << 20)
 
-/* Targets tried for one request at most, those that refused it included. */
+/* Most sends of one request, including those that a target refused. */
 #define FORWARD_SENDS_MAX 4
 
 /* name, text */
@@ -54,7 +54,7 @@
   STAGE_IDLE,
   STAGE_RUNNING,
   STAGE_DONE,
-  STAGE_FREED, /* done, and its results given back */
+  STAGE_FREED, /* done, and its results freed */
 };
 
 struct forward_job;
@@ -63,40 +63,40 @@
 struct forward_stage
 {
   struct work_order order;
-  struct work_booking booking; /* until it is ordered */
+  struct work_booking booking; /* until the stage is ordered */
   struct forward_job *job;
   enum stage_state state;
   char pool[ROUTING_NAME_SIZE];
   uint32_t pieces;
   int64_t begun;
-  int64_t fetched_at; /* its targets have its inputs by then; 0: not all are in a call */
-  bool let_go;        /* its results may be dropped where room is short */
-  int64_t expected;   /* time that it takes on an idle target */
-  int64_t tail;       /* expected from its end to the first byte of the answer */
+  int64_t fetched_at; /* its targets have its inputs by then; 0: not all pieces are in calls */
+  bool let_go;        /* its results may be evicted where memory is short */
+  int64_t expected;   /* duration on an idle target, in us */
+  int64_t tail;       /* expected time from its end to the answer's first byte, in us */
   struct stage_result *results;
 };
 
 struct retry_budget
 {
   char pool[ROUTING_NAME_SIZE];
-  double held; /* sends */
+  double held; /* retries left; fractions accumulate */
 };
 
-/* The event stream that the client is getting; it may go on over several attempts. */
+/* The event stream being sent to the client; it may continue over several attempts. */
 struct forward_stream
 {
-  bool begun;                       /* its head went to the client */
-  unsigned status;                  /* that the head told */
-  uint32_t events;                  /* that went to the client */
-  char last_event[DIALECT_ID_SIZE]; /* id of the newest event that has one; "" for none */
-  bool place_lost; /* an event without an id is newer: no other target can go on behind it */
+  bool begun;                       /* its head was sent to the client */
+  unsigned status;                  /* the status in that head */
+  uint32_t events;                  /* number sent to the client */
+  char last_event[DIALECT_ID_SIZE]; /* id of the newest event with an id; "" for none */
+  bool place_lost; /* the newest event has no id: no other target can resume after it */
 };
 
-/* What the client was told at the end of its request. */
+/* What the client had received at the end of its request. */
 struct forward_told
 {
-  unsigned status; /* 0: nothing */
-  bool whole;      /* that this is its complete answer */
+  unsigned status; /* 0: no answer */
+  bool whole;      /* the answer is complete */
 };
 
 /* One request. */
@@ -105,51 +105,51 @@
   struct forward *forward;
   struct h1_exchange *exchange;
   struct request_facts facts;
-  struct route route; /* a copy: routings come and go */
+  struct route route; /* a copy: the routing may be replaced while the request runs */
   char pool[ROUTING_NAME_SIZE];
   char organisation[ROUTING_NAME_SIZE];
   bool has_digest;
-  struct request_digest digest; /* by job_digest() */
-  bool is_try;                  /* let in although targets ended under it */
-  bool is_suspected;            /* when its last run broke, without that break */
-  bool is_counted;              /* its run, among those of a suspect */
-  uint64_t version;             /* of the routing that decided */
+  struct request_digest digest; /* set by job_digest() */
+  bool is_try;                  /* admitted as a trial although targets ended while running it */
+  bool is_suspected;            /* its last run broke, and it was a suspect even before that */
+  bool is_counted;              /* its current run is counted among the runs of a suspect */
+  uint64_t version;             /* of the routing that it was admitted under */
   int64_t arrived;
-  int64_t age;          /* at its arrival, since the client's first try */
-  int64_t deadline;     /* the client's or the route's, whichever is first */
-  int64_t give_up_at;   /* stage work that is not done by then is given up */
-  int64_t objective_at; /* an answer after it is late; counts from the client's first try */
+  int64_t age;          /* at its arrival, since the client's first try; us */
+  int64_t deadline;     /* the earlier one of the client's and the route's */
+  int64_t give_up_at;   /* stage work not done by then is abandoned */
+  int64_t objective_at; /* later answers are late; counted from the client's first try */
   struct timer timer;
-  struct timer fetch; /* results may be given back */
+  struct timer fetch; /* fires when inputs should have been fetched */
   struct balance_prompt prompt;
-  char near[ROUTING_NAME_SIZE]; /* the likely engine's failure domain; "" without stages */
-  uint64_t send_id;             /* names the newest send in news of engines */
+  char near[ROUTING_NAME_SIZE]; /* failure domain of the likely engine; "" without stages */
+  uint64_t send_id;             /* identifies the newest send in engine_news */
 
   /* Stages. */
   struct forward_stage stages[ROUTING_STAGES_MAX];
-  bool remade;  /* its stages were made a second time */
-  int64_t path; /* expected at its start, from there to the first byte */
+  bool remade;  /* its stages were run a second time */
+  int64_t path; /* expected time from the start of its stages to the first byte, in us */
   int64_t stages_done;
 
-  /* The attempt under way, and those before. */
+  /* The current attempt and the earlier ones. */
   struct h1_call call;
-  struct balance_target *target; /* NULL while none is asked */
+  struct balance_target *target; /* NULL while no attempt is under way */
   struct balance_target *tried[BALANCE_TRIED_MAX];
   uint32_t n_tried;
   uint32_t sends;
   uint32_t runs; /* sends that may have run */
   int64_t sent_at;
-  int64_t heard_at;   /* the newest sign of life of the target on this connection */
-  int64_t fetched_at; /* the target has the stages' results by then; 0 before a send */
-  int64_t first_at;   /* first byte of the answer, 0 while none */
+  int64_t heard_at;   /* the newest data from the target; the send before any */
+  int64_t fetched_at; /* when the target has fetched the stages' results; 0 before a send */
+  int64_t first_at;   /* when the first byte of the answer arrived; 0: not yet */
 
-  /* The answer of the attempt under way. */
+  /* The answer of the current attempt. */
   unsigned status;
   bool is_signed;
-  bool has_events; /* its type is that of an event stream */
+  bool has_events; /* its content type is that of an event stream */
   bool not_run;
   struct bytes fields;
-  struct bytes body; /* whole, or of a stream what is not a whole event yet */
+  struct bytes body; /* the complete body; of a stream only the incomplete last event */
 
   struct forward_stream stream;
   struct forward_job *prev;
@@ -161,7 +161,7 @@
   struct h1_handler handler;
   struct forward_config config;
   struct rng rng;
-  struct patience *patience; /* how old requests are */
+  struct patience *patience; /* estimates the age of requests */
   struct forward_job *jobs;
   uint32_t n_jobs;
   uint64_t arrivals;
@@ -177,22 +177,22 @@
 /* forward.c */
 void job_free (struct forward_job *job);
 
-/* forward_end.c: each ends the request; the job is gone after it. */
+/* forward_end.c: each of these ends the request and frees the job. */
 void job_refuse (struct forward_job *job, enum forward_reason reason, double retry_after);
 void job_fail (struct forward_job *job, enum forward_reason reason);
 
-/* Refuse where it has not run, else fail. */
+/* Refuses the request if it has not run, else fails it. */
 void job_give_up (struct forward_job *job, enum forward_reason reason, double retry_after);
 void job_reject (struct forward_job *job, enum forward_reason reason, unsigned status);
 
-/* The target's whole answer is here, and none of it went to the client yet. */
+/* Sends the target's complete answer, none of which was sent to the client yet. */
 void job_serve (struct forward_job *job);
 
-/* The stream that the client is getting is whole. */
+/* Ends the client's stream as complete. */
 void job_end_stream (struct forward_job *job);
 void job_log (const struct forward_job *job, enum forward_reason reason, struct forward_told told);
 
-/* Of a request that ends before its answer is whole. */
+/* For a request that ends before its answer is complete. */
 struct forward_told job_told_so_far (const struct forward_job *job);
 
 /* forward_attempt.c */
@@ -206,81 +206,83 @@
 void job_begin_stages (struct forward_job *job, int64_t now);
 void job_write_inputs (const struct forward_job *job, uint32_t stages, struct bytes *out);
 
-/* Make the stages again, as their results are gone; false when that was done already. */
+/* Runs the stages again because their results are lost; false if that was done before. */
 bool job_remake_stages (struct forward_job *job, int64_t now);
 
-/* Pieces of the stage that this request has; 0: it leaves the stage out. */
+/* Number of pieces that this request has in the stage; 0: the stage is skipped. */
 uint32_t job_pieces (const struct forward_job *job, uint32_t stage);
 
-/* The set of stages, those left out replaced by the ones that they would have needed. */
+/* The set of stages, with each skipped stage replaced by the stages that it depends on. */
 uint32_t job_through_left_out (const struct forward_job *job, uint32_t stages);
 
-/* Does the engine fetch this stage's results, and no later stage? */
+/* Whether the engine, rather than a later stage, fetches this stage's results. */
 bool job_is_read_by_engine (const struct forward_job *job, uint32_t stage);
 
 /* forward_result.c */
 bool job_is_made (const struct forward_job *job, uint32_t stage);
 
-/* Of a set of stages. */
+/* Whether all stages of a set are made. */
 bool job_all_made (const struct forward_job *job, uint32_t stages);
 
-/* Give back the results that nobody has still to fetch. */
+/* Frees the results that no stage or engine still has to fetch. */
 void job_give_back_used (struct forward_job *job, int64_t now);
 
-/* Withdraw what runs and give back all results. */
+/* Cancels the stages that run and frees all results. */
 void job_drop_stages (struct forward_job *job, int64_t now);
 
-/* Were results given back that another attempt would need? */
+/* Whether results were freed that another attempt would need. */
 bool job_lacks_results (const struct forward_job *job);
 
-/* The calls that read some results are sent: `fetched_at` takes the time at which they have them.
- */
+/* Called when the calls that read some results were sent: sets `fetched_at` to the time at which
+ * the results should have been fetched. */
 void job_inputs_taken (struct forward_job *job, int64_t *fetched_at, int64_t now);
 
 /* forward_place.c */
 
-/* The failure domain from which most would cross; "" where little does: a wait for a target there
- * would cost more. */
+/* The failure domain that avoids the most transfer between domains; "" where little would be
+ * transferred, as waiting for a target in one domain would cost more. */
 void job_choose_place (const struct forward_job *job, uint32_t stage, char out[ROUTING_NAME_SIZE]);
 
-/* Note for the choice of an engine where the results lie that it has to fetch. */
+/* Records in `job->prompt` which failure domains hold the results that the engine has to fetch. */
 void job_locate_results (struct forward_job *job);
 
 /* forward_stream.c */
 
-/* False: what comes is not the rest of the stream that the client has the beginning of. */
+/* False: the data do not continue the stream that the client has the beginning of, or an event is
+ * too large to buffer. */
 bool job_pass_events (struct forward_job *job, const char *data, size_t length);
 
-/* The id of the newest event that the client has; NULL: it has none. */
+/* The id of the newest event with an id that the client has; NULL: none. */
 const char *job_last_event (const struct forward_job *job);
 
-/* Has the stream's target begun an event that it did not finish? */
+/* Whether the target has sent the beginning of an event but not its end. */
 bool job_is_inside_event (const struct forward_job *job);
 
-/* forward_quarantine.c: requests that end the targets that run them */
+/* forward_quarantine.c */
 
-/* What it asks, wherever and however often it is sent; worked out when it is first asked for. */
+/* Digest of the request's content, the same for each send at any host; computed on first use. */
 const struct request_digest *job_digest (struct forward_job *job);
 
-/* May it go on to stages and targets?  Where not it is refused, and the job is gone. */
+/* Whether the request may go on to stages and targets.  If false, it was refused and the job
+ * freed. */
 bool job_is_let_in (struct forward_job *job, int64_t now);
 
-/* May it go to a target now?  Where not it is given up, and the job is gone. */
+/* Whether the request may be sent to a target now.  If false, it was given up and the job freed. */
 bool job_may_run (struct forward_job *job, int64_t now);
 
-/* Is a target to be chosen by what else runs there? */
+/* Whether to choose the target where the least else runs, as the request may crash it. */
 bool job_runs_apart (struct forward_job *job, int64_t now);
 void job_run_began (struct forward_job *job);
 void job_run_over (struct forward_job *job);
 
-/* The connection broke, or was given up, while the target may have been running it. */
+/* The connection broke, or was abandoned, while the target may have been running the request. */
 void job_note_break (struct forward_job *job, enum h1_end end, int64_t now);
 
-/* Targets ended under its stage work, one after the other: it is held, at all hosts, and given up;
- * the job is gone. */
+/* Targets ended one after the other while running its stage work: quarantines the request at all
+ * hosts, gives it up and frees the job. */
 void job_hold (struct forward_job *job, int64_t now);
 
-/* A target gave it a whole answer. */
+/* A target gave it a complete answer. */
 void job_note_whole (struct forward_job *job, int64_t now);
 
 /* forward_budget.c */
--- a/src/forward_quarantine.c
+++ b/src/forward_quarantine.c
@@ -1,12 +1,13 @@
-/* Requests that end the targets that run them: what this host lets in, sends and learns. */
+/* Requests that crash the targets that run them: what this host admits, sends and reports. */
 #include "forward_private.h"
 #include "text.h"
 
-/* A connection that says nothing for so long before it is reset was given up by this host's system:
- * its target ended at any moment since. */
+/* A connection that was silent for at least this long before its reset was timed out by this host's
+ * kernel: its target may have ended at any time since it was last heard. */
 #define SILENCE (2500 * USEC_PER_MSEC)
 
-/* Times to come back, in seconds: when it may have been cleared; when a run may be over. */
+/* Retry-After, in seconds.  HELD: the request may have been cleared by then.  SUSPECTED: the run
+ * that is under way may have ended. */
 #define HELD_RETRY_AFTER 60.0
 #define SUSPECTED_RETRY_AFTER 1.0
 
@@ -48,7 +49,7 @@
   return verdict != QUARANTINE_REFUSE && verdict != QUARANTINE_WAIT;
 }
 
-/* Its stages took a while: what was learnt meanwhile counts. */
+/* Judges the request again, as it may have become suspect while its stages ran. */
 bool
 job_may_run (struct forward_job *job, int64_t now)
 {
@@ -113,8 +114,9 @@
   quarantine_entry_broke (quarantine_of (job), job->target, &suspect, now);
 }
 
-/* The pool's owner has seen the ends and who shared the calls; here they need but names that no
- * incarnation has. */
+/* The pool's owner has seen the targets end and which requests shared their calls.  The ends
+ * recorded here are synthetic: random ids that no incarnation has, at times too far apart for one
+ * cause. */
 void
 job_hold (struct forward_job *job, int64_t now)
 {
--- a/src/forward_result.c
+++ b/src/forward_result.c
@@ -1,18 +1,19 @@
-/* The results of a request's stages: which are there, and until when they are kept.
+/* The results of a request's stages: which exist and how long they are kept.
  *
- * Load pattern: a burst.  Targets hold results of tens of requests at most, so that room, not time,
- * binds a pool, and calls go out half empty.  The targets that read a result fetch it as their
- * call's turn comes, not when they are through: kept for their whole call, or for the whole queue
- * of an engine, it takes its room two to three times as long.  So it is let go then, and its pool's
- * owner drops it where its maker is short of room; elsewhere it stays until it is not needed, as a
- * call that fails is made again from it.  Mean worth of fifty days with bursts 0.552 before, 0.593
- * with all results dropped at once (error 0.006), which cost 0.01 where room is ample. */
+ * Under a burst the memory for results limits a pool, not its compute time: targets hold the
+ * results of tens of requests at most, and calls are sent half empty.  The targets that read a
+ * result fetch it when their call begins, not when it ends.  Kept for the whole call, or for the
+ * whole queue of an engine, it would occupy memory two to three times as long.  So a result becomes
+ * evictable once it was fetched, and the pool's owner frees it if its maker is short of memory.
+ * Otherwise it is kept until it is no longer needed, since a failed call is retried with it.  Mean
+ * worth over 50 days with bursts: 0.552 without eviction, 0.593 (error 0.006) with all results
+ * freed once fetched, which cost 0.01 where memory is ample. */
 #include "container.h"
 #include "forward_private.h"
 
-/* From sending a call to its target until that has fetched the call's inputs: megabytes over ten
- * gigabits a second take a few milliseconds, the way and a late turn as much again.  Where a target
- * is later the results are made again: 0 to 7 of some 2,600 requests on days with bursts. */
+/* Time from sending a call until its target has fetched the call's inputs.  Megabytes at 10 Gbit/s
+ * take a few milliseconds; network latency and scheduling delay take as much again.  If a target is
+ * slower, the results are made again: 0 to 7 of about 2,600 requests on days with bursts. */
 #define FETCH_TIME (25 * USEC_PER_MSEC)
 
 bool
@@ -30,7 +31,7 @@
   return true;
 }
 
-/* Have the stage's targets fetched its inputs? */
+/* Whether the stage's targets have fetched its inputs. */
 static bool
 has_fetched (const struct forward_job *job, uint32_t number, int64_t now)
 {
@@ -72,8 +73,8 @@
   return users;
 }
 
-/* Results whose every user is made are not needed again, unless a later result goes missing, which
- * makes the whole chain anew. */
+/* A result is not needed again once all stages that read it are done: if a later result is lost,
+ * the whole chain runs again. */
 void
 job_give_back_used (struct forward_job *job, int64_t now)
 {
@@ -86,7 +87,7 @@
     }
 }
 
-/* Let go of the results that all who read them have fetched. */
+/* Marks the results as evictable that all their readers have fetched. */
 static void
 let_go_fetched (struct forward_job *job, int64_t now)
 {
@@ -129,7 +130,7 @@
   return false;
 }
 
-/* ---- when inputs were fetched ---- */
+/* ---- timer for the fetching of inputs ---- */
 
 static void
 arm_fetch (struct forward_job *job, int64_t at)
@@ -145,7 +146,7 @@
 {
   struct forward_job *job = CONTAINER_OF (timer, struct forward_job, fetch);
 
-  /* Its connection may still be being made. */
+  /* The connection may still be opening: the fetch has not begun. */
   if (job->target != NULL && !job->call.handed)
     job_inputs_taken (job, &job->fetched_at, now);
   let_go_fetched (job, now);
--- a/src/forward_stage.c
+++ b/src/forward_stage.c
@@ -1,5 +1,5 @@
-/* The stages of a request: ordered as soon as what they need is there, their results given back as
- * soon as nobody needs them. */
+/* The stages of a request: each is ordered when its inputs are ready, and its results are freed
+ * when they are no longer needed. */
 #include "container.h"
 #include "forward_private.h"
 #include "log.h"
@@ -8,22 +8,23 @@
 #include <string.h>
 #include <talloc.h>
 
-/* From the last result to the answer's first byte: results are fetched, and the prompt is read. The
- * time of reading where it is not known, and what fetching and the way take beside it. */
+/* Time from the last result to the answer's first byte: READING_TIME is the prefill of the prompt
+ * where no estimate exists, FETCHING_TIME the fetching of results and the network latency. */
 #define READING_TIME (160 * USEC_PER_MSEC)
 #define FETCHING_TIME (40 * USEC_PER_MSEC)
 
-/* A stage waits about so long for a target beside its own work. */
+/* Least queueing delay assumed for a stage, added to the duration of its work. */
 #define STAGE_WAIT (100 * USEC_PER_MSEC)
 
-/* A call's time and its queue vary by about so much. */
+/* Margin for the variation of call durations and queueing delays. */
 #define EARLY_MARGIN (100 * USEC_PER_MSEC)
 
-/* When stage targets may have caught up, in seconds: about two of their calls. */
+/* Retry-After, in seconds: the stage targets may have caught up after about two calls. */
 #define STAGE_RETRY_AFTER 0.5
 
-/* A request that is turned away comes back after at least this share of the time in which it could
- * still be in time, and not at all where that is less than so much. */
+/* The Retry-After of a shed request is at least RETURN_LEAST_SHARE of the longest delay after which
+ * it can still meet its objective.  Where that delay is RETURN_LEAST or less, the request is not
+ * shed. */
 #define RETURN_LEAST_SHARE 0.5
 #define RETURN_LEAST (150 * USEC_PER_MSEC)
 
@@ -42,7 +43,7 @@
   return false;
 }
 
-/* Later stages come after those that they need, so one pass from the end does. */
+/* The stages are in topological order, so one pass from the last to the first is enough. */
 static void
 plan_tails (struct forward_job *job, int64_t reading, int64_t now)
 {
@@ -63,7 +64,8 @@
     }
 }
 
-/* The routing is the one that `job->route` was copied from: its pools are told by their place. */
+/* `routing` must be the one that `job->route` was copied from, as stages refer to its pools by
+ * index. */
 enum status
 job_plan_stages (struct forward_job *job, const struct routing *routing)
 {
@@ -84,7 +86,7 @@
   return STATUS_OK;
 }
 
-/* The shortest time in which the answer can begin. */
+/* The shortest time to the answer's first byte. */
 static int64_t
 critical_path (const struct forward_job *job)
 {
@@ -100,7 +102,7 @@
   return longest;
 }
 
-/* A stage that the request leaves out stands for those that it would have needed. */
+/* Replaces each skipped stage by the stages that it depends on. */
 uint32_t
 job_through_left_out (const struct forward_job *job, uint32_t stages)
 {
@@ -137,21 +139,21 @@
 
 static void advance (struct forward_job *job, int64_t now);
 
-/* For so long its client may stay away, and the whole way still ends in time after it. */
+/* The longest delay of a retry after which the request can still meet its objective. */
 static int64_t
 time_to_return (const struct forward_job *job, int64_t now)
 {
   return job->objective_at - now - job->path;
 }
 
-/* Only its first try: one that is turned away a second time does not come again. */
+/* Only a first try is shed: a client that is refused a second time does not retry. */
 static bool
 may_turn_away (const struct forward_job *job, int64_t now)
 {
   return job->age == 0 && !job->remade && time_to_return (job, now) > RETURN_LEAST;
 }
 
-/* Spread, so that those turned away at one moment do not come back at one. */
+/* Sheds the request with a random delay, so that requests shed together do not return together. */
 static void
 turn_away (struct forward_job *job, int64_t now)
 {
@@ -211,14 +213,14 @@
 {
   struct forward_job *job = CONTAINER_OF (booking, struct forward_stage, booking)->job;
 
-  /* An answer that took long: there is no time left to come back. */
+  /* The refusal may come so late that no time is left for a retry. */
   if (may_turn_away (job, now))
     turn_away (job, now);
 }
 
 static const struct work_booking_ops booking_ops = { .refused = booking_refused };
 
-/* The stages that wait for others: their pools may be the full ones. */
+/* Books the stages that depend on others, as it may be their pools that are overloaded. */
 static void
 book_later_stages (struct forward_job *job, int64_t now)
 {
@@ -278,7 +280,7 @@
   bytes_clear (&inputs);
 }
 
-/* The longest way that is still to go without this stage. */
+/* The longest time to the answer's first byte over the other stages that are not done. */
 static int64_t
 rest_without (const struct forward_job *job, uint32_t stage, int64_t now)
 {
@@ -299,9 +301,9 @@
   return longest;
 }
 
-/* Results wait at their makers, whose room is small: a stage that only the model needs begins when
- * the rest of the way is not much longer than its own, so that its results lie for a fraction of a
- * second in place of the whole chain's time. */
+/* Results are held by their makers, whose memory is small.  A stage on which only the engine
+ * depends starts when the rest of the path is not much longer than its own, so that its results are
+ * held for a fraction of a second and not for the duration of the whole chain. */
 static bool
 is_early (const struct forward_job *job, uint32_t stage, int64_t now)
 {
@@ -329,7 +331,8 @@
   job_send (job, now);
 }
 
-/* A long prompt is read for seconds: its stages are due earlier than those of a short one. */
+/* Expected prefill time.  It is seconds for a long prompt, whose stages are therefore due earlier
+ * than those of a short one. */
 static int64_t
 expect_reading (const struct forward_job *job, const struct balance_target *likely, int64_t now)
 {
@@ -349,8 +352,8 @@
 
   job->prompt.n_places = 0;
   likely = balance_choose (job->forward->config.balance, job->pool, &job->prompt, NULL, 0, now);
-  /* All stages of a request are wanted in one failure domain, that of the engine which would run it
-   * now. */
+  /* All stages should run in one failure domain: that of the engine which would be chosen for the
+   * request now. */
   if (likely != NULL && job->near[0] == '\0')
     text_copy_cut (job->near, sizeof job->near, likely->domain);
   plan_tails (job, expect_reading (job, likely, now), now);
--- a/src/forward_stream.c
+++ b/src/forward_stream.c
@@ -1,13 +1,13 @@
-/* Event streams: whole events go to the client as they arrive.
+/* Event streams: complete events are sent to the client as they arrive.
  *
- * A target may break off, or end its answer, inside an event.  Only whole events are passed on, so
- * that a stream that goes on at another target continues behind the last one that the client has,
- * and one that cannot go on never ends in half an event. */
+ * A target may break off, or end its answer, inside an event.  Only complete events are passed on,
+ * so that a stream resumed at another target continues after the client's last event, and a stream
+ * that cannot be resumed never ends inside an event. */
 #include "forward_private.h"
 #include "text.h"
 #include <string.h>
 
-/* The length of the first whole event, its empty line included; 0 when there is none. */
+/* The length of the first complete event with its empty line; 0 if there is none. */
 static size_t
 event_length (const char *data, size_t length)
 {
@@ -23,7 +23,7 @@
   return 0;
 }
 
-/* Comments and empty lines belong to no event. */
+/* Whether the data hold a line of an event, that is, any but comments and empty lines. */
 static bool
 holds_event (const char *data, size_t length)
 {
@@ -65,8 +65,8 @@
   return strcmp (a, b);
 }
 
-/* May an event with this id come behind one with the id `last`?  Numbers increase; of other ids
- * only that they differ is known. */
+/* Whether an event with this id may follow one with the id `last`.  Numeric ids must increase;
+ * other ids only have to differ. */
 static bool
 comes_behind (const char *last, const char *id)
 {
@@ -83,8 +83,8 @@
   return job->facts.last_event[0] != '\0' ? job->facts.last_event : NULL;
 }
 
-/* The value of the event's last `id` field; false when it has none, or one that is too long to be
- * named to another target. */
+/* The value of the event's last `id` field; false if it has none, or one that is too long to be
+ * sent to another target. */
 static bool
 read_id (const char *event, size_t length, char out[DIALECT_ID_SIZE])
 {
@@ -112,8 +112,8 @@
   return found;
 }
 
-/* A target that begins again, or whose events go back, has made another text than the one that the
- * client has the beginning of. */
+/* False if the event's id does not follow the last one: a target that starts over, or whose ids go
+ * back, generates a different text from the one that the client has the beginning of. */
 static bool
 take_event (struct forward_job *job, const char *event, size_t length)
 {
