--- a/src/flow.c
+++ b/src/flow.c
@@ -1,4 +1,4 @@
-/* The request path: construction, and what its parts share. */
+/* Construction of the request path and functions shared by its files. */
 #include "flow_private.h"
 #include <talloc.h>
 
@@ -66,7 +66,7 @@
          && flow_cancel_init (flow);
 }
 
-/* The client would call into freed memory otherwise. */
+/* Closes all calls: the client would call into freed memory otherwise. */
 static int
 free_flow (struct flow *flow)
 {
--- a/src/flow.h
+++ b/src/flow.h
@@ -1,8 +1,8 @@
-/* The path of a request through an entry host, from the caller's exchange to its one outcome.
+/* Request handling on an entry host, from the caller's HTTP exchange to exactly one outcome.
  *
- * A state machine over its edges (HTTP exchange, HTTP client, claims, timers): it reads no clock
- * and does no I/O of its own, so that tests drive it with fakes on virtual time.  What happens to a
- * request is in docs/OPERATIONS.md, "Request outcomes". */
+ * An event-driven state machine.  HTTP server and client, claims and timers are interfaces; the
+ * module reads no clock and does no I/O itself, so that tests can run it with fakes on virtual
+ * time.  The outcomes are documented in docs/OPERATIONS.md, "Request outcomes". */
 #ifndef FLOW_H
 #define FLOW_H
 
@@ -21,12 +21,12 @@
 
 BEGIN_DECLS
 
-/* name, text: what a caller is told, never mixed */
+/* name, text: the outcome reported to the caller, exactly one per request */
 #define FLOW_OUTCOME_LIST(X)                                                                       \
   X (WHOLE, "whole")     /* the complete answer */                                                 \
   X (NOT_RUN, "not-run") /* nothing was sent to any target */                                      \
-  X (FAILED, "failed")   /* it ran and this is the failure */                                      \
-  X (UNKNOWN, "unknown") /* unrepeatable, claimed, and nobody knows whether it ran */
+  X (FAILED, "failed")   /* sent to a target, and failed */                                        \
+  X (UNKNOWN, "unknown") /* unrepeatable, and it cannot be determined whether it ran */
 
 enum flow_outcome
 {
@@ -52,7 +52,7 @@
   X (NOT_READY, "not-ready", 503, "no confirmed configuration is in force here yet")               \
   X (TARGET_FAILED, "target-failed", 503, "a target failed")                                       \
   X (TARGET_REFUSED, "target-refused", 503, "targets did not take the work")                       \
-  X (TARGET_WRONG, "target-wrong", 503, "a target's answer was not this request's or malformed")   \
+  X (TARGET_WRONG, "target-wrong", 503, "a target's answer was malformed or for another request")  \
   X (TARGET_TIMEOUT, "target-timeout", 503, "a target did not answer in time")                     \
   X (TARGET_BROKEN, "target-broken", 503, "the connection to a target failed")                     \
   X (TARGET_REJECTED, "target-rejected", 503, "a target found the request invalid")                \
@@ -66,7 +66,7 @@
   X (HOLDER_LOST, "holder-lost", 500, "the host that claimed it is gone: it may have run")         \
   X (REPLAYED, "replayed", 200, "the stored outcome of the first run")                             \
   X (ANSWER_NOT_KEPT, "answer-not-kept", 500, "it ran; its answer is too long to be kept")         \
-  X (ABORTED, "aborted", 503, "the host ended before the request did")                             \
+  X (ABORTED, "aborted", 503, "the host shut down before the request ended")                       \
   X (NO_MEMORY, "no-memory", 503, "out of memory")
 
 enum flow_reason
@@ -88,10 +88,10 @@
   struct dump *dump; /* NULL for none */
   struct access *access;
   const struct settings *settings;
-  const char *self; /* this host's name, part of the ids it makes */
-  uint64_t seed;    /* of those ids: fresh at every start of a process */
+  const char *self; /* this host's name, the prefix of generated request ids */
+  uint64_t seed;    /* for generated ids; must differ at every process start */
 
-  /* The wall clock in milliseconds for a claim's retention; NULL gives 0, "not known". */
+  /* Wall clock in milliseconds, for the retention of claims.  NULL: 0 is passed, "not known". */
   int64_t (*wall_clock_ms) (void);
 };
 
@@ -99,22 +99,22 @@
 
 struct flow;
 
-/* NULL when out of memory.  Free it before the client: it closes the calls that still run. */
+/* NULL when out of memory.  Free it before the client: its destructor closes open calls. */
 struct flow *flow_new (void *parent, const struct flow_config *config);
 
 /* The routes of POST /v1/pipelines/NAME/requests and POST /v1/services/NAME/requests, for
- * http_server_add_route(); they live as long as the flow. */
+ * http_server_add_route(); valid as long as the flow. */
 void flow_routes (struct flow *flow, struct http_route *out[FLOW_ROUTES]);
 
-/* Nothing in flight, not even a call whose caller has its answer already, nor a cancel to a target:
- * a host may go. */
+/* True when no request and no cancel call is in flight, including requests whose caller has been
+ * answered but whose call still runs: the host can shut down. */
 bool flow_idle (const struct flow *flow);
 
-/* When the last request came, also one that was refused; 0 before the first. */
+/* Arrival time of the last request, including refused ones; 0 before the first. */
 int64_t flow_last_arrival (const struct flow *flow);
 
-/* End every request now, for a shutdown past its bound: each gets the outcome that is true of it
- * and is logged by its id.  `why` goes into the log.  How many there were. */
+/* End every request now, for a shutdown that exceeds its time limit.  Each gets the outcome that
+ * applies to its state and is logged with its id and `why`.  Returns the number of requests. */
 uint32_t flow_abort_all (struct flow *flow, const char *why, int64_t now);
 
 const char *flow_outcome_text (enum flow_outcome outcome);
--- a/src/flow_answer.c
+++ b/src/flow_answer.c
@@ -1,4 +1,4 @@
-/* What callers read: JSON answers and SSE events. */
+/* Answers to callers: JSON bodies and SSE events. */
 #include "flow_private.h"
 #include <inttypes.h>
 #include <stdlib.h>
@@ -62,8 +62,8 @@
   return stages;
 }
 
-/* Names and ids seldom hold what JSON escapes; a library's string for each would be most of the
- * work of an answer. */
+/* Names and ids rarely need JSON escapes.  Building a JSON string object for each would be most of
+ * the cost of an answer. */
 static void
 append_text (struct bytes *out, const char *text)
 {
@@ -185,7 +185,7 @@
     }
 }
 
-/* The outcome of a stream is in its `end` event: the head goes out before it is known. */
+/* The outcome of a stream is in its `end` event, since the head is sent before it is known. */
 static void
 begin_stream (struct http_exchange *exchange, const char *id)
 {
@@ -215,7 +215,7 @@
 {
   struct fields fields;
 
-  /* No memory for the answer: a connection that breaks is the only honest one left. */
+  /* No memory for the answer: abort the connection, so that the caller sees a failure. */
   if (body == NULL)
     return exchange->ops->abort (exchange);
   if (!begun && (!stream || verdict->outcome != FLOW_WHOLE))
@@ -227,7 +227,7 @@
     }
   if (!begun)
     begin_stream (exchange, id);
-  /* Compact JSON has no line break, so one data line holds it. */
+  /* Compact JSON has no line breaks and fits one data line. */
   write_text (exchange, "event: end\ndata: ");
   exchange->ops->write (exchange, body, length);
   write_text (exchange, "\n\n");
--- a/src/flow_arrive.c
+++ b/src/flow_arrive.c
@@ -1,4 +1,4 @@
-/* The start of a request: read, put into its table, claimed where it is unrepeatable, admitted. */
+/* Arrival of a request: parsed, added to the table, claimed if unrepeatable, admitted. */
 #include "flow_private.h"
 #include "text.h"
 #include <sodium.h>
@@ -49,10 +49,10 @@
   flow_answer_invalid (exchange, &error);
 }
 
-/* Another request in flight here with the same organisation and id.  Only for unrepeatable ones:
- * asking the claims would do, but a second take by the same host could not be told from the first
- * when one of them is given back.
- * XXX: a walk over what is in flight, for unrepeatable arrivals only; an index is due when it shows
+/* Another unrepeatable request in flight on this host with the same organisation and id.  The
+ * claims would find it as well, but they cannot distinguish two claims of one host when one of them
+ * is released.
+ * XXX: linear in the requests in flight, for unrepeatable arrivals only; add an index when it shows
  * in a profile. */
 static const struct flow_request *
 find_twin (const struct flow *flow, const struct flow_request *request)
@@ -75,7 +75,7 @@
   snprintf (out, size, "%s-%016llx", flow->config.self, (unsigned long long) rng_u64 (&flow->rng));
 }
 
-/* The same id with another body, or for another pipeline, is another request. */
+/* The hash covers path and body: the same id with another body or pipeline is another request. */
 static void
 hash_body (const struct http_exchange *exchange, uint8_t out[CLAIM_HASH_SIZE])
 {
@@ -87,7 +87,7 @@
   crypto_generichash_final (&state, out, CLAIM_HASH_SIZE);
 }
 
-/* Tokens the last generation may make, as asked. */
+/* Maximum output tokens of the last generation, given the caller's limit (0 for none). */
 static uint32_t
 output_tokens (const struct pipeline_spec *spec, uint32_t asked)
 {
@@ -130,7 +130,7 @@
   };
 }
 
-/* What the request owns; false when out of memory. */
+/* Allocates what the request owns; false when out of memory. */
 static bool
 fill_memory (struct flow *flow,
              struct flow_request *request,
@@ -176,8 +176,8 @@
   request->phase = FLOW_PHASE_CLAIMING;
   request->stream = caller->stream && !caller->service;
   request->max_tokens = caller->max_tokens;
-  /* Attempt numbers start anywhere: two organisations may use the same request id, and a cancel
-   * names only id and attempt, so small numbers would let one end the other's call. */
+  /* Attempt numbers start at a random value: two organisations may use the same request id, and a
+   * cancel carries only id and attempt, so with small numbers one could cancel the other's call. */
   request->n_attempts = (uint32_t) rng_below (&flow->rng, 1u << 24) << 6;
   text_copy (request->id, sizeof request->id, caller->id);
   if (!fill_memory (flow, request, spec, caller, exchange))
@@ -231,8 +231,8 @@
   flow_stage_begin (request, now);
 }
 
-/* An unrepeatable request asks for its claim before anything can refuse it: it may be a resend, and
- * "not-run" from a host that is full, or knows no target, would be a lie about the first run. */
+/* An unrepeatable request is claimed before any check that can refuse it: it may be a resend, and
+ * "not-run" from a host that is full or has no target could be wrong about the first run. */
 static void
 claim_first (struct flow_request *request, int64_t now)
 {
@@ -249,7 +249,7 @@
     flow_end (request, &verdict, now);
 }
 
-/* The request is in its table. */
+/* Called with the request in the table. */
 static void
 start_request (struct flow_request *request, int64_t now)
 {
--- a/src/flow_attempt.c
+++ b/src/flow_attempt.c
@@ -1,7 +1,7 @@
-/* One call to a target: its start and its end.  flow_reply.c checks its answer.
+/* Start and end of one call to a target.  flow_reply.c validates its answer.
  *
- * The call's events come to an entry of the attempts table.  An attempt that ended has closed its
- * call and left the table, so that a late or doubled answer finds nothing to change. */
+ * The call's events are delivered to an entry of the attempts table.  When an attempt ends, its
+ * call is closed and the entry removed, so that a late or duplicate answer has no effect. */
 #include "flow_private.h"
 #include "text.h"
 #include <inttypes.h>
@@ -108,7 +108,7 @@
   decide_ended (request->flow->config.decide, &request->decide, &result, now);
 }
 
-/* A call that may have had its effect and whose end was not told. */
+/* True for a call that may have had an effect and whose result is not known. */
 static bool
 puts_in_doubt (const struct flow_request *request,
                const struct flow_attempt *attempt,
@@ -161,7 +161,7 @@
   if (attempt->call != NULL)
     {
       close_call (attempt);
-      /* An unrepeatable call is left alone: what it did cannot be taken back by ending it. */
+      /* No cancel for an unrepeatable call: cancelling cannot undo its effect. */
       if (request->decide.repeatable)
         flow_cancel_send (attempt->flow, attempt->address, request->id, attempt->number, now);
     }
@@ -229,7 +229,8 @@
 
   int64_t first = choice->first_by < choice->give_up ? choice->first_by : choice->give_up;
 
-  /* Giving up on an unrepeatable call would only make its outcome unknown: it has its window. */
+  /* Ending an unrepeatable call early would only make its outcome unknown: it runs until the
+   * deadline. */
   if (request->decide.repeatable && first < request->decide.deadline)
     timer_arm (timers, &attempt->give_up, first);
   if (request->decide.repeatable && !attempt->is_hedge
@@ -237,8 +238,8 @@
     timer_arm (timers, &attempt->hedge, choice->hedge_at);
 }
 
-/* Failure: an engine takes a call and never answers.  Nothing came by `first_by`, so the attempt
- * ended; one that gives something is alive and has until `give_up`. */
+/* An engine may accept a call and never answer, so an attempt without data by `first_by` ends.
+ * After the first data it has until `give_up`. */
 void
 flow_attempt_gives (struct flow_attempt *attempt, int64_t now)
 {
@@ -361,7 +362,7 @@
   struct bytes body;
 
   if (target == NULL)
-    return status_fail (STATUS_NOT_FOUND, "the target is gone");
+    return status_fail (STATUS_NOT_FOUND, "target is no longer registered");
   attempt = add_attempt (request, choice, target, now);
   if (attempt == NULL)
     return status_fail (STATUS_LIMIT, "too many attempts in flight");
--- a/src/flow_cancel.c
+++ b/src/flow_cancel.c
@@ -1,4 +1,5 @@
-/* POST /v1/cancel: a closed connection alone does not reach every engine behind its HTTP front. */
+/* POST /v1/cancel to targets: behind an HTTP front end, not every engine is stopped by a closed
+ * connection. */
 #include "flow_private.h"
 #include <stdlib.h>
 #include <string.h>
@@ -117,7 +118,8 @@
   char *body;
   bool sent;
 
-  /* Over the bound the closed connection must do: a cancel saves work, no promise rests on it. */
+  /* Over the limit only the connection is closed: a cancel saves work, correctness does not depend
+   * on it. */
   if (cancel == NULL)
     return flow_count_cancel (flow, false);
   *cancel = (struct flow_cancel){ .sink.ops = &sink_ops, .flow = flow, .self = handle };
--- a/src/flow_claim.c
+++ b/src/flow_claim.c
@@ -1,5 +1,5 @@
-/* Claims on unrepeatable requests: taken before the first byte to any target, settled with the
- * outcome, given back when nothing was sent. */
+/* Claims on unrepeatable requests: acquired before the first byte is sent to a target, settled with
+ * the outcome, released when nothing was sent. */
 #include "flow_private.h"
 #include <string.h>
 #include <talloc.h>
@@ -18,7 +18,7 @@
   flow_end (request, &verdict, now);
 }
 
-/* The first run's outcome, byte for byte; the work is not done again. */
+/* Answers with the stored outcome of the first run, byte for byte, without running it again. */
 static void
 replay (struct flow_request *request, const struct claim_answer *answer, int64_t now)
 {
@@ -48,8 +48,8 @@
 granted (struct flow_request *request, int64_t now)
 {
   request->claimed = true;
-  /* Nothing was sent: a caller that went away, or whose window closed, may send the request again,
-   * so the claim goes back. */
+  /* The caller disconnected or the deadline passed, and nothing was sent: the caller may resend the
+   * request, so the claim is released. */
   if (request->refused || request->exchange == NULL)
     return flow_end_for (request, FLOW_REASON_CALLER_GONE, 0, now);
   flow_admit (request, now);
@@ -68,8 +68,8 @@
     case CLAIM_SETTLED:
       return replay (request, answer, now);
     case CLAIM_IN_FLIGHT:
-      /* This host did not run it, but "not-run" would invite the caller to send it elsewhere while
-       * its holder may well be running it. */
+      /* Not run by this host, but "not-run" would allow the caller to send it elsewhere while the
+       * claim's holder may be running it. */
       return end_unclaimed (request, FLOW_UNKNOWN, FLOW_REASON_IN_FLIGHT, FLOW_RETRY_AFTER, now);
     case CLAIM_MISMATCH:
       return end_unclaimed (request, FLOW_NOT_RUN, FLOW_REASON_MISMATCH, 0, now);
@@ -78,8 +78,8 @@
     case CLAIM_FULL:
       return end_unclaimed (request, FLOW_NOT_RUN, FLOW_REASON_CLAIMS_FULL, FLOW_RETRY_AFTER, now);
     case CLAIM_UNREACHABLE:
-      /* Nothing was sent from here, but without a quorum nobody can tell whether this is a resend
-       * of a request that ran. */
+      /* This host sent nothing, but without a quorum it is not known whether this is a resend of a
+       * request that ran. */
       return end_unclaimed (request, FLOW_UNKNOWN, FLOW_REASON_CLAIMS_UNREACHABLE, FLOW_RETRY_AFTER,
                             now);
     case CLAIM_UNKNOWN:
@@ -91,8 +91,8 @@
 
 static const struct claim_waiter_ops waiter_ops = { .answered = answered };
 
-/* The claims know best what to say when time runs out (in flight elsewhere, no quorum), so theirs
- * comes a little before the window closes. */
+/* Earlier than the request's deadline, so that the claims' own answer (in flight elsewhere, no
+ * quorum) still reaches the caller. */
 static int64_t
 claim_deadline (const struct flow_request *request, int64_t now)
 {
@@ -141,9 +141,9 @@
 
 static const struct claim_waiter_ops stored_ops = { .answered = stored };
 
-/* Until the outcome is in the log, the loss of this host would make a resend's answer "unknown",
- * also where the caller had heard the whole answer.  So the caller hears it when it is stored, but
- * at the end of its window at the latest. */
+/* The answer is held until the outcome is in the claim log, for FLOW_STORE_TIME and until the
+ * deadline at most.  If this host failed before that, a resend would get "unknown" although the
+ * caller had received the complete answer. */
 static struct claim_waiter *
 wait_for_store (struct flow_request *request, int64_t now)
 {
@@ -175,8 +175,8 @@
                               bytes_failed (body) ? 0 : body->length, waiter, now);
 }
 
-/* A stored outcome must never pass a part of an answer for the whole: an answer over the bound is
- * stored as a failure that says it ran. */
+/* A truncated answer must not be replayed as complete: an answer over the size limit is stored as a
+ * failure whose reason says that the request ran. */
 static enum status
 settle_too_long (struct flow_request *request,
                  const struct claim_key *key,
--- a/src/flow_count.c
+++ b/src/flow_count.c
@@ -1,11 +1,11 @@
-/* The request path's counters, looked up once and kept. */
+/* Counters of the request path, looked up once and cached. */
 #include "flow_private.h"
 #include <inttypes.h>
 #include <talloc.h>
 
 #define LABELS_SIZE 256
 
-/* Of one stage of one pipeline. */
+/* Counters of one stage of one pipeline. */
 struct stage_counts
 {
   struct counter *ends[DECIDE_END_COUNT];
@@ -19,7 +19,7 @@
 
 struct pipeline_counts
 {
-  struct handle pipeline; /* whose they are: a slot is used again by another pipeline */
+  struct handle pipeline; /* owner of the counters: table slots are reused by other pipelines */
   struct stage_counts *stages[RESOURCE_STAGES_MAX];
 };
 
