--- a/src/flow_dump.c
+++ b/src/flow_dump.c
@@ -1,4 +1,4 @@
-/* The dump of requests and attempts in flight. */
+/* JSON dump of requests and attempts in flight. */
 #include "flow_private.h"
 
 static const char *const phases[] = {
--- a/src/flow_end.c
+++ b/src/flow_end.c
@@ -1,4 +1,4 @@
-/* The end of a request: its outcome decided, told, settled, logged. */
+/* End of a request: its outcome is determined, reported, settled and logged. */
 #include "flow_private.h"
 #include <talloc.h>
 
@@ -90,7 +90,7 @@
     decide_finish (flow->config.decide, &request->decide, request->verdict.outcome == FLOW_WHOLE,
                    now);
   request->admitted = false;
-  /* The claims still hold the waiter: the entry stays, without its caller, until they answer. */
+  /* While the claims hold the waiter, the entry stays in the table without its caller. */
   request->refused = true;
   if (!request->awaits_claim)
     forget (request);
@@ -99,7 +99,7 @@
 void
 flow_end (struct flow_request *request, const struct flow_verdict *verdict, int64_t now)
 {
-  /* Its outcome is known and only waited to be stored: nothing else can be true of it. */
+  /* The outcome is already known and only being stored; the new verdict does not apply. */
   if (request->phase == FLOW_PHASE_STORING)
     {
       flow_claim_forget (request);
@@ -119,8 +119,8 @@
     flow_finish (request, now);
 }
 
-/* What is true of a request that ends without its answer.  An unrepeatable one is in doubt once a
- * call that may have had its effect was sent and did not say how it ended. */
+/* Outcome of a request that ends without a complete answer.  An unrepeatable one is in doubt when a
+ * call that may have had an effect was sent and its result is not known. */
 static enum flow_outcome
 outcome_without_answer (const struct flow_request *request)
 {
@@ -137,7 +137,7 @@
 {
   struct flow_verdict verdict = { .reason = reason, .retry_after = retry_after };
 
-  /* Closing a call may put the request in doubt, so it comes before the outcome. */
+  /* Closing a call may put the request in doubt, so it is done before the outcome is determined. */
   flow_attempts_cancel (request, now);
   verdict.outcome = outcome_without_answer (request);
   flow_end (request, &verdict, now);
@@ -156,9 +156,9 @@
   return false;
 }
 
-/* The window of an unrepeatable request closed while its call runs.  The caller hears "unknown" at
- * once; closing the call would leave it unknown for good, so it goes on for a while and its real
- * outcome is what a resend gets. */
+/* The deadline of an unrepeatable request passed while its call runs.  The caller gets "unknown" at
+ * once.  Closing the call would make that final, so it continues for FLOW_SETTLE_GRACE and a resend
+ * gets its actual outcome. */
 static void
 go_on_settling (struct flow_request *request, int64_t now)
 {
@@ -172,8 +172,8 @@
   flow_tell (request, &verdict, now);
 }
 
-/* The window closed and the claims have not answered.  This host sent nothing, but the request may
- * be a resend whose first run is in flight elsewhere: only "unknown" is surely true. */
+/* The deadline passed before the claims answered.  This host sent nothing, but the request may be a
+ * resend whose first run is in flight elsewhere, so the outcome is "unknown". */
 static void
 end_unclaimed (struct flow_request *request, int64_t now)
 {
@@ -199,8 +199,8 @@
     flow_end_for (request, FLOW_REASON_WINDOW, 0, now);
 }
 
-/* Work for a caller that is gone is worth nothing, but an unrepeatable call that was sent has its
- * effect: it goes on, so that a resend can be told how it ended. */
+/* A request whose caller has disconnected is ended, except an unrepeatable one that was sent: it
+ * may have its effect regardless, so it continues and a resend gets its outcome. */
 static void
 go_on_without_caller (struct flow_request *request, enum flow_reason reason, int64_t now)
 {
--- a/src/flow_reply.c
+++ b/src/flow_reply.c
@@ -1,4 +1,4 @@
-/* The events of one call: only a whole answer to this very attempt counts. */
+/* Events of one call: only a complete answer to this attempt is accepted. */
 #include "flow_private.h"
 #include <inttypes.h>
 #include <string.h>
@@ -19,8 +19,9 @@
   return NULL;
 }
 
-/* Is the answer to this very attempt?  An answer to another request, or to an attempt that was
- * given up, must not be delivered: a target, or a proxy before it, may mix answers up. */
+/* True when the answer carries this attempt's request id and number.  A target, or a proxy in front
+ * of it, may mix up answers; one to another request or to an abandoned attempt must not be
+ * delivered. */
 static bool
 is_ours (const struct flow_attempt *attempt,
          const struct flow_request *request,
@@ -36,7 +37,7 @@
          && strcmp (number, expected) == 0;
 }
 
-/* The request itself is at fault: every target would say the same. */
+/* The request itself is invalid: every target would reject it. */
 static bool
 is_rejection (int code)
 {
@@ -62,9 +63,8 @@
   attempt->code = code;
   if (code == 200)
     return;
-  /* The target says so itself, about this attempt: it is the one answer after a sent byte that
-   * proves the work was not taken.  The byte was sent all the same, so the caller never hears
-   * "not-run" of it. */
+  /* After a byte was sent, only the target's own statement about this attempt proves that the work
+   * was not started.  The byte still counts as sent, so the caller never gets "not-run" for it. */
   if (code == 503 && not_run != NULL && strcmp (not_run, "yes") == 0)
     return flow_attempt_fail (attempt, DECIDE_END_REFUSED, true, false, now);
   flow_attempt_fail (attempt, DECIDE_END_FAILED, false, is_rejection (code), now);
@@ -82,7 +82,7 @@
   bytes_append (&attempt->body, data, length);
 }
 
-/* A service's answer is passed on as it came. */
+/* Keeps a service's answer unchanged, after a syntax check. */
 static enum status
 take_raw (struct flow_request *request, const struct bytes *body)
 {
--- a/src/flow_stage.c
+++ b/src/flow_stage.c
@@ -1,5 +1,5 @@
-/* Stage after stage: whom to ask, when to ask again, when to give up.  The decisions are
- * decide.c's; this is their order. */
+/* Sequence of stages: target selection, retries, hedges and early failure.  decide.c makes the
+ * decisions; this file applies them in order. */
 #include "flow_private.h"
 #include <string.h>
 #include <xxhash.h>
@@ -24,7 +24,7 @@
   return stage_tokens (flow_stage_spec (request), &request->data);
 }
 
-/* The hashes by which engines name the blocks of a prompt: see docs/INTERFACES.md. */
+/* Computes the hashes by which engines identify the blocks of a prompt, see docs/INTERFACES.md. */
 static void
 hash_prefix (struct flow_request *request)
 {
@@ -47,8 +47,8 @@
 static void
 add_tried (struct flow_request *request, struct handle target)
 {
-  /* Over the bound the oldest failure is forgotten: a target that failed long ago may be asked
-   * again rather than the one that just did. */
+  /* When full, drop the oldest entry: the target that failed longest ago becomes eligible again
+   * before one that failed recently. */
   if (request->n_tried == DECIDE_TRIED_MAX)
     memmove (request->tried, request->tried + 1, --request->n_tried * sizeof *request->tried);
   request->tried[request->n_tried++] = target;
@@ -70,20 +70,22 @@
 bool
 flow_may_send_again (const struct flow_request *request, bool certainly_not_run)
 {
-  /* An unrepeatable request runs at most once.  Its next attempt may start only when the last one
-   * surely did not: no byte of it left, or its target answered, with our id and attempt, that it
-   * did not take the work.  Nothing is inferred from a closed connection or from silence.
+  /* An unrepeatable request runs at most once.  Another attempt may start only when the last one
+   * certainly did not run: no byte of it was sent, or its target answered, with our id and attempt
+   * number, that it did not start the work.  Nothing is inferred from a closed connection or a
+   * missing answer.
    *
-   * The rule is the same for stages that only read (encode, retrieve, rerank), though running
-   * those twice would be harmless: a pipeline's owner who marks it unrepeatable may have put a
-   * stage with an effect behind any of the interfaces, and one rule is easier to rely on. */
+   * The rule also covers read-only stages (encode, retrieve, rerank), which could safely run twice:
+   * the owner of an unrepeatable pipeline may have put a stage with an effect behind any of the
+   * interfaces, and a single rule is easier to rely on. */
   return request->decide.repeatable || certainly_not_run;
 }
 
-/* ---- looking for a target ---- */
+/* ---- target selection ---- */
 
-/* No target now.  Work already done would be lost by giving up at once, so it waits a little for
- * one to be back; a request that has done nothing yet is refused while that costs nothing. */
+/* No target is usable.  A request that has work done waits up to FLOW_WAITS_MAX times for a target
+ * to come back, since failing would lose that work; one that has sent nothing is refused at once,
+ * which costs nothing. */
 static void
 no_target (struct flow_request *request, enum decide_reason reason, int64_t now)
 {
@@ -106,9 +108,9 @@
     flow_end_for (request, FLOW_REASON_NO_TARGET, FLOW_RETRY_AFTER, now);
 }
 
-/* An attempt that was certainly not run cost no target any work, so it draws on no budget: one full
- * target would otherwise use up the retries that failures need, and fail requests that its
- * neighbour has room for.  The bound on attempts holds all the same. */
+/* An attempt that certainly did not run used no capacity, so its retry is not charged to the retry
+ * budget: a single full target would otherwise exhaust the retries needed for failures, and fail
+ * requests that other targets have room for.  The limit on attempts still applies. */
 static enum decide_reason
 ask_retry (const struct flow_request *request, uint32_t attempts, bool not_run, int64_t now)
 {
@@ -157,7 +159,7 @@
   while (take_retry (request, DECIDE_END_BROKEN, true, now));
 }
 
-/* ---- the life of a stage ---- */
+/* ---- start and end of a stage ---- */
 
 void
 flow_stage_begin (struct flow_request *request, int64_t now)
@@ -189,7 +191,7 @@
   flow_stage_record (request)->ended = now;
   if (request->decide.stage + 1 == request->spec->n_stages)
     return flow_end (request, &verdict, now);
-  /* Its caller was told "unknown" when the window closed: nothing more is worth running. */
+  /* The caller got "unknown" at the deadline, so the remaining stages are not run. */
   if (request->phase == FLOW_PHASE_SETTLING)
     return flow_end_for (request, FLOW_REASON_WINDOW, 0, now);
   request->decide.stage++;
@@ -219,8 +221,8 @@
   struct handle tried[DECIDE_TRIED_MAX + 1];
   struct decide_choice choice;
 
-  /* A second copy of unrepeatable work is never sent.  A generation that gives pieces is alive:
-   * a second one would start from nothing. */
+  /* Unrepeatable work is never sent twice.  An attempt that has returned data makes progress, while
+   * a hedge would start from the beginning. */
   if (!request->decide.repeatable || slow->first_data > 0 || request->phase != FLOW_PHASE_RUNNING
       || !handle_is_none (request->live[0]) == !handle_is_none (request->live[1]))
     return;
@@ -239,7 +241,7 @@
   flow_count_hedge (request->flow);
 }
 
-/* ---- is there still a way to end in time? ---- */
+/* ---- periodic check whether the deadline can be met ---- */
 
 void
 flow_check_arm (struct flow_request *request, int64_t now)
