--- a/tests/flow_harness.h
+++ b/tests/flow_harness.h
@@ -1,4 +1,4 @@
-// The request path on virtual time, between fakes at its edges: what a test arranges and asks.
+// Test fixture: the request path on virtual time, with the fakes of flow_fakes.h.
 #ifndef FLOW_HARNESS_H
 #define FLOW_HARNESS_H
 
@@ -213,7 +213,7 @@
     return *client.calls.back ();
   }
 
-  // Settled outcomes are in the log now.
+  // Reports all settled outcomes as stored in the claim log.
   void
   store ()
   {
@@ -298,7 +298,7 @@
              "\"completion_tokens\": 2, \"cached_tokens\": 4}}\n\ndata: [DONE]\n\n";
   }
 
-  // Answer any stage's call as a target would; a generation says "ab".
+  // Answers a call of any stage successfully; the text of a generation is "ab".
   void
   answer_well (fake_call &c)
   {
@@ -345,7 +345,8 @@
       waiter->ops->answered (waiter, &answer, now);
   }
 
-  // Teach the decisions that answers take a millisecond, and fill the retry and hedge budgets.
+  // Runs 100 requests, so that decide.c expects answers after 1 ms and the retry and hedge budgets
+  // are full.
   void
   warm_up (const std::string &path, const std::string &body)
   {
@@ -382,7 +383,7 @@
     return counter_get (counters, name, "", labels)->value;
   }
 
-  // Every exchange has exactly one end, and nothing is left behind.
+  // No exchange was answered twice, and no request, call or load count is left.
   void
   expect_all_over ()
   {
--- a/tests/unit_flow.cc
+++ b/tests/unit_flow.cc
@@ -1,4 +1,4 @@
-// The request path, whole answers and refusals: stage after stage, outcome by outcome.
+// Request path: complete answers over several stages, refusals, and the outcome of each.
 #include "flow_harness.h"
 #include <jansson.h>
 
@@ -11,7 +11,7 @@
 {
 };
 
-TEST_F (Flow, FourStagesGiveOneWholeAnswer)
+TEST_F (Flow, FourStagesGiveOneCompleteAnswer)
 {
   auto *x = send ("/v1/pipelines/claims/requests", R"({"input": "q", "max_tokens": 8})",
                   { { "x-request-id", "r1" } });
@@ -41,9 +41,9 @@
   expect_all_over ();
 }
 
-// A service's body and answer must pass byte for byte: numbers that a JSON library would write
-// differently, and spaces, come out as they went in.
-TEST_F (Flow, AServicePassesBytesAsTheyCame)
+// Parsing and rewriting a service's JSON would change its numbers and spaces: body and answer must
+// be forwarded byte for byte.
+TEST_F (Flow, AServiceForwardsBytesUnchanged)
 {
   auto *x = send ("/v1/services/orders/requests", R"({"price": 1.10,  "n": 12345678901234567890})");
 
@@ -117,8 +117,8 @@
   expect_all_over ();
 }
 
-// Nobody can be asked: every target's lease has run out.  Nothing left this host, so the caller may
-// send the request again anywhere.
+// The leases of all targets have expired.  Nothing was sent, so the outcome is "not-run" and the
+// caller may resend the request to any host.
 TEST_F (Flow, NoTargetIsNotRun)
 {
   uint32_t cursor = 0;
@@ -133,9 +133,9 @@
   expect_all_over ();
 }
 
-// A caller gets "504 failed" when its window closes: the target hangs, the timer ends the call,
-// and the target is told so that it stops.
-TEST_F (Flow, AClosedWindowIsFailedAndTheTargetIsTold)
+// The target hangs until the deadline: the caller gets 504 with the outcome "failed", the call is
+// closed, and the target gets a cancel so that it stops.
+TEST_F (Flow, APassedDeadlineIsFailedAndTheTargetGetsACancel)
 {
   auto *x = send_draft ({ { "x-deadline-ms", "500" } });
 
@@ -148,9 +148,9 @@
   expect_all_over ();
 }
 
-// The caller closes its connection while the second of four stages runs: its work is worth
-// nothing now, so the call is closed and the target told at once.
-TEST_F (Flow, ACallerThatGoesAwayEndsRepeatableWork)
+// The caller disconnects while the second of four stages runs: the call is closed and the target
+// gets a cancel at once, since nobody reads the answer.
+TEST_F (Flow, ACallerThatDisconnectsEndsRepeatableWork)
 {
   auto *x = send ("/v1/pipelines/claims/requests", R"({"input": "q"})");
 
@@ -163,8 +163,8 @@
   expect_all_over ();
 }
 
-// A shutdown past its bound: each request is answered with what is true of it and none stays.
-TEST_F (Flow, AbortAnswersEveryRequestTruly)
+// A shutdown exceeds its time limit: every request is ended with the outcome of its state.
+TEST_F (Flow, AbortAnswersEveryRequestWithItsOutcome)
 {
   auto *draft = send_draft ();
   auto *order = send_order ();
--- a/tests/unit_flow_claim.cc
+++ b/tests/unit_flow_claim.cc
@@ -1,4 +1,4 @@
-// Unrepeatable requests: at most one run, whatever is lost on the way, and a true outcome.
+// Unrepeatable requests: at most one run despite failures and resends, and the correct outcome.
 #include "flow_harness.h"
 
 namespace
@@ -9,7 +9,7 @@
 class FlowClaim : public flow_harness::world
 {
 protected:
-  // The claim of "order-1" was settled so.
+  // The settlement of the claim of "order-1"; outcome "none" when it was not settled.
   fake_claims::settled
   settled ()
   {
@@ -63,8 +63,8 @@
   expect_all_over ();
 }
 
-// A dealer's first answer was lost on its way, and the dealer sends the order again.  It gets the
-// stored answer, marked as a replay, and no second order is made.
+// The first answer was lost and the caller resends the order.  It gets the stored answer, marked as
+// replayed, and the order is not run again.
 TEST_F (FlowClaim, AResendGetsTheStoredAnswer)
 {
   auto *x = send_order ();
@@ -78,10 +78,10 @@
   expect_all_over ();
 }
 
-// A dealer's order ran through a host that is gone.  The resend reaches one that leaves, knows no
-// target and could not admit anything.  "Not run" would be a lie that orders the goods twice: it
-// gets the stored answer.  A first order there is refused, and its claim is given back.
-TEST_F (FlowClaim, AResendIsAnsweredEvenWhereNothingCouldRun)
+// An order ran through a host that has failed.  The resend reaches a host that is shutting down and
+// has no usable target.  "not-run" would be wrong and cause a second order, so it gets the stored
+// answer.  A new order on that host is refused and its claim released.
+TEST_F (FlowClaim, AResendIsAnsweredByAHostThatAdmitsNothing)
 {
   uint32_t cursor = 0;
 
@@ -106,9 +106,9 @@
   expect_all_over ();
 }
 
-// A power cut takes the host right after it answered an order.  Had the outcome not been stored by
-// then, the resend would hear "unknown" of an order whose answer the dealer has seen.  So the
-// answer waits for the store, but not past a second: the outcome is true all the same.
+// A host loses power right after it answered an order.  If the outcome were not stored by then, a
+// resend would get "unknown" for an order whose answer the caller has.  So the answer waits until
+// the outcome is stored, for one second at most.
 TEST_F (FlowClaim, TheAnswerWaitsUntilTheOutcomeIsStored)
 {
   claims.slow_store = true;
@@ -144,8 +144,8 @@
   expect_all_over ();
 }
 
-// The connection breaks after the order was sent.  Nobody knows whether it ran: the caller hears
-// "unknown", it is not sent to another target, and a resend will hear the same.
+// The connection fails after the order was sent, so it is not known whether it ran: the caller gets
+// "unknown", no other target is tried, and "unknown" is stored for a resend.
 TEST_F (FlowClaim, ABrokenConnectionAfterTheSendIsUnknownAndNotSentAgain)
 {
   auto *x = send_order ();
@@ -160,8 +160,8 @@
   expect_all_over ();
 }
 
-// A target answers for another request.  That says nothing of ours, which was sent: "unknown".
-TEST_F (FlowClaim, AForeignAnswerLeavesItUnknown)
+// A target answers with another request's id.  The result of the order, which was sent, is unknown.
+TEST_F (FlowClaim, AnAnswerToAnotherRequestLeavesItUnknown)
 {
   auto *x = send_order ();
 
@@ -172,8 +172,8 @@
   expect_all_over ();
 }
 
-// The target says that the order failed.  That is its outcome; it is not tried elsewhere.
-TEST_F (FlowClaim, AFailureToldByTheTargetIsFinal)
+// The target answers that the order failed.  That is its outcome, and no other target is tried.
+TEST_F (FlowClaim, AFailureReportedByTheTargetIsFinal)
 {
   auto *x = send_order ();
 
@@ -185,8 +185,8 @@
   expect_all_over ();
 }
 
-// A full target says "not run" of this very attempt: the one answer that allows a second send.
-// When all say so the caller hears "failed", for bytes of it have left this host.
+// A full target answers "x-not-run" with this attempt's number, the only answer after which the
+// order may be sent again.  When all targets do so the caller gets "failed", since bytes were sent.
 TEST_F (FlowClaim, OnlyAnExplicitRefusalAllowsAnotherTarget)
 {
   auto *x = send_order ();
@@ -210,8 +210,9 @@
   expect_all_over ();
 }
 
-// A "503 not run" without our attempt's number may be about another call: it allows nothing.
-TEST_F (FlowClaim, ARefusalOfAnotherAttemptAllowsNothing)
+// A 503 with "x-not-run" but another attempt's number may be about another call, so it does not
+// allow another send.
+TEST_F (FlowClaim, ARefusalOfAnotherAttemptAllowsNoOtherTarget)
 {
   auto *x = send_order ();
 
@@ -222,9 +223,9 @@
   expect_all_over ();
 }
 
-// No connection could be made: no byte left, so another target is tried; when none can be reached
-// the claim is given back and the caller may send the order anywhere.
-TEST_F (FlowClaim, AClaimIsGivenBackWhenNoByteLeft)
+// No connection can be made, so no byte is sent and another target is tried.  When none can be
+// reached the claim is released and the caller may resend the order to any host.
+TEST_F (FlowClaim, AClaimIsReleasedWhenNoByteWasSent)
 {
   auto *x = send_order ();
 
@@ -238,9 +239,9 @@
   expect_all_over ();
 }
 
-// The window closes while the order runs.  The caller hears "unknown" at once; the order goes on,
-// ends whole, and that is stored for the resend.
-TEST_F (FlowClaim, AnOrderThatOutlivesItsWindowIsSettledWithItsRealOutcome)
+// The deadline passes while the order runs.  The caller gets "unknown" at once; the order
+// continues, completes, and its actual outcome is stored for a resend.
+TEST_F (FlowClaim, AnOrderThatCompletesAfterItsDeadlineIsSettledWithItsOutcome)
 {
   auto *x = send_order ({ { "x-deadline-ms", "100" } });
 
@@ -255,7 +256,7 @@
   expect_all_over ();
 }
 
-// The same order, but the target never answers: after the grace it is settled as unknown.
+// The target never answers: FLOW_SETTLE_GRACE after the deadline the order is settled as unknown.
 TEST_F (FlowClaim, AnOrderThatNeverEndsIsSettledUnknown)
 {
   auto *x = send_order ();
@@ -268,9 +269,9 @@
   expect_all_over ();
 }
 
-// Orders usually take a millisecond and this one takes long.  A repeatable call would be given up
-// or hedged; this one keeps its only call until its window closes.
-TEST_F (FlowClaim, ASlowOrderIsNeitherGivenUpNorHedged)
+// Orders usually take 1 ms, this one 3.9 s.  A repeatable call would be abandoned or hedged; an
+// unrepeatable request keeps its only call until the deadline.
+TEST_F (FlowClaim, ASlowOrderIsNeitherAbandonedNorHedged)
 {
   warm_up ("/v1/services/orders/requests", "{}");
   auto *x = send_order ();
@@ -284,10 +285,10 @@
   expect_all_over ();
 }
 
-// An order whose text is encoded afterwards takes so long that the encoding cannot end in time any
-// more.  A repeatable request would end there and save the cost; this one has an order
-// running, which is not closed.  When it is done the rest is not begun, and the outcome says so.
-TEST_F (FlowClaim, AHopelessRequestDoesNotCloseItsOrder)
+// The order stage takes so long that the encode stage after it cannot meet the deadline.  A
+// repeatable request would end there to save cost; an unrepeatable one must not close its running
+// call.  When the call is done the next stage is not started, and the outcome is "failed".
+TEST_F (FlowClaim, ARequestThatCannotMeetItsDeadlineDoesNotCloseItsCall)
 {
   add_pipeline ("confirm", false, { stage ("orders", STAGE_CALL), stage ("encode", STAGE_ENCODE) });
   board_publish (board, BOARD_CONFIG_CHANGED, {}, now);
@@ -296,7 +297,7 @@
       auto *x = send ("/v1/pipelines/confirm/requests", R"({"input": "q"})");
 
       answer_well (last_call ());
-      // Less than half of the window, at which a call that gave nothing is left for another.
+      // Below half of the time to the deadline, when a call without data is abandoned.
       advance (1900 * USEC_PER_MSEC);
       answer_well (last_call ());
       ASSERT_EQ (x->outcome (), "whole");
@@ -316,9 +317,9 @@
   expect_all_over ();
 }
 
-// The dealer's connection breaks while the order runs.  The order goes on and is settled, so that
-// the resend gets its answer.
-TEST_F (FlowClaim, ACallerThatGoesAwayDoesNotEndAnOrder)
+// The caller's connection fails while the order runs.  The order continues and is settled, so that
+// a resend gets its answer.
+TEST_F (FlowClaim, ACallerThatDisconnectsDoesNotEndAnOrder)
 {
   auto *x = send_order ();
 
@@ -331,10 +332,10 @@
   expect_all_over ();
 }
 
-// The dealer goes away, or its window closes, before the claims answer.  It might be a resend that
-// runs elsewhere, so it hears "unknown".  The grant comes late: nothing is sent and the claim is
-// given back, so that a resend can run.
-TEST_F (FlowClaim, AClaimGrantedTooLateIsGivenBack)
+// The caller disconnects, or its deadline passes, before the claims answer.  The request may be a
+// resend that runs elsewhere, so at the deadline it gets "unknown".  When the claim is granted
+// later, nothing is sent and the claim is released, so that a resend can run.
+TEST_F (FlowClaim, AClaimGrantedTooLateIsReleased)
 {
   auto *gone = send_order ();
 
@@ -352,9 +353,9 @@
   expect_all_over ();
 }
 
-// The dealer's program sends the order twice at once over two connections to one host.  One run;
-// the second hears that the first is in flight, and one with another body is refused.
-TEST_F (FlowClaim, ATwinOnTheSameHostIsNotRun)
+// The caller sends the order twice at once over two connections to one host.  It runs once: the
+// second gets "in flight", and a third with another body is refused.
+TEST_F (FlowClaim, AConcurrentDuplicateOnTheSameHostIsNotRun)
 {
   auto *x = send_order ();
   auto *twin = send_order ();
@@ -373,9 +374,9 @@
   expect_all_over ();
 }
 
-// An answer longer than the claims keep: the caller has it whole, and a resend must not get a part
-// of it as the whole.  It hears that the order ran.
-TEST_F (FlowClaim, AnAnswerTooLongToKeepIsNeverReplayedInPart)
+// The answer is longer than claim_answer_bytes.  The caller gets it completely; a resend must not
+// get a truncated answer, but a failure that says that the order ran.
+TEST_F (FlowClaim, AnAnswerTooLongToKeepIsNeverReplayedTruncated)
 {
   auto *x = send_order ();
 
@@ -388,9 +389,9 @@
   expect_all_over ();
 }
 
-// An encoder's connection breaks in an unrepeatable pipeline.  Encoding has no effect outside, so
-// the outcome is known: it failed, and the letter was not drafted.
-TEST_F (FlowClaim, ABreakInAStageThatOnlyReadsIsFailedNotUnknown)
+// The connection to an encoder fails in an unrepeatable pipeline.  Encoding has no side effects and
+// the generation was not started, so the outcome is "failed", not "unknown".
+TEST_F (FlowClaim, AConnectionFailureInAReadOnlyStageIsFailedNotUnknown)
 {
   auto *x = send ("/v1/pipelines/claims/requests", R"({"input": "q"})",
                   { { "x-request-id", "letter" }, { "x-repeatable", "no" } });
@@ -402,8 +403,8 @@
   expect_all_over ();
 }
 
-// A letter's generation breaks after pieces went to the officer.  It is not resumed elsewhere, and
-// the stream's end says "unknown".
+// An unrepeatable generation fails after pieces were sent to the caller.  It is not resumed at
+// another target, and the stream's end event has the outcome "unknown".
 TEST_F (FlowClaim, AnUnrepeatableStreamIsNotResumed)
 {
   auto *x = send_draft ({ { "x-request-id", "letter" },
--- a/tests/unit_flow_cost.cc
+++ b/tests/unit_flow_cost.cc
@@ -1,6 +1,6 @@
-// What the request path costs, for callgrind: run twice with different CHERRYARCH_COST_REQUESTS
-// and divide the difference, so that the start of the process does not count.  Without it each
-// shape runs a few requests and must answer them whole.
+// Cost of the request path, for callgrind: run twice with different CHERRYARCH_COST_REQUESTS and
+// divide the difference in cost by the difference in requests, which excludes process startup.
+// Without the variable, three requests of each kind run and must be answered completely.
 #include "flow_harness.h"
 #include <cstdlib>
 
--- a/tests/unit_flow_retry.cc
+++ b/tests/unit_flow_retry.cc
@@ -1,4 +1,4 @@
-// Targets that fail: retries, hedges, foreign and late answers, work that is kept.
+// Targets that fail: retries, hedges, misdirected and late answers, completed stages that are kept.
 #include "flow_harness.h"
 
 namespace
@@ -16,10 +16,10 @@
   }
 };
 
-// A generator's process dies in the middle of an answer, in the last of four stages.  The caller
-// sees only a whole answer: the three stages before are not computed again, and the generation
-// goes on at another target.
-TEST_F (FlowRetry, ATargetThatDiesMidAnswerCostsOnlyItsOwnStage)
+// A target fails in the middle of a generation, in the last of four stages.  The three stages
+// before are not run again, the generation resumes at another target, and the caller gets a
+// complete answer.
+TEST_F (FlowRetry, ATargetThatFailsMidAnswerRepeatsOnlyItsOwnStage)
 {
   auto *x = send ("/v1/pipelines/claims/requests", R"({"input": "q"})");
 
@@ -40,8 +40,8 @@
   expect_all_over ();
 }
 
-// A target mixes up two callers' answers, or sends the answer of an attempt given up before, or
-// leaves the id out.  The caller must never see it: it gets the right answer from another target.
+// A target returns the answer of another request or of another attempt.  It must not reach the
+// caller, who gets the correct answer from another target.
 TEST_F (FlowRetry, AnswersToOtherRequestsAreDropped)
 {
   const fields wrong[] = { { { "x-request-id", "other" } }, { { "x-attempt", "1" } } };
@@ -58,9 +58,9 @@
   expect_all_over ();
 }
 
-// A target sends its answer twice in one body.  Taking the first half would hide that something is
-// wrong with it, so the answer is malformed and another target is asked.
-TEST_F (FlowRetry, ADoubledAnswerIsMalformed)
+// A target sends its answer twice in one body.  Accepting the first half would hide the fault, so
+// the answer is malformed and another target is tried.
+TEST_F (FlowRetry, ADuplicatedAnswerIsMalformed)
 {
   auto *x = send ("/v1/services/orders/requests", "{}");
 
@@ -70,8 +70,8 @@
   expect_all_over ();
 }
 
-// Two targets are slow to answer one after the other.  The first attempt was given up and its call
-// closed, so that its late answer has no way in; the second one's counts.
+// A target is slow and a second attempt answers.  The first call is closed, so that a late answer
+// cannot be delivered; the second attempt's answer is used.
 TEST_F (FlowRetry, ALateAnswerFindsItsCallClosed)
 {
   warm_up_draft ();
@@ -86,10 +86,10 @@
   expect_all_over ();
 }
 
-// Right after a start nothing is known of how long a generation takes, and an engine takes a call
-// and gives nothing.  The attempt must end while another can still make the window; waiting for the
-// deadline would cost the answer.
-TEST_F (FlowRetry, AnEngineThatGivesNothingIsLeftBeforeAnythingIsKnown)
+// After a start there are no measurements of how long a generation takes, and an engine accepts a
+// call but returns nothing.  The attempt must end while another can still meet the deadline;
+// waiting until then would lose the answer.
+TEST_F (FlowRetry, ASilentEngineIsAbandonedWithoutLatencyMeasurements)
 {
   auto *x = send_draft ();
 
@@ -103,8 +103,8 @@
   expect_all_over ();
 }
 
-// The first piece came: the engine lives, and a long answer is not cut by the bound on the first.
-TEST_F (FlowRetry, AnEngineThatGivesPiecesIsNotLeft)
+// After the first piece, the time limit for first data must not end a long answer.
+TEST_F (FlowRetry, AnEngineThatReturnsPiecesIsNotAbandoned)
 {
   auto *x = send_draft ();
 
@@ -119,8 +119,8 @@
   expect_all_over ();
 }
 
-// An engine hangs.  A second attempt starts beside it, answers, and the caller has its answer long
-// before the window closes; the first is closed and its engine told to stop.
+// An engine hangs.  A hedge starts at another target and answers before the deadline; the first
+// call is closed and its target gets a cancel.
 TEST_F (FlowRetry, AHedgeWinsAndTheLoserIsCancelled)
 {
   warm_up_draft ();
@@ -131,7 +131,7 @@
   ASSERT_EQ (client.calls.size (), 2u);
   EXPECT_TRUE (call (0).open);
   EXPECT_NE (call (0).address, call (1).address);
-  // The first piece decides: two engines never write one text.
+  // The attempt with the first piece wins: the text must come from one engine.
   head (call (1));
   data (call (1), piece (0, "a"));
   EXPECT_TRUE (call (0).closed);
@@ -144,8 +144,8 @@
   expect_all_over ();
 }
 
-// An encoder hangs and a second call beside it answers whole.  The first must be closed before the
-// next stage begins: left open, its answer would come to a stage that is over.
+// An encoder hangs and its hedge answers.  The first call must be closed before the next stage
+// begins: left open, its answer would be delivered after the stage has ended.
 TEST_F (FlowRetry, AHedgedStageClosesTheSlowCallBeforeTheNext)
 {
   for (int i = 0; i < 50; i++)
@@ -176,7 +176,7 @@
   expect_all_over ();
 }
 
-// A full target says so.  Another takes the work; the caller sees nothing of it.
+// A full target refuses the work.  Another target runs it; the caller does not notice.
 TEST_F (FlowRetry, ARefusalGoesToAnotherTarget)
 {
   auto *x = send_draft ();
@@ -189,9 +189,9 @@
   expect_all_over ();
 }
 
-// One of three targets is full for a while and refuses all its calls.  A pipeline whose owner
-// allows no retries at all still gets every answer: refusals cost nothing and draw on no budget.
-TEST_F (FlowRetry, RefusalsDrawOnNoRetryBudget)
+// One of three targets is full and refuses all its calls.  Even a pipeline with a retry budget of 0
+// gets every answer: refusals use no capacity and are not charged to the budget.
+TEST_F (FlowRetry, RefusalsAreNotChargedToTheRetryBudget)
 {
   add_pipeline ("frugal", false, { stage ("generate", STAGE_GENERATE) })->spec.retry_share = 0;
   board_publish (board, BOARD_CONFIG_CHANGED, {}, now);
@@ -208,8 +208,8 @@
   expect_all_over ();
 }
 
-// Every target fails.  The caller hears "failed" at once, not when its window closes, and when to
-// come back; it is never told "not-run" of work that reached a target.
+// Every target fails.  The caller gets "failed" with a retry time at once, not at the deadline, and
+// never "not-run" for work that reached a target.
 TEST_F (FlowRetry, FailuresEndAtOnceWhenAttemptsAreUsedUp)
 {
   auto *x = send_draft ();
@@ -224,7 +224,7 @@
   expect_all_over ();
 }
 
-// A target finds the request itself invalid.  Every other would too: no attempt is spent on it.
+// A target finds the request invalid.  Every other target would as well, so none is tried.
 TEST_F (FlowRetry, ARejectedRequestIsNotTriedElsewhere)
 {
   auto *x = send_draft ();
@@ -235,8 +235,8 @@
   expect_all_over ();
 }
 
-// All connections are in use: no call could be started, no byte left, and the caller may send the
-// request again anywhere.
+// All connections are in use: no call can be started and no byte is sent, so the caller may resend
+// the request to any host.
 TEST_F (FlowRetry, ACallThatCannotStartIsNotRun)
 {
   client.refuse = STATUS_LIMIT;
@@ -247,8 +247,8 @@
   expect_all_over ();
 }
 
-// Connections are refused by hosts that are down: nothing was sent, so the outcome is "not-run".
-TEST_F (FlowRetry, AConnectionThatFailsBeforeAByteIsNotRun)
+// Connections are refused by targets that are down: nothing was sent, so the outcome is "not-run".
+TEST_F (FlowRetry, AConnectionThatFailsBeforeAnyByteIsNotRun)
 {
   auto *x = send_draft ();
 
@@ -258,9 +258,9 @@
   expect_all_over ();
 }
 
-// All rerankers are gone when the third stage begins.  The work of two stages is kept while one
-// may be back soon; it is, and the answer is whole.
-TEST_F (FlowRetry, WorkDoneWaitsForATargetToBeBack)
+// The leases of all rerankers have expired when the third stage begins.  The request keeps the
+// results of two stages and waits; one target comes back and the answer is complete.
+TEST_F (FlowRetry, ARequestWithCompletedStagesWaitsForATarget)
 {
   auto *x = send ("/v1/pipelines/claims/requests", R"({"input": "q"})");
   struct board_target *rerankers[3];
--- a/tests/unit_flow_stream.cc
+++ b/tests/unit_flow_stream.cc
@@ -1,5 +1,5 @@
-// Streams: every piece reaches the caller once, in order, and a stream without its end is not
-// whole.
+// Streams: every piece reaches the caller once, in order, and a stream without its last piece is
+// not complete.
 #include "flow_harness.h"
 
 namespace
@@ -8,7 +8,7 @@
 using flow_harness::fake_exchange;
 using flow_harness::fields;
 
-// An allocator for JSON whose call fails when `left` others went well.
+// An allocator for JSON that fails once, after `left` successful calls.
 struct failing_malloc
 {
   static inline int left;
@@ -47,7 +47,7 @@
     SetUp ();
   }
 
-  // 0 for no limit.
+  // Allows `more` further bytes; 0 for no limit.
   void
   limit_memory (size_t more)
   {
@@ -57,7 +57,8 @@
 #pragma GCC diagnostic pop
   }
 
-  // Three pieces; then a second engine gives the first of them and `last`.
+  // The first engine fails after three pieces; the second sends the first of them and `last`, which
+  // must not end the stream; the third completes it.
   void
   end_shorter (const std::string &last)
   {
@@ -85,7 +86,7 @@
   }
 };
 
-TEST_F (FlowStream, PiecesPassAsTheyComeAndTheEndHoldsTheWholeText)
+TEST_F (FlowStream, PiecesAreForwardedAtOnceAndTheEndHasTheCompleteText)
 {
   auto *x = send_stream ();
 
@@ -103,9 +104,9 @@
   expect_all_over ();
 }
 
-// An engine dies after two pieces went to the caller.  Another goes on from the third; it also
-// repeats the second, as an engine that resumes a little early does.  The caller reads each piece
-// once and the end holds the whole text.
+// An engine fails after two pieces were sent to the caller.  Another resumes and also repeats the
+// second piece, as an engine that resumes early does.  The caller gets each piece once and the end
+// event has the complete text.
 TEST_F (FlowStream, ABrokenGenerationResumesWithoutRepeatingAPiece)
 {
   auto *x = send_stream ();
@@ -123,9 +124,9 @@
   expect_all_over ();
 }
 
-// An engine skips a piece.  Passing the next one on would make a text with a hole; the attempt is
-// wrong and another engine goes on from the hole.
-TEST_F (FlowStream, AGapInThePiecesIsNotPassedOn)
+// An engine skips a piece.  Forwarding the next one would leave a gap in the text, so the attempt
+// fails and another engine resumes at the missing piece.
+TEST_F (FlowStream, PiecesAfterAGapAreNotForwarded)
 {
   auto *x = send_stream ();
 
@@ -138,9 +139,9 @@
   expect_all_over ();
 }
 
-// A stream ends by its framing but without its last piece: the engine stopped early.  Half a text
-// must not be taken for the whole.
-TEST_F (FlowStream, AnEndWithoutTheLastPieceIsNotWhole)
+// The HTTP response ends correctly but without the last piece: the engine stopped early.  The
+// partial text must not be taken as complete.
+TEST_F (FlowStream, AnEndWithoutTheLastPieceIsNotComplete)
 {
   auto *x = send_stream ();
 
@@ -152,8 +153,8 @@
   expect_all_over ();
 }
 
-// An engine sends its whole stream twice over one connection: what follows the end is dropped.
-TEST_F (FlowStream, WhatFollowsTheEndIsDropped)
+// An engine sends its stream twice in one response: everything after the last piece is dropped.
+TEST_F (FlowStream, EventsAfterTheLastPieceAreDropped)
 {
   auto *x = send_stream ();
   const std::string whole = piece (0, "a") + last_piece (1);
@@ -166,9 +167,9 @@
   expect_all_over ();
 }
 
-// An engine leaves its stream open after the last piece.  The text is whole, and the caller has it
-// then, not when the window closes.
-TEST_F (FlowStream, AStreamLeftOpenAfterItsLastPieceIsWhole)
+// An engine leaves its stream open after the last piece.  The text is complete, and the caller gets
+// it shortly after, not at the deadline.
+TEST_F (FlowStream, AStreamLeftOpenAfterItsLastPieceIsComplete)
 {
   auto *x = send_stream ();
 
@@ -180,9 +181,9 @@
   expect_all_over ();
 }
 
-// The window closes after pieces went out with "200".  The stream's one end event says "failed",
-// so that the caller cannot take the part for the whole.
-TEST_F (FlowStream, AStreamThatFailsSaysSoInItsEnd)
+// The deadline passes after pieces were sent with status 200.  The single end event has the outcome
+// "failed", so that the caller cannot take the partial text as complete.
+TEST_F (FlowStream, TheEndEventOfAFailedStreamHasTheOutcomeFailed)
 {
   auto *x = send_stream ();
 
@@ -195,9 +196,9 @@
   expect_all_over ();
 }
 
-// The caller goes away during the write of a piece: its server reports the closed connection from
-// within the write.  The request ends there; the pieces after it find nothing.
-TEST_F (FlowStream, ACallerThatGoesAwayDuringAWriteEndsTheStream)
+// The HTTP server reports a closed connection from within the write of a piece.  That ends the
+// request during event handling; the remaining pieces must not use it.
+TEST_F (FlowStream, ACallerThatDisconnectsDuringAWriteEndsTheStream)
 {
   struct http_exchange_ops ops = flow_harness::exchange_ops;
   auto *x = send_stream ();
@@ -216,8 +217,8 @@
   expect_all_over ();
 }
 
-// An engine loses the pieces before its last one.  The text has a hole at its end and is not whole.
-TEST_F (FlowStream, ALastPieceBehindAMissingOneIsNotTheEnd)
+// An engine omits the pieces before its last one.  The text has a gap at its end and is incomplete.
+TEST_F (FlowStream, ALastPieceAfterAMissingOneIsNotTheEnd)
 {
   auto *x = send_stream ();
 
@@ -230,29 +231,30 @@
   expect_all_over ();
 }
 
-// The engine that goes on ignores `resume_from` and ends a shorter text.  The longer one that the
-// caller has is not whole by it: the last piece is one behind the text, without text.
+// The second engine ignores `resume_from` and ends a shorter text, which must not complete the
+// longer one that the caller has.  Here its last piece has an index but no text.
 TEST_F (FlowStream, TheEndOfAShorterTextDoesNotEndALongerOne)
 {
   end_shorter (last_piece (1));
 }
 
-// The same: the last piece has text.
+// As above, but the last piece has text.
 TEST_F (FlowStream, TheLastTextOfAShorterTextDoesNotEndALongerOne)
 {
   end_shorter (R"(data: {"choices": [{"text": "b", "index": 1, "finish_reason": "stop"}]})"
                "\n\n");
 }
 
-// The same: the last piece says nothing of where it is.
+// As above, but the last piece has neither text nor index.
 TEST_F (FlowStream, AnEndWithoutAnIndexDoesNotEndALongerText)
 {
   end_shorter (R"(data: {"choices": [{"text": "", "finish_reason": "stop"}]})"
                "\n\n");
 }
 
-// The engine that is to go on fails in one way or another: its answer's end is not the stream's.
-TEST_F (FlowStream, AFailureAtTheNextEngineDoesNotEndTheStreamAsWhole)
+// The second engine fails in various ways: the end of its answer must not end the stream as
+// complete.
+TEST_F (FlowStream, AFailureAtTheNextEngineDoesNotCompleteTheStream)
 {
   struct
   {
@@ -287,7 +289,7 @@
     }
 }
 
-// A request that the next engine finds invalid ends there, and its stream says so.
+// The second engine rejects the request as invalid: the stream ends with the outcome "failed".
 TEST_F (FlowStream, ARejectionAtTheNextEngineEndsTheStreamAsFailed)
 {
   auto *x = send_stream ();
@@ -301,8 +303,8 @@
   expect_all_over ();
 }
 
-// The engine that goes on begins again and says something else.  Joined to what the caller has, it
-// would be a text that no engine made.
+// The second engine starts from the beginning and generates another text.  Joined to the pieces
+// that the caller has, it would be a text that no engine generated.
 TEST_F (FlowStream, TheTextsOfTwoRunsAreNotJoined)
 {
   auto *x = send_stream ();
@@ -319,14 +321,14 @@
   expect_all_over ();
 }
 
-// No memory for a piece.  The pieces after it must not be asked for as if it were there.
-TEST_F (FlowStream, APieceThatFoundNoMemoryIsNotCounted)
+// Out of memory for a piece.  The next attempt must not resume after it as if it had been stored.
+TEST_F (FlowStream, APieceLostToLackOfMemoryIsNotCounted)
 {
   const std::string large (8192, 'a');
   auto *x = send_stream ();
 
   head (call (0));
-  /* Grows the decoder's buffers, so that the text alone needs memory. */
+  /* Grows the decoder's buffers, so that only the text needs more memory. */
   data (call (0), R"(data: {"choices": [{"text": ""}], "pad": ")" + large + large + "\"}\n\n");
   limit_memory (4096);
   data (call (0), piece (0, large));
@@ -339,9 +341,9 @@
   expect_all_over ();
 }
 
-// No memory for the event of a piece, at any step of making it.  A stream that lacks the piece must
-// not end as whole.
-TEST_F (FlowStream, AStreamThatLacksAPieceDoesNotEndAsWhole)
+// Each of the JSON allocations for a piece fails in turn.  A stream without the piece must not end
+// as complete.
+TEST_F (FlowStream, AStreamThatLacksAPieceDoesNotEndAsComplete)
 {
   for (failing_malloc::left = 0; failing_malloc::left < 40;)
     {
