--- a/tests/flow_fakes.h
+++ b/tests/flow_fakes.h
@@ -1,4 +1,4 @@
-// Fakes at the request path's edges: exchange, HTTP client, claims.
+// Fakes of the request path's interfaces: HTTP exchange, HTTP client, claims.
 #ifndef FLOW_FAKES_H
 #define FLOW_FAKES_H
 
@@ -30,7 +30,7 @@
   fields answer_fields;
   std::string answer;
   bool begun = false, ended = false, aborted = false;
-  int answers = 0; // of reply(), finish() and abort(): never above 1
+  int answers = 0; // calls of reply(), finish() and abort(): at most 1
 
   std::string
   outcome () const
@@ -120,7 +120,7 @@
   std::string address, path, body;
   fields headers;
   struct http_call_sink *sink = nullptr;
-  bool open = true; // neither ended nor closed by the flow
+  bool open = true; // not ended, failed or closed by the flow
   bool closed = false;
 
   std::string
@@ -137,7 +137,7 @@
   };
   std::vector<std::unique_ptr<fake_call>> calls;
   std::vector<std::unique_ptr<fake_call>> cancels; // POST /v1/cancel
-  enum status refuse = STATUS_OK;                  // of the next calls
+  enum status refuse = STATUS_OK;                  // returned by start() when not STATUS_OK
 };
 
 inline fake_client *
@@ -195,9 +195,9 @@
   std::vector<struct claim_waiter *> waiting;
   std::map<std::string, settled> settlements;
   int taken = 0, released = 0, withdrawn = 0;
-  int64_t deadline = 0;                       // of the last take
-  std::vector<struct claim_waiter *> storing; // told by world::store()
-  bool slow_store = false;                    // only when the test says so
+  int64_t deadline = 0;                       // of the last take()
+  std::vector<struct claim_waiter *> storing; // answered by the store() of flow_harness.h
+  bool slow_store = false;                    // outcomes are stored only by an explicit store()
 };
 
 inline fake_claims *
