--- a/src/flow_stream.c
+++ b/src/flow_stream.c
@@ -1,7 +1,7 @@
-/* A generation's pieces: each counts once, in order, from one attempt at a time.
+/* Pieces of a generation: each is accepted once, in order, from one attempt at a time.
  *
- * Pieces that were taken are kept when their attempt breaks; the next attempt is asked for those
- * after them (`resume_from`), so that the caller's text neither repeats nor misses a piece. */
+ * Accepted pieces are kept when their attempt fails, and the next attempt is asked for those after
+ * them (`resume_from`), so that the caller's text neither repeats nor misses a piece. */
 #include "flow_private.h"
 #include <string.h>
 
@@ -14,8 +14,8 @@
          && request->decide.stage + 1 == request->spec->n_stages;
 }
 
-/* The first attempt that gives a piece owns the text; a hedge beside it has lost and ends now,
- * before it costs more.  Two attempts never write one text. */
+/* The first attempt that returns a piece becomes the only source of the text.  The other attempt is
+ * cancelled at once to save cost. */
 static void
 claim_text (struct flow_attempt *attempt, struct flow_request *request, int64_t now)
 {
@@ -31,15 +31,15 @@
     }
 }
 
-/* What became of a piece. */
+/* Result of processing a piece. */
 enum piece_fate
 {
   PIECE_TAKEN,
-  PIECE_DROPPED, /* known already: doubled, or an engine that began at the start again */
-  PIECE_WRONG    /* cannot be of this text */
+  PIECE_DROPPED, /* accepted before: repeated, or the engine started from the beginning */
+  PIECE_WRONG    /* does not fit the text, or no memory for it */
 };
 
-/* Where the first `n` pieces of the text end. */
+/* End offset of the first `n` pieces of the text. */
 static size_t
 end_of_pieces (const struct flow_text *text, uint32_t n)
 {
@@ -79,26 +79,27 @@
     return PIECE_TAKEN;
   if (piece->index > text->pieces)
     {
-      status_fail (STATUS_MALFORMED, "piece %u after %u pieces", piece->index, text->pieces);
+      status_fail (STATUS_MALFORMED, "piece has index %u, expected at most %u", piece->index,
+                   text->pieces);
       return PIECE_WRONG;
     }
   if (piece->index == text->pieces)
     return add_piece (text, piece) == STATUS_OK ? PIECE_TAKEN : PIECE_WRONG;
   if (is_same (text, piece))
     return PIECE_DROPPED;
-  /* What this attempt gives after it goes on from a text that the caller does not have. */
-  status_fail (STATUS_MALFORMED, "piece %u differs from the one that was taken", piece->index);
+  /* This attempt continues a text other than the one the caller has. */
+  status_fail (STATUS_MALFORMED, "piece %u differs from the one accepted before", piece->index);
   return PIECE_WRONG;
 }
 
-/* The last piece says of how many pieces the text is made: an engine that skipped some, or that did
- * not go on from the text that is there, ends another text. */
+/* The last piece gives the number of pieces of the text.  A different number means that the engine
+ * skipped some or did not continue from the pieces accepted so far. */
 static bool
 finish_text (struct flow_attempt *attempt, struct flow_text *text)
 {
   if (attempt->n_pieces != text->pieces)
     {
-      status_fail (STATUS_MALFORMED, "the text ends after %u pieces, not %u", attempt->n_pieces,
+      status_fail (STATUS_MALFORMED, "text ends after %u pieces, expected %u", attempt->n_pieces,
                    text->pieces);
       return false;
     }
@@ -106,8 +107,8 @@
   return true;
 }
 
-/* An engine that leaves its stream open after the last piece must not cost the request its window:
- * the text is whole, only framing is still due. */
+/* Limits the wait for the end of the stream after the last piece: an engine may leave it open, and
+ * the text is complete, so the request must not wait for its deadline. */
 static void
 expect_end (struct flow_attempt *attempt, const struct flow_request *request, int64_t now)
 {
@@ -118,7 +119,7 @@
   timer_arm (attempt->flow->config.timers, &attempt->give_up, due);
 }
 
-/* Takes one piece; false when the attempt cannot go on, or is gone. */
+/* Handles one piece; false when the attempt cannot continue or has ended. */
 static bool
 take_event_piece (struct flow_attempt *attempt,
                   struct flow_request *request,
@@ -149,7 +150,7 @@
   if (fate == PIECE_TAKEN && piece->text_length > 0 && goes_to_caller (request)
       && !flow_answer_piece (request, piece->text, piece->text_length, piece->index))
     flow_break_answer (request, attempt->event_at);
-  /* The write may have found the caller gone, and that ends the request and this attempt. */
+  /* The write may have found the caller disconnected, which ends the request and this attempt. */
   return flow_find_attempt (flow, self) != NULL;
 }
 
@@ -207,7 +208,7 @@
   struct flow_request *request = flow_find_request (attempt->flow, attempt->request);
   struct flow_text *text = &request->text;
 
-  /* The last piece says that the text is whole.  What may be missing after it is framing. */
+  /* The last piece completes the text; only the end of the stream may be missing after it. */
   if (!flow_stream_is_whole (attempt, request))
     return flow_attempt_fail (attempt, otherwise, !attempt->sent, false, now);
   if (stage_take_text (&request->data, text->text.data, text->text.length) != STATUS_OK)
