--- a/src/decide.c
+++ b/src/decide.c
@@ -1,11 +1,11 @@
-/* The decisions: construction, attempts, retries and hedges.  Admission is in decide_admit.c, the
+/* Construction, bookkeeping of attempts, retries and hedges.  Admission is in decide_admit.c, the
  * choice of a target in decide_target.c. */
 #include "decide_state.h"
 #include <math.h>
 #include <talloc.h>
 
-#define DEFAULT_EJECT_SHARE 0.3 /* of a pool that is not declared */
-#define WRONG_WEIGHT 3          /* failures that one wrong answer counts for */
+#define DEFAULT_EJECT_SHARE 0.3 /* of the targets of an undeclared pool */
+#define WRONG_WEIGHT 3          /* failures that one answer to another request counts as */
 
 static const char *const reasons[] = {
 #define X(name, text) [DECIDE_##name] = text,
@@ -60,7 +60,7 @@
                                     "Work not spent on requests that could not end in time", NULL);
 }
 
-/* The hash table's own memory is not talloc's. */
+/* uthash's table is not allocated with talloc. */
 static int
 decide_free (struct decide *decide)
 {
@@ -68,7 +68,7 @@
   return 0;
 }
 
-/* The board may hold this in its list of subscribers, so it lives as long as the board. */
+/* The board keeps a pointer to the subscriber, so `decide` must live as long as the board. */
 struct decide *
 decide_new (void *parent, struct board *board, struct counters *counters, uint64_t seed)
 {
@@ -122,7 +122,7 @@
   slot = &decide->organisations[handle.index];
   if (*slot == NULL)
     *slot = talloc_zero (decide, struct decide_organisation);
-  /* Until shares are known each host may let the whole limit through only over all hosts. */
+  /* An even split until a share is granted, so that all hosts together keep to the limit. */
   if (*slot != NULL && (*slot)->generation != handle.generation)
     **slot = (struct decide_organisation){ .generation = handle.generation,
                                            .limit = { .share = 1 / decide_hosts (decide) } };
@@ -168,7 +168,8 @@
   decide_prefix_started (decide, request, choice->target, now);
 }
 
-/* One more may be ejected while the pool's bound leaves room; a pool keeps one target at least. */
+/* Whether one more target may be ejected: the pool's bound is not reached, and at least one target
+ * stays in use. */
 static bool
 may_eject (const struct decide *decide, const struct decide_target *target)
 {
@@ -198,20 +199,20 @@
       eject_success (&target->eject);
       break;
     case DECIDE_END_WRONG:
-      /* It mixes requests up: nothing it says can be trusted. */
+      /* It confuses requests, so none of its answers can be trusted. */
       if (eject_failure (&target->eject, WRONG_WEIGHT, may_eject (decide, target), now))
         counter_add (decide->ejections, 1);
       break;
     case DECIDE_END_REFUSED:
-      /* Busy now and then is no fault: one answer clears it.  But a target that refuses all it gets
-       * looks idle, and would draw every request. */
+      /* An occasional refusal is not a fault, and one answer resets the count.  But a target that
+       * refuses everything looks idle and would attract every request. */
     case DECIDE_END_FAILED:
     case DECIDE_END_TIMED_OUT:
     case DECIDE_END_BROKEN:
       if (eject_failure (&target->eject, 1, may_eject (decide, target), now))
         counter_add (decide->ejections, 1);
       break;
-    default: /* cancelled by us: says nothing against it */
+    default: /* cancelled by us: no evidence about the target */
       eject_neutral (&target->eject);
       break;
     }
@@ -290,7 +291,7 @@
   return budget_take (&pipeline->hedges) ? DECIDE_ADMITTED : DECIDE_BUDGET;
 }
 
-/* The stage now running may be nearly done, so only the stages after it count. */
+/* The running stage may be nearly done, so only the stages after it count. */
 bool
 decide_hopeless (const struct decide *decide, const struct decide_request *request, int64_t now)
 {
@@ -301,7 +302,7 @@
     return true;
   if (pipeline == NULL)
     return false;
-  /* Reading may register a pool or class by name, which is no decision's state. */
+  /* The cast: the lookup may create the entry of a pool or model, which affects no decision. */
   rest = decide_rest_time ((struct decide *) decide, request, pipeline, request->stage + 1);
   return rest.known && (double) now + rest.low > (double) request->deadline;
 }
--- a/src/decide.h
+++ b/src/decide.h
@@ -1,7 +1,7 @@
-/* The decisions under load: admit, choose a target, retry, hedge, give up.
+/* Decisions that depend on load: admission, choice of a target, retry, hedging, cancellation.
  *
- * Pure over the blackboard: no I/O, no clock; `now` and the seed are passed in, so that a run
- * replays exactly.  flow.c asks, the answers say why. */
+ * Works on the blackboard (board.h) only: no I/O and no clock.  `now` and the seed are arguments,
+ * so a run is reproducible.  flow.c calls these functions; their results carry the reason. */
 #ifndef DECIDE_H
 #define DECIDE_H
 
@@ -15,7 +15,7 @@
 
 BEGIN_DECLS
 
-#define DECIDE_PREFIX_BLOCKS 64 /* of a prompt, hashed cumulatively for cache locality */
+#define DECIDE_PREFIX_BLOCKS 64 /* hashed (cumulatively) per prompt, for cache locality */
 #define DECIDE_BLOCK_TOKENS 64
 #define DECIDE_TRIED_MAX 8
 
@@ -45,40 +45,41 @@
 
 const char *decide_reason_text (enum decide_reason reason);
 
-/* One request as the decisions see it; lives in the request of flow.c until decide_finish(). */
+/* The part of a request that decisions use; a member of flow.c's request, valid until
+ * decide_finish(). */
 struct decide_request
 {
   struct handle pipeline;
-  struct handle organisation; /* none where no organisation is declared */
+  struct handle organisation; /* none when no organisation is declared */
   int64_t arrived;
   int64_t deadline;
   uint32_t input_tokens;  /* estimated from the body */
-  uint32_t output_tokens; /* generated at most, as asked */
+  uint32_t output_tokens; /* upper limit on generated tokens, from the request */
   uint32_t priority;
   bool repeatable;
-  uint32_t stage; /* the stage now running or next */
+  uint32_t stage; /* the running stage, or the next one */
   uint64_t prefix[DECIDE_PREFIX_BLOCKS];
   uint32_t n_prefix;
-  bool admitted;                          /* decide's own: counted against the limits */
-  double estimated_work;                  /* decide's own: slot seconds held against the share */
-  double stage_work[RESOURCE_STAGES_MAX]; /* decide's own: the same by stage, until it is done */
+  bool admitted;         /* private to decide: counted against the limits */
+  double estimated_work; /* private to decide: slot seconds counted against the share */
+  double stage_work[RESOURCE_STAGES_MAX]; /* private to decide: the same by stage, until done */
 };
 
 struct decide_admission
 {
   enum decide_reason reason;
-  int64_t retry_after; /* span after which asking again may help; 0 when it will not */
+  int64_t retry_after; /* microseconds after which a retry may succeed; 0 when it will not */
 };
 
 /* name, text */
 #define DECIDE_END_LIST(X)                                                                         \
-  X (WHOLE, "whole")         /* a complete, checked answer */                                      \
-  X (FAILED, "failed")       /* the target said it failed */                                       \
-  X (REFUSED, "refused")     /* the target said it did not take the work */                        \
-  X (WRONG, "wrong")         /* an answer that is not this request's */                            \
-  X (TIMED_OUT, "timed-out") /* no answer in the attempt's time */                                 \
+  X (WHOLE, "whole")         /* a complete, verified answer */                                     \
+  X (FAILED, "failed")       /* the target reported a failure */                                   \
+  X (REFUSED, "refused")     /* the target rejected the work */                                    \
+  X (WRONG, "wrong")         /* the answer belongs to another request */                           \
+  X (TIMED_OUT, "timed-out") /* no answer before the attempt's timeout */                          \
   X (BROKEN, "broken")       /* the connection failed */                                           \
-  X (LOST, "lost")           /* cancelled by us: a hedge's loser or a hopeless request */
+  X (LOST, "lost")           /* cancelled by us: a hedge lost, or the deadline cannot be met */
 
 enum decide_end
 {
@@ -93,43 +94,44 @@
 struct decide_choice
 {
   struct handle target;
-  int64_t expected;       /* when the answer is expected */
-  int64_t first_by;       /* end the attempt then if nothing came of it yet; USEC_NEVER for never */
-  int64_t give_up;        /* end the attempt then; USEC_NEVER to leave it to the deadline */
-  int64_t hedge_at;       /* start a second attempt then if budgets allow; USEC_NEVER for none */
-  uint32_t prefix_tokens; /* expected in the target's cache */
-  double work;            /* expected slot seconds, on a target with nothing else to do */
-  double fill;            /* of its slots when chosen, 0 to 1; decide's own */
-  double wait;            /* expected microseconds before it begins; decide's own */
+  int64_t expected;       /* time at which the answer is expected */
+  int64_t first_by;       /* deadline of the first output; USEC_NEVER for none */
+  int64_t give_up;        /* end of the attempt; USEC_NEVER: only the request's deadline ends it */
+  int64_t hedge_at;       /* start of a hedge if the budget allows it; USEC_NEVER for none */
+  uint32_t prefix_tokens; /* of the prompt, expected in the target's cache */
+  double work;            /* expected slot seconds on an otherwise idle target */
+  double fill;            /* share of its slots in use when chosen, 0 to 1; private to decide */
+  double wait;            /* expected microseconds in its queue; private to decide */
 };
 
-/* One attempt that ended, for learning. */
+/* A finished attempt, for learning. */
 struct decide_result
 {
   struct handle target;
   enum decide_end end;
   int64_t started;
-  int64_t first_data; /* 0 when none came */
+  int64_t first_data; /* time of the first output; 0 when none came */
   int64_t ended;
   uint32_t input_tokens; /* of this stage */
   uint32_t output_tokens;
-  uint32_t cached_tokens; /* as the engine said, 0 when it did not */
+  uint32_t cached_tokens; /* as reported by the engine; 0 when not reported */
   struct decide_choice choice;
 };
 
-/* Freed with `parent`.  NULL when memory is out. */
+/* Freed with `parent`.  NULL when out of memory. */
 struct decide *decide_new (void *parent,
                            struct board *board,
                            struct counters *counters,
                            uint64_t seed);
 
-/* At arrival.  Admitted requests are counted until decide_finish(). */
+/* Called when a request arrives.  An admitted request counts against the limits until
+ * decide_finish(). */
 struct decide_admission decide_admit (struct decide *decide,
                                       struct decide_request *request,
                                       int64_t now);
 
-/* A target for the request's current stage.  `tried` are targets that failed it.  DECIDE_ADMITTED
- * when `out` is filled. */
+/* Chooses a target for the request's current stage.  `tried` are the targets that have failed it;
+ * they are not chosen again.  DECIDE_ADMITTED when `out` is set. */
 enum decide_reason decide_choose (struct decide *decide,
                                   const struct decide_request *request,
                                   uint32_t stage_tokens,
@@ -138,8 +140,8 @@
                                   int64_t now,
                                   struct decide_choice *out);
 
-/* The attempt was started on, and ended at, its target.  `request->stage` is still the attempt's
- * stage when it ends. */
+/* Record the start and the end of an attempt.  At the end `request->stage` must still be the
+ * attempt's stage. */
 void decide_started (struct decide *decide,
                      const struct decide_request *request,
                      const struct decide_choice *choice,
@@ -149,8 +151,8 @@
                    const struct decide_result *result,
                    int64_t now);
 
-/* May a failed attempt be tried again, may a slow one get a second?  Takes from the budget when
- * the answer is DECIDE_ADMITTED.  Never asked for unrepeatable work that was sent. */
+/* Whether a failed attempt may be retried, and whether a slow one may be hedged.  DECIDE_ADMITTED
+ * takes one from the budget.  Not called for unrepeatable work that was sent. */
 enum decide_reason decide_retry (struct decide *decide,
                                  const struct decide_request *request,
                                  uint32_t attempts,
@@ -159,25 +161,25 @@
                                  const struct decide_request *request,
                                  int64_t now);
 
-/* No way left for the request to end in time? */
+/* True when the request can no longer meet its deadline. */
 bool decide_hopeless (const struct decide *decide,
                       const struct decide_request *request,
                       int64_t now);
 
-/* The request is over. */
+/* The request has ended; `whole`: with a complete answer. */
 void decide_finish (struct decide *decide, struct decide_request *request, bool whole, int64_t now);
 
-/* A cache event of an engine: a block (by cumulative hash) was stored or dropped. */
+/* A cache event of an engine: a block, named by its cumulative hash, was stored or evicted. */
 void decide_cache_event (
     struct decide *decide, struct handle target, uint64_t block, bool stored, int64_t now);
 
-/* Our share of an organisation's limits, moved between hosts by limit.c: 0 to 1. */
+/* Sets this host's share of an organisation's limits, 0 to 1, as granted by share_control.c. */
 void decide_set_share (struct decide *decide,
                        struct handle organisation,
                        double share,
                        int64_t now);
 
-/* Demand of an organisation here, in requests a second, for moving shares. */
+/* Request rate of an organisation on this host, per second, by which shares are moved. */
 double decide_demand (const struct decide *decide, struct handle organisation, int64_t now);
 
 json_t *decide_describe (const struct decide *decide, int64_t now);
--- a/src/decide_admit.c
+++ b/src/decide_admit.c
@@ -1,9 +1,10 @@
-/* Admission: limits, then whether the request can end inside its window, then priority and the
- * organisations' shares. */
+/* Admission control: first the limits, then whether the request can end before its deadline, then
+ * priority and the organisations' fair shares. */
 #include "decide_state.h"
 #include <math.h>
 
-#define OVERLOAD 0.7 /* of the window taken by waiting, from where shares count */
+#define OVERLOAD                                                                                   \
+  0.7 /* share of the spare time spent queueing, from which fair shares are enforced */
 #define RETRY_AFTER_MIN (100 * USEC_PER_MSEC)
 
 static double
@@ -51,16 +52,16 @@
     limit_undo (&organisation->limit, &entry->spec, limit_tokens (request));
 }
 
-/* Of the time left, what the expected time may take: the cost objective leaves more to what may
- * come between. */
+/* Share of the remaining time that the expected time may use.  The cost objective keeps a larger
+ * reserve for delays. */
 static const double margins[] = { [OBJECTIVE_ATTAINMENT] = 1.0, [OBJECTIVE_COST] = 0.9 };
 
 struct outlook
 {
   double work; /* slot seconds over all stages */
   double service;
-  double wait;     /* of a call of its priority */
-  double top_wait; /* of one of the highest */
+  double wait;     /* queueing delay at the request's priority, microseconds */
+  double top_wait; /* queueing delay at the highest priority, microseconds */
   bool known;
   enum objective objective;
   bool served; /* every stage has a usable target */
@@ -72,7 +73,7 @@
   return request->priority < DECIDE_PRIORITIES ? request->priority : DECIDE_PRIORITIES - 1;
 }
 
-/* How much longer the work takes with all slots in use. */
+/* Relative increase of the work's time when all slots are in use. */
 static double
 stage_slope (const struct decide_work *work)
 {
@@ -115,10 +116,10 @@
   return outlook;
 }
 
-/* Is the organisation over its weighted share of what runs here?  One more organisation of the
- * mean weight counts as present, so that one that has the host to itself leaves room for the next:
- * otherwise a flood would fill the whole window with its own waiting work, and small organisations
- * that come later would find every request refused. */
+/* True when the organisation exceeds its weighted fair share of the work admitted here.  One more
+ * organisation of mean weight is assumed to be present: otherwise an organisation that is alone on
+ * the host could fill the whole window with its own backlog, and every request of smaller
+ * organisations that come later would be refused. */
 static bool
 over_share (struct decide *decide, const struct decide_request *request)
 {
--- a/src/decide_dump.c
+++ b/src/decide_dump.c
@@ -1,4 +1,4 @@
-/* The decisions' part of the state dump. */
+/* State dump of the decisions, as JSON. */
 #include "decide_state.h"
 
 static json_t *
--- a/src/decide_pool.c
+++ b/src/decide_pool.c
@@ -1,16 +1,16 @@
-/* The index of targets by pool, kept by the board's events, so that a choice looks at one pool's
- * targets and not at all that are known. */
+/* Index of targets by pool, updated by the board's events, so that a choice scans only the targets
+ * of one pool. */
 #include "decide_state.h"
 #include "text.h"
 #include <string.h>
 #include <talloc.h>
 
-#define BEYOND_START 0.5 /* until it is learned */
-#define SLOPE_START 0.5  /* a full batch takes half as long again: until it is learned */
+#define BEYOND_START 0.5 /* initial value of the learned share */
+#define SLOPE_START 0.5  /* initial value: a full batch takes 1.5 times as long */
 #define FILL_START 0.3
-#define DEFAULT_SLOTS 8 /* of a target that announces none in a pool that declares none */
+#define DEFAULT_SLOTS 8 /* when neither the target nor its pool gives a number */
 
-/* uthash's macros are long; the function is not.
+/* The size comes from uthash's macros.
  * NOLINTBEGIN(readability-function-size) */
 struct decide_pool *
 decide_pool_get (struct decide *decide, const char *name)
@@ -41,7 +41,7 @@
   for (i = 0; i < pool->n_classes; i++)
     if (strcmp (pool->classes[i].model, model) == 0)
       return &pool->classes[i];
-  /* More models than are learned apart share the last class. */
+  /* Models beyond DECIDE_CLASSES_MAX share the last class. */
   if (pool->n_classes == DECIDE_CLASSES_MAX)
     return &pool->classes[DECIDE_CLASSES_MAX - 1];
   class = &pool->classes[pool->n_classes++];
@@ -82,7 +82,7 @@
   last->position = target->position;
   if (target->eject.until != 0 && pool->n_ejected > 0)
     pool->n_ejected--;
-  /* Its attempts end without a target to count them down on. */
+  /* Its attempts end after the target is removed and would not be subtracted then. */
   pool->running -= target->in_flight < pool->running ? target->in_flight : pool->running;
 }
 
@@ -122,8 +122,8 @@
   entry->decide = target;
 }
 
-/* A new process under an old name: its cache is empty, and what its predecessor did wrong says
- * nothing of it.  Attempts on the predecessor are still counted until they end. */
+/* A new incarnation of the target: its cache is empty, and the failures of the previous process
+ * do not apply to it.  Attempts on the previous process stay counted until they end. */
 static void
 target_restarted (struct decide *decide, struct decide_target *target, int64_t now)
 {
@@ -139,7 +139,7 @@
   prefix_forget (decide->prefixes, target->handle);
 }
 
-/* A target that moved to another pool is a new one to us. */
+/* A target that moved to another pool is removed and added as a new one. */
 static void
 target_changed (struct decide *decide, struct handle handle, int64_t now)
 {
@@ -208,7 +208,8 @@
   return entry == NULL ? 0 : slots_of (decide, entry);
 }
 
-/* The share of the pool's slots in use, as far as we can tell. */
+/* Estimated share of the pool's slots in use: from reports as far as they are recent, else from
+ * the assumption that every host has as many attempts there as this one. */
 double
 decide_pool_fill (const struct decide *decide, const struct decide_pool *pool)
 {
@@ -230,7 +231,7 @@
   return alive == 0 ? 1 : alive;
 }
 
-/* Counted anew when a host changed and a few times a second, not at each decision. */
+/* Recounts when a host changed, or REFRESH_SPAN after the last count, not at each decision. */
 void
 decide_hosts_refresh (struct decide *decide, int64_t now)
 {
@@ -240,14 +241,14 @@
   decide->hosts_at = now;
 }
 
-/* Hosts that share the targets with us, ourselves among them. */
+/* Number of live hosts that share the targets, this one included. */
 double
 decide_hosts (const struct decide *decide)
 {
   return decide->hosts > 0 ? decide->hosts : count_hosts (decide->board);
 }
 
-/* The share of a report that still counts: none once it is older than REPORT_LIFE. */
+/* Weight of a report by its age: 1 when new, falling linearly to 0 at REPORT_LIFE. */
 double
 decide_report_weight (const struct load_report *report, int64_t now)
 {
@@ -258,8 +259,8 @@
   return age <= 0 ? 1 : 1 - (double) age / REPORT_LIFE;
 }
 
-/* Count anew what the pool can take and what others have running there.  Reports are lagging, so
- * counting a few times a second is as good as at each decision. */
+/* Recounts the pool's capacity and its reported load, at most once per REFRESH_SPAN.  Reports lag
+ * anyway, so recounting at each decision would gain nothing. */
 void
 decide_pool_refresh (struct decide *decide, struct decide_pool *pool, int64_t now)
 {
--- a/src/decide_prefix.c
+++ b/src/decide_prefix.c
@@ -1,11 +1,10 @@
-/* Prefix locality: what is known of targets' caches, from own routing, from cache events, and from
- * what answers say was cached. */
+/* Prefix locality: the assumed contents of targets' caches, from this host's routing, from cache
+ * events, and from the cached token counts in answers. */
 #include "decide_state.h"
 #include <math.h>
 
-#define BEYOND_WEIGHT 0.05
-#define WRONG_SHARE                                                                                \
-  0.5 /* of the hashed blocks; with less cached the answer says nothing of the rest */
+#define BEYOND_WEIGHT 0.05 /* of a new sample */
+#define WRONG_SHARE 0.5    /* of the hashed blocks; samples with less of them cached are ignored */
 
 static bool
 has_prefix (const struct decide *decide, const struct decide_request *request)
@@ -15,8 +14,9 @@
   return spec != NULL && spec->kind == STAGE_GENERATE && request->n_prefix > 0;
 }
 
-/* Tokens cached when `blocks` of the prompt's hashed blocks are.  Only the first blocks of a long
- * prompt are hashed; when all of those are there, a learned share of the rest is too. */
+/* Estimated cached tokens when the first `blocks` hashed blocks are cached.  Only the first blocks
+ * of a long prompt are hashed; when all of them are cached, a learned share of the remaining tokens
+ * is counted as well. */
 uint32_t
 decide_prefix_tokens (const struct decide_pool *pool,
                       const struct decide_request *request,
@@ -32,7 +32,8 @@
   return held < tokens ? held : tokens;
 }
 
-/* Own routing is the earliest news of a prefix: the target will hold it once it has read it. */
+/* Records the prefix when the attempt starts, before any cache event: the target will have it
+ * cached after the prefill. */
 void
 decide_prefix_started (struct decide *decide,
                        const struct decide_request *request,
@@ -47,8 +48,8 @@
     prefix_note (decide->prefixes, request->prefix[i], target, now);
 }
 
-/* The target has read the prompt and holds it now, whatever was known before.  What it had cached
- * teaches how much of a long prompt is shared past the hashed blocks. */
+/* The target has processed the prompt, so the prefix is recorded again.  The cached token count
+ * updates the learned share of a long prompt that is cached after the hashed blocks. */
 void
 decide_prefix_ended (struct decide *decide,
                      const struct decide_request *request,
--- a/src/decide_queue.c
+++ b/src/decide_queue.c
@@ -1,15 +1,15 @@
-/* How long admitted work waits at a pool, by priority.
+/* Queueing delay of admitted work in a pool, by priority.
  *
- * Engines honour priorities, so a call waits behind what has its priority or a higher one, and a
- * higher one that comes later still goes before it. */
+ * Engines schedule by priority: a call waits for the backlog of its own and higher priorities, and
+ * calls of higher priority that arrive later overtake it. */
 #include "decide_state.h"
 #include <math.h>
 
 #define RATE_SPAN (5.0 * USEC_PER_SEC) /* time constant of the rate's decay */
-/* Higher priorities go on coming only as long as the burst does, and waiting costs nothing: of
- * what they would add, this is believed. */
+/* Share of the expected later arrivals of higher priority that is counted.  They continue only as
+ * long as the burst does, and admitting a call that then waits costs nothing. */
 #define LATER_TRUST 0.4
-#define HIGHER_MAX 0.8 /* of the slots that higher priorities can be thought to take */
+#define HIGHER_MAX 0.8 /* upper bound on the share of slots taken by higher priorities */
 
 static double
 rate_now (const struct decide_queue *queue, int64_t now)
@@ -36,12 +36,12 @@
   queue->work = queue->count == 0 ? 0 : fmax (0, queue->work - work);
 }
 
-/* The slots that are ours: an even share; or, where reports show it, what others leave free or the
- * share of the calls that are ours, since callers come to hosts unevenly.
+/* Slots of the pool available to this host: an even split, or, by load reports, the larger of the
+ * slots that other hosts leave free and this host's share of the running calls, since callers are
+ * spread unevenly over hosts.
  *
- * XXX: where callers are on a few of many hosts (64 groups, 360 hosts) a loaded host's part is
- * still too small at the start of a burst, and random choice without admission attains 0.003 more.
- */
+ * XXX: when the callers use a few of many hosts (64 groups, 360 hosts), a loaded host's part is
+ * too small at the start of a burst: random choice without admission attains 0.003 more. */
 static double
 our_slots (const struct decide *decide, const struct decide_pool *pool)
 {
@@ -52,8 +52,8 @@
   return fmax (even, fmax (ours, pool->slots - others) * pool->reports);
 }
 
-/* Microseconds before a new call of that priority begins; `slope` is how much longer work takes
- * with all slots in use. */
+/* Expected queueing delay of a new call at `priority`, in microseconds.  `slope` is the relative
+ * increase of the work's time when all slots are in use. */
 double
 decide_queue_wait (const struct decide *decide,
                    const struct decide_pool *pool,
--- a/src/decide_state.h
+++ b/src/decide_state.h
@@ -1,4 +1,4 @@
-/* What the decisions keep between calls; private to decide*.c. */
+/* State of the decisions; private to decide*.c. */
 #ifndef DECIDE_STATE_H
 #define DECIDE_STATE_H
 
@@ -11,36 +11,36 @@
 #include "rng.h"
 #include <uthash.h>
 
-#define DECIDE_CLASSES_MAX 8           /* models learned apart in one pool */
-#define REPORT_LIFE (4 * USEC_PER_SEC) /* a load report is unknown once it is this old */
+#define DECIDE_CLASSES_MAX 8           /* models of a pool with times of their own */
+#define REPORT_LIFE (4 * USEC_PER_SEC) /* load reports of this age are ignored */
 #define DECIDE_PRIORITIES 10
 #define PREFIX_SETS 8192 /* 768 KiB; 65,536 sampled blocks */
 #define REFRESH_SPAN (100 * USEC_PER_MSEC)
 
-/* How a time grows with the share of the target's slots in use: 1 + slope * fill. */
+/* Growth of a time with the share of the target's slots in use (`fill`): 1 + slope * fill. */
 struct decide_slope
 {
   double slope;
-  double mean_fill; /* of the samples, so that slope and times are learned apart */
+  double mean_fill; /* of the samples; separates the slope from the times */
 };
 
-/* What was learned of one model of a pool.  Times are those of a target with nothing else to do:
- * what its other calls add is taken out by the slopes. */
+/* Learned times of one model of a pool, on an otherwise idle target: the slopes remove what the
+ * target's other calls add. */
 struct decide_class
 {
   char model[RESOURCE_NAME_SIZE];
-  struct learn_sizes first; /* time to the first output by tokens not cached */
-  struct learn_sizes token; /* time between generated tokens, all in one size */
+  struct learn_sizes first; /* time to the first output, by uncached tokens */
+  struct learn_sizes token; /* time between generated tokens, in a single size bucket */
   struct decide_slope first_slope;
   struct decide_slope token_slope;
 };
 
-/* Stages of our admitted requests at one pool and priority that are not done. */
+/* Unfinished stages of requests admitted on this host, for one pool and priority. */
 struct decide_queue
 {
   uint32_t count;
   double work; /* slot seconds */
-  double rate; /* slot seconds admitted a second, decayed */
+  double rate; /* slot seconds admitted per second, decayed */
   int64_t rate_at;
 };
 
@@ -54,48 +54,48 @@
   struct decide_class classes[DECIDE_CLASSES_MAX];
   uint32_t n_classes;
   struct decide_queue queues[DECIDE_PRIORITIES];
-  double log_drift; /* how far the whole pool is off its learned times now */
-  double drift;     /* from log_drift */
+  double log_drift; /* log of the pool's current times over its learned times */
+  double drift;     /* factor derived from log_drift */
   int64_t drift_at;
-  double timeouts; /* of the last seconds, each target once until it answers */
+  double timeouts; /* recent, decayed; a target counts once until it answers */
   int64_t timeouts_at;
-  double log_slowness; /* the sum of its targets' */
-  double beyond;       /* share cached of a prompt's tokens past its hashed blocks, learned */
-  uint32_t running;    /* our attempts */
-  double slots;        /* of its usable targets, as last counted */
-  uint32_t n_usable;   /* the same */
-  double reported;     /* calls running and waiting there, from all hosts, by fresh reports */
-  double reports;      /* how far `reported` can be trusted, 0 to 1 */
+  double log_slowness; /* sum over its targets */
+  double beyond;       /* learned cached share of the tokens after a prompt's hashed blocks */
+  uint32_t running;    /* attempts of this host */
+  double slots;        /* of its usable targets, when last refreshed */
+  uint32_t n_usable;   /* when last refreshed */
+  double reported;     /* calls of all hosts running or queued there, by recent reports */
+  double reports;      /* confidence in `reported`, 0 to 1 */
   int64_t refreshed_at;
   UT_hash_handle hh;
 };
 
-/* What was learned of one target. */
+/* State of one target. */
 struct decide_target
 {
   struct handle handle;
   struct decide_pool *pool;
-  uint32_t position;    /* in the pool's `targets` */
-  uint64_t incarnation; /* of the process this was learned of */
-  uint32_t in_flight;   /* our attempts on it */
-  double work;          /* expected slot seconds of them */
-  double log_slowness;  /* its time over the pool's, learned; 0 when unknown */
-  double slowness;      /* what of it is beyond chance, as a factor */
-  int64_t added_at;     /* for slow start */
-  bool timed_out;       /* and gave no whole answer since */
+  uint32_t position;    /* index in the pool's `targets` */
+  uint64_t incarnation; /* of the process that the state describes */
+  uint32_t in_flight;   /* attempts of this host */
+  double work;          /* expected slot seconds of the attempts in flight */
+  double log_slowness;  /* log of its time over the pool's, learned; 0 when unknown */
+  double slowness;      /* factor derived from log_slowness, without random variation */
+  int64_t added_at;     /* start of its slow start */
+  bool timed_out;       /* an attempt timed out, and no complete answer came since */
   struct eject eject;
 };
 
 struct decide_stage
 {
-  double extra_tokens; /* a stage's tokens beyond the request's, learned */
-  double cached_share; /* of its tokens, learned */
+  double extra_tokens; /* learned difference of the stage's tokens and the request's */
+  double cached_share; /* learned share of its tokens that are cached */
   bool known;
 };
 
 struct decide_pipeline
 {
-  uint32_t generation; /* of the board's handle this was learned for */
+  uint32_t generation; /* of the board's handle that the state belongs to */
   struct budget retries;
   struct budget hedges;
   struct decide_stage stages[RESOURCE_STAGES_MAX];
@@ -105,30 +105,30 @@
 {
   uint32_t generation;
   struct limit limit;
-  double work; /* slot seconds held by its admitted requests */
+  double work; /* estimated slot seconds of its admitted requests */
 };
 
 struct decide
 {
-  struct board_subscriber subscriber; /* first: the board calls back with it */
+  struct board_subscriber subscriber; /* must be first: the board passes it to callbacks */
   struct board *board;
   struct rng rng;
   struct prefix_index *prefixes;
   struct decide_pool *pools;                  /* by name */
-  struct decide_pipeline **pipelines;         /* by the handle's index, NULL until used */
-  struct decide_organisation **organisations; /* the same */
-  double hosts;       /* that share the targets, ourselves among them; 0: to be counted */
+  struct decide_pipeline **pipelines;         /* by handle index, NULL until used */
+  struct decide_organisation **organisations; /* by handle index, NULL until used */
+  double hosts;       /* live hosts that share the targets, this one included; 0: recount */
   int64_t hosts_at;   /* when last counted */
-  uint32_t n_running; /* admitted requests not finished */
+  uint32_t n_running; /* admitted requests that have not ended */
   struct counter *verdicts[DECIDE_REASON_COUNT];
   struct counter *ends[DECIDE_END_COUNT];
-  struct counter *finished_whole; /* admitted requests that ended whole */
+  struct counter *finished_whole; /* admitted requests that ended with a complete answer */
   struct counter *finished_other;
   struct counter *ejections;
-  struct counter *saved_work; /* slot seconds not spent: refused or hopeless */
+  struct counter *saved_work; /* slot seconds not spent on requests that cannot end in time */
 };
 
-/* decide_pool.c: the index of targets by pool */
+/* decide_pool.c: index of targets by pool */
 struct decide_pool *decide_pool_get (struct decide *decide, const char *name);
 void decide_index_all (struct decide *decide, int64_t now);
 void decide_index_changed (struct board_subscriber *subscriber,
@@ -143,7 +143,7 @@
 double decide_report_weight (const struct load_report *report, int64_t now);
 void decide_pool_refresh (struct decide *decide, struct decide_pool *pool, int64_t now);
 
-/* decide_prefix.c: prompts cached on targets */
+/* decide_prefix.c: prompt prefixes cached on targets */
 uint32_t decide_prefix_tokens (const struct decide_pool *pool,
                                const struct decide_request *request,
                                uint32_t blocks,
@@ -158,24 +158,24 @@
                           const struct decide_result *result,
                           int64_t now);
 
-/* decide_time.c: what stages are expected to take */
+/* decide_time.c: expected times of stages */
 struct decide_work
 {
-  struct learn_span first;  /* microseconds to the first output, alone on the target */
-  struct learn_span tokens; /* from there to the end */
+  struct learn_span first;  /* microseconds to the first output on an idle target */
+  struct learn_span tokens; /* microseconds from the first output to the end */
   double first_slope;
   double token_slope;
   bool known;
 };
 
-/* Alone on the target. */
+/* Expected time on an otherwise idle target, in microseconds. */
 static inline double
 decide_work_alone (const struct decide_work *work)
 {
   return work->first.middle + work->tokens.middle;
 }
 
-/* With `fill` of the target's slots in use. */
+/* Expected time with the share `fill` of the target's slots in use, in microseconds. */
 static inline double
 decide_work_at (const struct decide_work *work, double fill)
 {
@@ -205,14 +205,14 @@
                               const struct decide_request *request,
                               uint32_t stage);
 
-/* Tokens of a stage that are expected in some target's cache. */
+/* Number of the stage's tokens that are expected to be cached on some target. */
 uint32_t decide_stage_cached (struct decide *decide,
                               const struct decide_request *request,
                               uint32_t stage,
                               uint32_t tokens);
 
-/* Of the stages from `stage` on, microseconds: what they take at least, and as expected at the
- * fill their pools have now; known when all of them are. */
+/* Time of the stages from `stage` on, in microseconds: the minimum, and the time expected at the
+ * current fill of their pools.  `known` when the times of all these stages are. */
 struct decide_rest
 {
   double low;
@@ -229,8 +229,8 @@
 void decide_time_timed_out (struct decide_target *target,
                             const struct decide_result *result,
                             int64_t now);
-/* How much longer than usual an attempt may take: a pool of which many targets time out is slow,
- * and ending its attempts to start them again only makes it slower. */
+/* Factor on the timeouts of attempts.  When many targets of a pool time out, the pool is
+ * overloaded, and cancelling attempts to restart them adds to its load. */
 double decide_patience (const struct decide_pool *pool, int64_t now);
 void decide_drift_refresh (struct decide_pool *pool, int64_t now);
 void decide_time_learn (struct decide *decide,
@@ -239,7 +239,7 @@
                         struct decide_target *target,
                         const struct decide_result *result);
 
-/* decide_queue.c: what was admitted to a pool and how long it waits there */
+/* decide_queue.c: backlog of admitted work in a pool and its queueing delay */
 void decide_queue_add (struct decide_queue *queue, double work, int64_t now);
 void decide_queue_remove (struct decide_queue *queue, double work);
 double decide_queue_wait (const struct decide *decide,
@@ -248,7 +248,7 @@
                           double slope,
                           int64_t now);
 
-/* decide_admit.c: a stage of an admitted request is done or will not be run */
+/* decide_admit.c: a stage of an admitted request is done or will not run */
 void decide_stage_over (struct decide *decide, struct decide_request *request, uint32_t stage);
 
 /* decide.c */
--- a/src/decide_target.c
+++ b/src/decide_target.c
@@ -1,37 +1,37 @@
-/* The choice of a target: the least expected finish among a few drawn at random.
+/* Choice of a target: the earliest expected finish among a few random candidates.
  *
  * Two random choices instead of one make the longest queue exponentially shorter (Mitzenmacher,
- * "The power of two choices in randomized load balancing", 2001), and sampling keeps hosts that
- * see the same old reports from all running to the target that looks idle. */
+ * "The power of two choices in randomized load balancing", 2001).  Sampling also prevents herding:
+ * hosts that see the same old reports don't all choose the target that looks idle. */
 #include "decide_state.h"
 #include <math.h>
 #include <string.h>
 
 #define SAMPLES 2
 #define RETRY_SAMPLES 16
-#define DRAWS_MAX 16     /* random draws before targets are looked at in turn */
-#define OTHER_DOMAIN 0.5 /* factor on a retry's score in another failure domain */
-/* For the cost objective reading a prompt counts this much more than waiting: it also drives
- * another prompt out of a cache.
- * XXX: cost on the bkk trace is 13% under least reported load, not 15%. */
+#define DRAWS_MAX 16     /* random draws before the pool is scanned */
+#define OTHER_DOMAIN 0.5 /* factor on the score of a retry in another failure domain */
+/* Additional weight of the prefill time for the cost objective: a prefill also evicts another
+ * prompt from the cache.
+ * XXX: on the bkk trace the cost is 13% below that of the least-reported-load policy, not 15%. */
 #define READING_WEIGHT 3
 #define SLOW_START (5 * USEC_PER_SEC)
-#define SLOW_START_FACTOR 4.0 /* a fresh target's score, down to 1 over SLOW_START */
+#define SLOW_START_FACTOR 4.0 /* factor on a new target's score, falling to 1 during SLOW_START */
 #define LOAD_BOUND 1.5
 #define LOAD_BOUND_EXTRA 2
-#define GIVE_UP_TIMES 3.0
-#define GIVE_UP_LEAST 1.5
+#define GIVE_UP_TIMES 3.0 /* of the expected high time: an attempt's timeout */
+#define GIVE_UP_LEAST 1.5 /* of the same: no timeout when less time is left for the attempt */
 #define GIVE_UP_MIN (250.0 * USEC_PER_MSEC)
 
 struct candidate
 {
   struct decide_target *target;
   const struct board_target *entry;
-  uint32_t cached; /* tokens of the prompt thought to be in its cache */
+  uint32_t cached; /* tokens of the prompt expected in its cache */
   struct decide_work work;
-  double fill;     /* of its slots, with this call */
-  double wait;     /* microseconds */
-  double expected; /* microseconds */
+  double fill;     /* share of its slots in use, with this call */
+  double wait;     /* queueing delay, microseconds */
+  double expected; /* time to the end, microseconds */
   double score;
 };
 
@@ -45,7 +45,7 @@
   uint32_t n_tried;
   uint32_t tokens;
   enum objective objective;
-  struct decide_work work; /* with nothing cached */
+  struct decide_work work; /* without cached tokens */
   double hosts;
   int64_t now;
 };
@@ -96,8 +96,9 @@
   return false;
 }
 
-/* Calls of other hosts on the target: what its report shows beyond ours, fading to what the other
- * hosts would have there if they were like us. */
+/* Number of calls of other hosts on the target: the reported calls minus ours.  As the report ages
+ * the weight moves to an estimate: each other host has as many attempts in the pool as this one,
+ * spread evenly over its targets. */
 static double
 others_on (const struct search *search, const struct candidate *candidate)
 {
@@ -120,7 +121,7 @@
   int64_t age = search->now - target->added_at;
 
   candidate->fill = fmin ((load + 1) / slots, 1);
-  /* Every end frees a slot: who stands n-th in the queue waits for n of them. */
+  /* Each call that ends frees a slot: the n-th in the queue waits for n calls to end. */
   candidate->wait = load < slots ? 0 : (load - slots + 1) * mean / slots;
   candidate->wait *= 1 + candidate->work.token_slope;
   candidate->expected =
@@ -135,7 +136,7 @@
     candidate->score *= OTHER_DOMAIN;
 }
 
-/* Is the target one to consider; fills the candidate when it is. */
+/* True, and `out` set, when the target may be chosen. */
 static bool
 consider (const struct search *search, struct decide_target *target, struct candidate *out)
 {
@@ -159,7 +160,7 @@
     *best = *other;
 }
 
-/* From a random place, every target in turn until enough were found. */
+/* Scans the pool from a random position until `enough` candidates were found. */
 static void
 sweep (struct search *search, uint32_t enough, struct candidate *best)
 {
@@ -179,7 +180,7 @@
     }
 }
 
-/* Random draws; the same target drawn twice counts once. */
+/* Draws candidates at random, without repetition. */
 static void
 sample (struct search *search, struct candidate *best)
 {
@@ -200,13 +201,14 @@
       keep_better (best, &candidate);
       places[found++] = place;
     }
-  /* Most of the pool cannot be used, or it is small: look at what there is. */
+  /* The pool is small, or most of it is unusable: scan it. */
   if (found < SAMPLES)
     sweep (search, SAMPLES, best);
 }
 
-/* More than BOUND times its even share of our work, and a few: a popular prefix must not sink its
- * target (Mirrokni et al., "Consistent hashing with bounded loads", 2018). */
+/* True when the target has more than LOAD_BOUND times its even share of our attempts, plus
+ * LOAD_BOUND_EXTRA: a popular prefix must not overload the target that has it cached (Mirrokni et
+ * al., "Consistent hashing with bounded loads", 2018). */
 static bool
 is_over_bound (const struct search *search, const struct decide_target *target)
 {
@@ -215,7 +217,7 @@
   return target->in_flight > LOAD_BOUND * even + LOAD_BOUND_EXTRA;
 }
 
-/* Targets that hold part of the prompt, at the time they would need for the rest. */
+/* Evaluates the targets that have part of the prompt cached, by the time for the remaining part. */
 static void
 consider_holders (struct search *search, struct candidate *best)
 {
@@ -248,7 +250,7 @@
 static void
 search_pool (struct search *search, struct candidate *best)
 {
-  /* A retry has lost time already: it looks further, to find another failure domain. */
+  /* A retry has lost time already, so more targets are scanned to find another failure domain. */
   if (search->n_tried > 0)
     sweep (search, RETRY_SAMPLES, best);
   else
@@ -256,8 +258,10 @@
   consider_holders (search, best);
 }
 
-/* An attempt that hangs must end while another can still make the window: once it has taken a
- * multiple of what nearly all take, or at the latest when what is left covers the rest. */
+/* Timeout of an attempt, so that one that hangs ends while another can still meet the deadline:
+ * GIVE_UP_TIMES `span`, a time that nearly all attempts stay under; at the latest when the time
+ * left just suffices for the stages from this one on.  USEC_NEVER when no other attempt is allowed
+ * or could end in time. */
 static int64_t
 end_by (const struct search *search, const struct board_pipeline *pipeline, double span)
 {
@@ -275,14 +279,15 @@
   return span * GIVE_UP_LEAST <= latest ? search->now + (int64_t) latest : USEC_NEVER;
 }
 
-/* A time that is not known yet: half of the window, so that a hang leaves room for another. */
+/* Sets the attempt's timeouts.  While its time is unknown: half of the time left, so that another
+ * attempt is possible after a hang. */
 static void
 bound_attempt (const struct search *search,
                const struct board_pipeline *pipeline,
                const struct candidate *best,
                struct decide_choice *out)
 {
-  /* What is thought to be cached may be gone: that is no hang. */
+  /* For an uncached prompt: the cached prefix may have been evicted, which is not a hang. */
   const struct decide_work *work = &search->work;
   double slowness = fmax (1, best->target->slowness) * decide_patience (search->pool, search->now);
   double first = work->first.high * (1 + work->first_slope * best->fill);
--- a/src/decide_time.c
+++ b/src/decide_time.c
@@ -1,26 +1,24 @@
-/* What stages are expected to take, learned by pool, model and size. */
+/* Expected times of stages, learned by pool, model and number of tokens. */
 #include "decide_state.h"
 #include <math.h>
 
-#define UNKNOWN_MIDDLE                                                                             \
-  (100.0 * USEC_PER_MSEC) /* to compare targets by, before anything is known                       \
-                           */
-#define EXTRA_WEIGHT 0.1  /* of a new sample of a stage's extra tokens */
-#define SLOWNESS_WEIGHT 0.15
-#define SLOWNESS_IGNORED 0.2 /* what chance makes */
+#define UNKNOWN_MIDDLE (100.0 * USEC_PER_MSEC) /* to compare targets before a time is learned */
+#define EXTRA_WEIGHT 0.1                       /* of a new sample of a stage's extra tokens */
+#define SLOWNESS_WEIGHT 0.15                   /* of a new sample */
+#define SLOWNESS_IGNORED 0.2                   /* log ratio within random variation */
 #define SLOWNESS_HALF_LIFE (20.0 * USEC_PER_SEC)
 #define TIMEOUTS_HALF_LIFE (10.0 * USEC_PER_SEC)
-#define PATIENT_SHARE 0.25 /* of the targets */
-#define PATIENCE 4
-#define DRIFT_WEIGHT 0.1
-#define DRIFT_IGNORED 0.4
+#define PATIENT_SHARE 0.25 /* of the targets timing out, from which timeouts are extended */
+#define PATIENCE 4         /* factor on the timeouts then */
+#define DRIFT_WEIGHT 0.1   /* of a new sample */
+#define DRIFT_IGNORED 0.4  /* log ratio within random variation */
 #define DRIFT_HALF_LIFE (5.0 * USEC_PER_SEC)
 #define LOG_DRIFT_MAX 2.5
-#define TOKEN_SIZE 1 /* a token takes what it takes, however many there are */
+#define TOKEN_SIZE 1 /* the time per token does not depend on their number */
 #define SLOPE_RATE 2.0
 #define SLOPE_MAX 8.0
 #define SLOPE_MEAN_WEIGHT 0.02
-#define REST_MAX 1.0         /* a sample far off is an accident, not a slope */
+#define REST_MAX 1.0         /* bound on a sample's log residual: a larger one is an outlier */
 #define LOG_SLOWNESS_MAX 3.5 /* 33 times slower or faster */
 
 static struct learn_span
@@ -100,8 +98,9 @@
   return (uint32_t) (cached_share (decide, request, stage) * tokens);
 }
 
-/* The least time counts nearly all as cached once anything was: a long document that is in a cache
- * takes hardly any time, and a request must not be cancelled that could still end. */
+/* `low` leaves out the time to the first output when any tokens are expected to be cached: a long
+ * document that is cached takes hardly any time, and a request that could still meet its deadline
+ * must not be cancelled. */
 struct decide_rest
 decide_rest_time (struct decide *decide,
                   const struct decide_request *request,
@@ -168,8 +167,8 @@
   target->slowness = exp (beyond (log_slowness - mean, SLOWNESS_IGNORED));
 }
 
-/* A target's slowness is relative to its pool: what all have in common belongs to the pool's
- * times, or the two would drift apart.  `ratio` is its time over the pool's. */
+/* `ratio` is the target's time over the pool's.  Slowness is relative to the pool's mean: what all
+ * targets have in common belongs to the pool's times, or the two estimates would diverge. */
 static void
 learn_slowness (struct decide_target *target, double ratio)
 {
@@ -184,16 +183,16 @@
   set_slowness (target, 0);
 }
 
-/* A target thought slow gets less work and so fewer samples to show that it is not: what is thought
- * of it fades. */
+/* Decays the slowness: a target that is estimated slow gets less work, and so too few samples to
+ * correct the estimate. */
 void
 decide_slowness_fade (struct decide_target *target, int64_t span)
 {
   set_slowness (target, target->log_slowness * exp2 (-(double) span / SLOWNESS_HALF_LIFE));
 }
 
-/* Only a drift beyond what chance makes counts; it fades with time, so that a pool thought too slow
- * for any work is tried again. */
+/* Ignores a drift within random variation.  The drift decays with time, so that a pool estimated
+ * too slow for any request is tried again. */
 void
 decide_drift_refresh (struct decide_pool *pool, int64_t now)
 {
@@ -203,8 +202,8 @@
   pool->drift = exp (beyond (pool->log_drift, DRIFT_IGNORED));
 }
 
-/* A whole pool that turns slow shows in its next few answers; the times by size need hundreds.
- * The drift takes it up at once and gives it over to the times in the long run. */
+/* When a whole pool slows down, its next few answers show it, but the times by size need hundreds
+ * of samples.  The drift follows at once; as it decays, the learned times take over the change. */
 static void
 learn_drift (struct decide_pool *pool, double ratio, int64_t now)
 {
@@ -230,7 +229,7 @@
   return share < PATIENT_SHARE ? 1 : PATIENCE;
 }
 
-/* An attempt that timed out took at least that long. */
+/* The time of an attempt that timed out is a lower bound, used as a sample of the drift. */
 void
 decide_time_timed_out (struct decide_target *target,
                        const struct decide_result *result,
@@ -249,8 +248,9 @@
     learn_drift (target->pool, took / expected, now);
 }
 
-/* Take out of `span` what the target's other calls added, and teach the slope with the rest.  Only
- * the way the rest goes with the fill teaches the slope; its mean teaches the time. */
+/* Updates the slope and returns `span` without what the target's other calls added.  Only the
+ * correlation of the residual with the fill changes the slope; the mean of the residual belongs to
+ * the learned time. */
 static double
 learn_slope (struct decide_slope *slope, double fill, double span, double expected_alone)
 {
@@ -268,8 +268,8 @@
   return span / factor;
 }
 
-/* A time on this target: teaches the pool's times, without the target's slowness.  Returns the time
- * over the pool's; 0 when that is not known. */
+/* Records a time on this target in the pool's times, after dividing by the target's slowness and
+ * the pool's drift.  Returns its ratio to the pool's time; 0 when that is unknown. */
 static double
 learn_part (struct decide *decide,
             struct learn_sizes *times,
@@ -289,8 +289,8 @@
   return known.middle > 0 ? alone * target->slowness / known.middle : 0;
 }
 
-/* What the attempt took is split into waiting, as was expected, the target's slowness, what its
- * other calls added, and the pool's times, which learn what is left. */
+/* Splits the attempt's time into the expected queueing delay, the target's slowness, the effect of
+ * the target's other calls, and the remainder, a sample of the pool's times. */
 void
 decide_time_learn (struct decide *decide,
                    const struct decide_request *request,
@@ -312,10 +312,11 @@
   double ratio = 0;
 
   learn_tokens (decide, request, result->input_tokens, result->cached_tokens);
-  /* A call that waited says little of the time to the first output. */
+  /* The time to the first output of a queued call includes an unknown wait. */
   if (result->choice.wait <= 0 || !was_known)
     ratio = learn_part (decide, &class->first, &class->first_slope, uncached, first, target, fill);
-  /* Tokens come one like the other, and whatever was cached: they say most of the target. */
+  /* The time per token varies little and does not depend on caching, so it is the best measure of
+   * the target's slowness. */
   if (generates && result->output_tokens > 0)
     ratio = learn_part (decide, &class->token, &class->token_slope, TOKEN_SIZE,
                         (took - first) / result->output_tokens, target, fill);
