--- a/src/balance.c
+++ b/src/balance.c
@@ -1,4 +1,4 @@
-/* Which target a request goes to. */
+/* Load balancing over the targets of a pool. */
 #include "balance.h"
 #include "text.h"
 #include <math.h>
@@ -8,17 +8,17 @@
 
 #define CANDIDATES_MAX 8192
 
-/* Between engines that cost the same up to so much, in microseconds, the prompt's key decides. */
+/* Maximum of the hash-based tie-break between engines of similar cost, in microseconds. */
 #define FIRST_PLACE_US 5000.0
 
-/* To go elsewhere than to its home a prompt must save this share of what reading its shared parts
- * again would weigh, and so much at most.  Hosts that all restart know nothing of what engines
- * hold; a part that was first read at its home is found there again.  Of forty days' mean worth
- * 0.002 less for shared parts read again, 0.530 in place of 0.523 in all. */
+/* Cost of not using a prompt's home engine: this share of the cost of prefilling its shared parts
+ * again, up to a maximum.  When all hosts restart they don't know the engines' caches; a part that
+ * was first prefilled on its home engine is found there again.  Over forty days this lost 0.002
+ * less of the mean worth to repeated prefill, 0.530 instead of 0.523 in all. */
 #define HOME_SHARE 0.3
 #define HOME_MOST_US 80000.0
 
-/* A share of failed calls above which a target whose calls sometimes succeed is ejected too. */
+/* Share of failed calls above which a target is ejected even without consecutive failures. */
 #define FAILING_SHARE 0.3
 
 void
@@ -41,8 +41,9 @@
   return target;
 }
 
-/* A target that started again holds nothing, and what was seen of the start before says nothing.
- * Calls to that one are still counted in flight until their connections end. */
+/* Resets the state for a new incarnation of the target: its cache is empty, and observations of the
+ * previous one do not apply.  Calls to the previous one stay in flight until their connections
+ * end. */
 static void
 forget_incarnation (struct balance *balance, struct balance_target *target)
 {
@@ -122,8 +123,8 @@
   return false;
 }
 
-/* Candidates of three ranks: sound ones; ejected ones; those that stopped renewing, which may be
- * cut off from the controllers only and are better than nothing. */
+/* Collects the candidates of the best of three ranks that has any: usable targets; also ejected
+ * ones; also those that stopped renewing, which may only be partitioned from the controllers. */
 static uint32_t
 gather (const struct balance *balance,
         const char *pool,
@@ -163,7 +164,7 @@
   return BALANCE_FIRST_LATENCY + (target->latency - BALANCE_FIRST_LATENCY) * exp2 (-age);
 }
 
-/* Fewest in flight by the time each takes, with a bonus for our own failure domain. */
+/* Minimizes requests in flight times latency, with a bonus for our failure domain. */
 static struct balance_target *
 least_loaded (struct balance *balance, struct balance_target **candidates, uint32_t n, int64_t now)
 {
@@ -211,8 +212,8 @@
          + BALANCE_CROSSING_US * crossing;
 }
 
-/* A prompt that no engine knows gets the same place from all hosts: they do not hear of each
- * other's choice at once. */
+/* Rendezvous hash of target and prompt, 0 to 1, the same on every host: for a prompt that no engine
+ * has cached, all hosts choose the same target before they learn of each other's choices. */
 static double
 first_place (const struct balance_target *target, const struct balance_prompt *prompt)
 {
@@ -223,7 +224,7 @@
   return (double) (score >> 11) / (double) (UINT64_C (1) << 53);
 }
 
-/* The engine that a prompt goes to where nothing is known, the same on every host. */
+/* The prompt's home: the engine chosen when no cache is known, the same on every host. */
 static const struct balance_target *
 home_of (struct balance_target *const *candidates, uint32_t n, const struct balance_prompt *prompt)
 {
@@ -298,7 +299,7 @@
   return chosen != NULL ? chosen : least_loaded (balance, candidates, n, now);
 }
 
-/* As all hosts together know of an engine; of another target, as this one does. */
+/* Number of running requests: of all hosts for a model engine, of this host for another target. */
 static uint32_t
 running_at (const struct balance *balance,
             const struct balance_target *target,
--- a/src/eject.c
+++ b/src/eject.c
@@ -1,4 +1,4 @@
-/* The states of one target's ejection. */
+/* Circuit breaker of one target. */
 #include "eject.h"
 #include "usec.h"
 
@@ -45,7 +45,7 @@
 {
   if (eject->until != 0)
     {
-      /* A failed probe; failures of attempts from before the ejection change nothing. */
+      /* Only a failed probe counts, not attempts started before the ejection. */
       if (eject->probing)
         put_out (eject, now);
       return false;
--- a/src/eject.h
+++ b/src/eject.h
@@ -1,8 +1,8 @@
-/* Ejection of a target that fails, answers wrongly or hangs, and its probing.
+/* Circuit breaker of one target: ejection of a target that fails, answers wrongly or hangs.
  *
- * Consecutive failures eject it for a while that doubles with each ejection; then one attempt at a
- * time probes it, and a whole answer brings it back.  How many of a pool may be out at once is the
- * caller's to bound. */
+ * Consecutive failures eject the target for a time that doubles with each ejection.  Then one
+ * attempt at a time probes it, and a complete answer ends the ejection.  The caller limits how many
+ * targets of a pool are ejected at once. */
 #ifndef EJECT_H
 #define EJECT_H
 
@@ -14,29 +14,30 @@
 
 struct eject
 {
-  int64_t until;     /* ejected until then; 0 while in use */
-  uint32_t failures; /* in a row */
-  uint32_t times;    /* ejected in a row, without a whole answer between */
-  bool probing;      /* one attempt is out to see whether it is back */
+  int64_t until;     /* end of the ejection; 0 while in use */
+  uint32_t failures; /* consecutive */
+  uint32_t times;    /* ejections since the last complete answer */
+  bool probing;      /* a probe is in flight */
 };
 
 enum eject_state
 {
   EJECT_IN_USE,
   EJECT_OUT,   /* no attempts */
-  EJECT_PROBE, /* one attempt may be sent */
+  EJECT_PROBE, /* one attempt may be sent as a probe */
 };
 
 enum eject_state eject_state (const struct eject *eject, int64_t now);
 
-/* An attempt was started; it is the probe when the target was due for one. */
+/* Records the start of an attempt, which is the probe when the ejection time is over. */
 void eject_started (struct eject *eject, int64_t now);
 void eject_success (struct eject *eject);
 
-/* `may_eject` says whether the pool's bound leaves room; true when this failure ejected it. */
+/* Records a failure that counts `weight` times.  `may_eject`: the pool's bound allows another
+ * ejection.  True when this failure ejected the target; false for a failed probe. */
 bool eject_failure (struct eject *eject, uint32_t weight, bool may_eject, int64_t now);
 
-/* An attempt ended without saying anything of the target (cancelled by us). */
+/* Records the end of an attempt without a result (cancelled by us). */
 void eject_neutral (struct eject *eject);
 
 END_DECLS
--- a/src/learn.c
+++ b/src/learn.c
@@ -1,4 +1,4 @@
-/* Decaying log-bucket histograms of a time, one a size bucket. */
+/* Decaying log-bucket histograms of a time, one per size bucket. */
 #include "learn.h"
 #include <math.h>
 #include <talloc.h>
--- a/src/learn.h
+++ b/src/learn.h
@@ -1,8 +1,8 @@
-/* Learned distributions of a time by size: wide while unknown, narrow with samples.
+/* Learned distribution of a time by size: wide with few samples, narrower with more.
  *
- * Each size bucket (a factor of two in tokens) keeps a log-bucket histogram whose old samples are
- * halved away, so that it follows a change within some hundred samples.  The three quantiles that
- * decisions read are kept ready, which makes a read a few instructions. */
+ * Each size bucket (a factor of two in tokens) is a log-bucket histogram whose weights are halved
+ * regularly, so that it follows a change within a few hundred samples.  The three quantiles that
+ * decisions read are computed at each sample, so that a read takes a few instructions. */
 #ifndef LEARN_H
 #define LEARN_H
 
@@ -12,15 +12,15 @@
 BEGIN_DECLS
 
 #define LEARN_SIZES 20      /* buckets of tokens, from 1 to 2^19 and above */
-#define LEARN_PER_OCTAVE 4  /* a quantile is within 9% of the sample */
-#define LEARN_BUCKETS 96    /* from 64 us, 24 octaves: to about 18 minutes */
+#define LEARN_PER_OCTAVE 4  /* error of a quantile: 9% at most */
+#define LEARN_BUCKETS 96    /* 24 octaves from 64 us, to about 18 minutes */
 #define LEARN_WINDOW 256    /* samples after which all weights are halved */
-#define LEARN_MIN_SAMPLES 4 /* before which a size bucket counts as unknown */
+#define LEARN_MIN_SAMPLES 4 /* a size bucket with fewer counts as unknown */
 
-/* Spans in microseconds. */
+/* Quantiles of a time, in microseconds. */
 struct learn_span
 {
-  double low;    /* hardly ever less: the 5% quantile */
+  double low;    /* the 5% quantile */
   double middle; /* the median */
   double high;   /* the 95% quantile */
 };
@@ -29,7 +29,7 @@
 {
   float weights[LEARN_BUCKETS];
   float total;
-  struct learn_span span; /* of the weights above */
+  struct learn_span span; /* quantiles of the weights */
 };
 
 struct learn_sizes
@@ -37,12 +37,13 @@
   struct learn_histogram *sizes[LEARN_SIZES]; /* NULL until the first sample */
 };
 
-/* A sample of `span` microseconds.  Histograms are allocated under `parent`; without memory the
- * sample is dropped. */
+/* Adds a sample of `span` microseconds.  Histograms are allocated under `parent`; when out of
+ * memory the sample is dropped. */
 void learn_record (struct learn_sizes *learn, void *parent, uint32_t tokens, double span);
 
-/* What is known for `tokens`, scaled from the nearest known size where this one is unknown: up in
- * proportion to the size, down not at all for `high`.  False, `out` untouched, when nothing is. */
+/* Reads the quantiles for `tokens`.  When the size is unknown they are scaled from the nearest
+ * known one in proportion to the size, but `low` is not scaled up and `high` is not scaled down. 0,
+ * and `out` unchanged, when no size is known. */
 int learn_read (const struct learn_sizes *learn, uint32_t tokens, struct learn_span *out);
 
 static inline uint32_t
--- a/src/limit.c
+++ b/src/limit.c
@@ -1,4 +1,4 @@
-/* Token buckets and counts of one organisation's limits on this host. */
+/* Token buckets and concurrency of one organisation's limits on this host. */
 #include "limit.h"
 #include "usec.h"
 #include <math.h>
@@ -28,8 +28,8 @@
   return span < (double) RETRY_AFTER_MAX ? (int64_t) span + 1 : RETRY_AFTER_MAX;
 }
 
-/* A share of the limit, rounded up, so that a small limit lets one request through on each host:
- * the overshoot is under one request a host. */
+/* This host's share of the concurrency, rounded up and at least 1, so that a small limit admits one
+ * request on each host.  The excess over the limit is under one request per host. */
 static uint32_t
 running_max (const struct limit *limit, const struct organisation_spec *spec)
 {
--- a/src/limit.h
+++ b/src/limit.h
@@ -1,5 +1,5 @@
-/* Limits of one organisation on one host: rate, tokens and concurrency, each times this host's
- * share of the cluster-wide limit. */
+/* Rate limits of one organisation on one host: request rate, token rate and concurrency, each the
+ * cluster-wide limit times this host's share. */
 #ifndef LIMIT_H
 #define LIMIT_H
 
@@ -10,11 +10,11 @@
 
 BEGIN_DECLS
 
-/* A token bucket that may go below zero by one request's cost, which it then waits off. */
+/* A token bucket that may go negative by one request's cost; it then refills before the next. */
 struct limit_bucket
 {
   double held;
-  int64_t filled_at; /* 0: not yet used, starts full */
+  int64_t filled_at; /* time of the last refill; 0: unused, starts full */
 };
 
 struct limit
@@ -22,8 +22,8 @@
   double share; /* of the cluster-wide limit, 0 to 1 */
   struct limit_bucket requests;
   struct limit_bucket tokens;
-  uint32_t running; /* admitted and not finished */
-  double demand;    /* requests a second, decayed, admitted or not */
+  uint32_t running; /* admitted requests that have not ended */
+  double demand;    /* requests per second, admitted or not, decayed */
   int64_t demand_at;
 };
 
@@ -35,21 +35,21 @@
   LIMIT_RUNNING
 };
 
-/* May a request of `tokens` pass?  Takes from the limits when it may; `retry_after` is set when
- * it may not. */
+/* Checks a request of `tokens` against the limits.  LIMIT_OK takes it from the limits; otherwise
+ * the result is the exceeded limit, and `retry_after` is set, in microseconds. */
 enum limit_verdict limit_take (struct limit *limit,
                                const struct organisation_spec *spec,
                                double tokens,
                                int64_t now,
                                int64_t *retry_after);
 
-/* Give back what limit_take() took: the request was refused for another reason. */
+/* Reverts limit_take() for a request that was refused for another reason. */
 void limit_undo (struct limit *limit, const struct organisation_spec *spec, double tokens);
 
-/* The request is over; `unused_tokens` were asked for and not used. */
+/* Records the end of a request; `unused_tokens` of those taken are returned. */
 void limit_finish (struct limit *limit, const struct organisation_spec *spec, double unused_tokens);
 
-/* Count a request for demand, admitted or not. */
+/* Counts a request in the demand, admitted or not. */
 void limit_demand_add (struct limit *limit, int64_t now);
 double limit_demand (const struct limit *limit, int64_t now);
 
--- a/src/load_report.c
+++ b/src/load_report.c
@@ -1,7 +1,7 @@
-/* Load reports between hosts. */
+/* Forwarding of load reports between hosts. */
 #include "load_report.h"
 
-/* A report older than this says nothing any more. */
+/* Reports of this age or older are not forwarded. */
 #define REPORT_USEFUL (10 * USEC_PER_SEC)
 
 void
@@ -72,7 +72,8 @@
           load->slot < home->n_slots ? home->slots[load->slot] : NULL;
       struct board_target *target =
           entry != NULL ? table_get (directory->board->targets, entry->target) : NULL;
-      /* The answer was made after the question: from there its age is never stated too young. */
+      /* The age counts from when the question was sent, which is before the answer was made, so the
+       * report is never taken for newer than it is. */
       int64_t measured_at = (int64_t) answer->asked_at - load->age_ms * USEC_PER_MSEC;
 
       if (target == NULL || measured_at < target->report.measured_at)
--- a/src/patience.c
+++ b/src/patience.c
@@ -1,4 +1,4 @@
-/* How old requests are when they come. */
+/* Age of arriving requests, estimated from their time left. */
 #include "patience.h"
 #include "text.h"
 #include <string.h>
@@ -6,26 +6,28 @@
 
 #define ROUTES_MAX 256
 
-/* Requests after which what was seen is taken, and the next ones are looked at anew. */
+/* Requests of a route after which its estimate is updated from them. */
 #define WINDOW 16
 
-/* Clients are alike where so many of a window's requests bear about the same time; those that bear
- * less come again.  The way from the client varies by so much. */
+/* A route's clients use one deadline when at least SAME_SHARE of a window's requests are within
+ * SAME of the longest time left; requests below that are retries.  SAME is the variation of the
+ * delay from the client. */
 #define SAME (100 * USEC_PER_MSEC)
 #define SAME_SHARE 0.4
 
-/* Else they are similar: deadlines of their own, but so many within this share of the longest. */
+/* Otherwise they use similar deadlines when at least SIMILAR_SHARE are within SIMILAR, as a share,
+ * of the longest. */
 #define SIMILAR 0.2
 #define SIMILAR_SHARE 0.6
 
 struct route_times
 {
   char route[ROUTING_NAME_SIZE];
-  int64_t usual; /* of a new request; 0: not known */
-  int64_t least; /* one that bears less comes again */
+  int64_t usual; /* time left of a new request; 0: unknown */
+  int64_t least; /* a request with less is a retry */
   int64_t window[WINDOW];
   uint32_t n;
-  uint64_t used; /* the last request's number */
+  uint64_t used; /* sequence number of the last request */
 };
 
 struct patience
@@ -41,7 +43,7 @@
   return talloc_zero (parent, struct patience);
 }
 
-/* The route's record; in place of the one not used for longest when all are taken. */
+/* Finds or adds the route's record; replaces the least recently used one when the table is full. */
 static struct route_times *
 times_of (struct patience *patience, const char *route)
 {
@@ -72,7 +74,7 @@
   return longest;
 }
 
-/* How many of the window are not below, and their mean. */
+/* Counts the window's requests with `least` or more, and computes their mean. */
 static uint32_t
 count_from (const struct route_times *times, int64_t least, int64_t *mean)
 {
--- a/src/patience.h
+++ b/src/patience.h
@@ -1,8 +1,8 @@
-/* How old requests are when they come: a client that was turned away comes again with what is left
- * of its time, and counts its objective from its first try.
+/* Estimates the age of arriving requests.  A client that was rejected retries with the rest of its
+ * time, and its objective counts from the first try.
  *
- * Requests of one route bear the same time when they are new, so the most that was seen lately
- * tells how long others have been on their way.  Pure. */
+ * New requests of a route have about the same time left, so the longest time left of recent
+ * requests shows how much of their time the others have used.  No I/O and no clock. */
 #ifndef PATIENCE_H
 #define PATIENCE_H
 
@@ -17,9 +17,9 @@
 /* Freed with `parent`. */
 struct patience *patience_new (void *parent);
 
-/* A request of the route came with so much time left; how old it is, in microseconds.  0 where its
- * route's requests differ too much to tell; where they differ somewhat the age is about so much,
- * and 0 for those that come again soon. */
+/* Records a request of the route with `time_left` microseconds and returns its age in microseconds:
+ * 0 when the requests of the route differ too much for an estimate.  When they differ somewhat, the
+ * age is approximate, and 0 for an early retry. */
 int64_t patience_age (struct patience *patience, const char *route, int64_t time_left);
 
 END_DECLS
--- a/src/prefix.c
+++ b/src/prefix.c
@@ -1,4 +1,4 @@
-/* A set-associative table of (block, target), the oldest of a set replaced. */
+/* A set-associative table of (block, target); the oldest entry of a full set is evicted. */
 #include "prefix.h"
 #include "status.h"
 #include "usec.h"
@@ -6,13 +6,13 @@
 
 #define WAYS 8
 #define TICK (16 * USEC_PER_MSEC)
-#define LIFE_TICKS 7500u /* two minutes: after that an entry counts for nothing */
+#define LIFE_TICKS 7500u /* two minutes; older entries are ignored */
 
 struct entry
 {
-  uint32_t tag;    /* of the block; with the set it leaves 2^-32 or less for a false match */
+  uint32_t tag; /* of the block; with the set, the probability of a false match is 2^-32 or less */
   uint32_t target; /* low halves of a handle's index and generation; 0 for none */
-  uint32_t tick;   /* when last noted */
+  uint32_t tick;   /* time of the last update */
 };
 
 struct set
@@ -56,7 +56,7 @@
   return (struct handle){ .index = word & 0xffff, .generation = word >> 16 };
 }
 
-/* Sampled blocks have their low bits in common, so the set comes from higher ones. */
+/* Sampled blocks share their low bits, so higher bits select the set. */
 static struct set *
 set_of (const struct prefix_index *index, uint64_t block)
 {
--- a/src/prefix.h
+++ b/src/prefix.h
@@ -1,9 +1,9 @@
-/* Which targets hold which prompt prefixes in their caches: a bounded, forgetful index.
+/* Bounded index of the prompt prefixes in targets' caches, with eviction and expiry.
  *
- * A block is named by the cumulative hash of the prompt up to its end, so one block found says that
- * the whole prefix up to it was there.  Only blocks whose hash falls in one of PREFIX_SAMPLING are
- * kept; all parties choose the same ones, so nothing but depth resolution is lost.  What is noted
- * may be wrong at any time: events are late and have gaps, and engines drop blocks unasked. */
+ * A block is named by the cumulative hash of the prompt up to its end, so a block found means that
+ * the whole prefix up to it was cached.  One in PREFIX_SAMPLING blocks is stored, selected by hash;
+ * everyone selects the same ones, so only the resolution of the depth is lost.  Entries may be
+ * wrong at any time: events are late and incomplete, and engines evict blocks without telling. */
 #ifndef PREFIX_H
 #define PREFIX_H
 
@@ -14,15 +14,15 @@
 
 BEGIN_DECLS
 
-#define PREFIX_SAMPLING 4 /* one block in so many is kept */
-#define PREFIX_HOLDERS 4  /* found at most for one prompt */
+#define PREFIX_SAMPLING 4 /* one in this many blocks is stored */
+#define PREFIX_HOLDERS 4  /* most holders returned for one prompt */
 
 struct prefix_index;
 
 struct prefix_holder
 {
   struct handle target;
-  uint32_t blocks; /* of the prompt, from its start, that it is thought to hold */
+  uint32_t blocks; /* of the prompt, from its start, expected in the cache */
 };
 
 /* `n_sets` is a power of two; each set takes 96 bytes. */
@@ -31,10 +31,11 @@
 void prefix_note (struct prefix_index *index, uint64_t block, struct handle target, int64_t now);
 void prefix_drop (struct prefix_index *index, uint64_t block, struct handle target);
 
-/* Drop all notes of a target, as when its process started anew; walks the whole index. */
+/* Removes all entries of a target, e.g. when its process restarted; scans the whole index. */
 void prefix_forget (struct prefix_index *index, struct handle target);
 
-/* Targets that hold the most of the prompt, deepest first; their count. */
+/* Finds the targets with the longest cached prefixes of the prompt, longest first; returns their
+ * number. */
 uint32_t prefix_find (const struct prefix_index *index,
                       const uint64_t *blocks,
                       uint32_t n_blocks,
