--- a/src/routing.c
+++ b/src/routing.c
@@ -17,7 +17,7 @@
   return kind_texts[kind];
 }
 
-/* The table beside the keys is uthash's own, not talloc's. */
+/* uthash's table is not allocated with talloc. */
 static int
 free_routing (struct routing *routing)
 {
@@ -73,9 +73,9 @@
 check_stages (const struct route *route)
 {
   for (uint32_t i = 0; i < route->n_stages; i++)
-    /* A stage that needs a later one, or itself, could never begin. */
+    /* A stage that depends on itself or a later one could never start. */
     if ((route->stages[i].after >> i) != 0)
-      return status_fail (STATUS_INVALID, "route %s: stage %u needs one that is not before it",
+      return status_fail (STATUS_INVALID, "route %s: stage %u depends on itself or a later stage",
                           route->name, i);
   return STATUS_OK;
 }
--- a/src/routing.h
+++ b/src/routing.h
@@ -1,7 +1,7 @@
-/* The routing configuration: which requests go to which pools, for whom, and within what bounds.
+/* The routing configuration: routes from requests to pools, organisations and their keys, limits.
  *
- * One document with a version, decoded once by whoever speaks the operators' format, and read-only
- * from then on. */
+ * One document with a version.  A routing_codec decodes it from the operators' format; it is
+ * read-only from then on. */
 #ifndef ROUTING_H
 #define ROUTING_H
 
@@ -22,11 +22,11 @@
 #define ROUTING_SPLIT_MAX 8
 #define ROUTING_POOLS_MAX 128
 
-/* What may be repeated.  name, text */
+/* Whether a request may be repeated.  name, text */
 #define ROUTE_KIND_LIST(X)                                                                         \
   X (IDEMPOTENT, "idempotent")                                                                     \
-  X (ONCE, "once")     /* runs at most once */                                                     \
-  X (STREAM, "stream") /* an event stream; at most once unless it may be resumed */
+  X (ONCE, "once")     /* executed at most once */                                                 \
+  X (STREAM, "stream") /* an event stream; executed at most once unless resumable */
 
 enum route_kind
 {
@@ -38,12 +38,12 @@
 
 const char *route_kind_text (enum route_kind kind);
 
-/* A stage of work that must be done before the request itself can run. */
+/* A stage that must be finished before the request itself can run. */
 struct route_stage
 {
   uint32_t pool;        /* index of its pool */
-  uint32_t after;       /* bit set of the stages whose results it needs */
-  uint64_t result_size; /* of one piece's result, in bytes, about */
+  uint32_t after;       /* bit set of the stages whose results it depends on */
+  uint64_t result_size; /* approximate size of one piece's result, in bytes */
 };
 
 struct route_share
@@ -58,34 +58,34 @@
   char host[ROUTING_PATH_SIZE];
   char prefix[ROUTING_PATH_SIZE]; /* begins and ends with a slash */
   enum route_kind kind;
-  bool resumable;  /* a stream may go on at another target */
-  bool open;       /* needs no key */
-  bool affinity;   /* its requests say which prompt parts they share */
-  int64_t timeout; /* the longest that a request may be kept waiting */
-  int64_t objective;
-  int64_t gap_objective; /* longest pause between events; 0: none */
-  uint32_t priority;     /* 0 is first */
-  uint32_t attempts;     /* targets that one request may be sent to */
+  bool resumable;        /* a stream may be resumed on another target */
+  bool open;             /* no key is required */
+  bool affinity;         /* requests name the prompt parts that they share */
+  int64_t timeout;       /* longest time that a request may wait, microseconds */
+  int64_t objective;     /* microseconds */
+  int64_t gap_objective; /* longest pause between events, microseconds; 0: none */
+  uint32_t priority;     /* 0 is the highest */
+  uint32_t attempts;     /* most targets that a request is sent to */
   uint32_t n_shares;
   struct route_share shares[ROUTING_SPLIT_MAX];
-  uint32_t weights; /* their sum */
+  uint32_t weights; /* sum of the shares' weights */
   uint32_t n_stages;
   struct route_stage stages[ROUTING_STAGES_MAX];
 };
 
-/* What a target that runs a stage's pieces in batches can do. */
+/* Capacity of a target that runs a stage's pieces in batches. */
 struct batch_spec
 {
-  uint32_t slots;  /* calls at the same time */
-  uint32_t queue;  /* calls that may wait at the target */
-  uint32_t pieces; /* in one call at most; 0: the pool runs no pieces */
-  int64_t call_time;
-  int64_t piece_time;
-  uint64_t room; /* bytes for results */
-  int64_t result_ttl;
+  uint32_t slots;     /* concurrent calls */
+  uint32_t queue;     /* calls that may queue at the target */
+  uint32_t pieces;    /* most pieces in one call; 0: the pool runs no pieces */
+  int64_t call_time;  /* fixed time of a call, microseconds */
+  int64_t piece_time; /* additional time of each piece, microseconds */
+  uint64_t room;      /* capacity for results, in bytes */
+  int64_t result_ttl; /* microseconds */
 };
 
-/* What a model engine can do. */
+/* Capacity of a model engine. */
 struct engine_spec
 {
   bool present;
@@ -97,7 +97,7 @@
 {
   char name[ROUTING_NAME_SIZE];
   char health_path[ROUTING_PATH_SIZE];
-  uint32_t connections_max; /* a target takes from all callers together */
+  uint32_t connections_max; /* of a target, over all callers */
   struct batch_spec batch;
   struct engine_spec engine;
 };
@@ -106,7 +106,7 @@
 {
   char name[ROUTING_NAME_SIZE];
   bool has_priority;
-  uint32_t priority; /* goes before its requests' routes' */
+  uint32_t priority; /* overrides the priority of the route */
 };
 
 struct routing_key
@@ -116,7 +116,7 @@
   UT_hash_handle hh;
 };
 
-/* A talloc object that owns the rest. */
+/* The whole configuration; a talloc object that owns its members. */
 struct routing
 {
   uint64_t version;
@@ -130,34 +130,36 @@
   struct h1_limits limits;
 };
 
-/* Empty, and freed with `parent`.  NULL when memory is out. */
+/* An empty configuration, freed with `parent`.  NULL when out of memory. */
 struct routing *routing_new (void *parent);
 
-/* Adds a key; STATUS_CONFLICT when another organisation has it. */
+/* Adds a key.  STATUS_CONFLICT when another organisation has it, STATUS_INVALID when it is empty or
+ * too long, STATUS_NO_MEMORY. */
 enum status routing_add_key (struct routing *routing, const char *key, uint32_t organisation);
 
 /* The pool's index; -1 when there is none. */
 int routing_find_pool (const struct routing *routing, const char *name);
 
-/* The rules that hold across the whole document; the message names the field. */
+/* Checks the rules that involve several fields.  STATUS_INVALID with a message that names
+ * the route and the field. */
 enum status routing_check (const struct routing *routing);
 
-/* The route with the longest prefix that begins the path, among those of the host; NULL when there
- * is none.  A port behind the host's name is not looked at. */
+/* The host's route with the longest matching path prefix; NULL when there is none.  A port in
+ * `host` is ignored. */
 const struct route *routing_match (const struct routing *routing,
                                    const char *host,
                                    const char *target);
 
-/* The organisation whose key this is; NULL when there is none. */
+/* The organisation that has this key; NULL when there is none. */
 const struct organisation *routing_organisation (const struct routing *routing, const char *key);
 
-/* A pool by weight; `draw` is uniform in 0 to 1. */
+/* Selects a pool by weight; `draw` is a uniform random number from 0 to 1. */
 uint32_t route_draw_pool (const struct route *route, double draw);
 
-/* The stages that no other stage needs. */
+/* Bit set of the stages that no other stage depends on. */
 uint32_t route_last_stages (const struct route *route);
 
-/* Turns the operators' format into a routing; what speaks to the users' platform implements it. */
+/* Decodes the operators' format; implemented by the integration with the users' platform. */
 struct routing_codec
 {
   const struct routing_codec_ops *ops;
@@ -165,7 +167,7 @@
 
 struct routing_codec_ops
 {
-  /* A checked routing under `parent`, or NULL with status_message() naming the field. */
+  /* A valid configuration under `parent`, or NULL with status_message() naming the field. */
   struct routing *(*decode) (struct routing_codec *codec,
                              void *parent,
                              const char *data,
--- a/src/share.c
+++ b/src/share.c
@@ -1,4 +1,4 @@
-/* The keeper's book of leases, the asker's hold, and their messages. */
+/* Leases of a coordinator, the requesting host's share, and their messages. */
 #include "share.h"
 #include "pack.h"
 #include "text.h"
@@ -24,7 +24,7 @@
 {
   char organisation[RESOURCE_NAME_SIZE];
   struct lease *leases;
-  int64_t since; /* we keep it since then: an earlier keeper's leases may be out */
+  int64_t since; /* start as coordinator; leases of an earlier one may still run then */
   UT_hash_handle hh;
 };
 
@@ -50,7 +50,7 @@
   return book;
 }
 
-/* uthash's macros are long; the functions are not.
+/* The size comes from uthash's macros.
  * NOLINTBEGIN(readability-function-size) */
 static struct account *
 account_get (struct share_book *book, const char *organisation, int64_t now)
@@ -138,10 +138,10 @@
       others += lease == own ? 0 : lease->granted;
     }
   part = demands > 0 ? whole * demand / demands : 0;
-  /* An earlier keeper may have the whole out still: no more than an even part until that ended. */
+  /* An earlier coordinator may have leased the whole: at most an even part until that expired. */
   if (now - account->since < SHARE_LEASE)
     part = fmin (part, whole / (n_hosts > 0 ? n_hosts : 1));
-  /* What others hold comes free only as they ask again and get less, or their leases end. */
+  /* Shares of other hosts become free only when they renew with less or their leases expire. */
   own->granted = fmax (0, fmin (part, whole - others));
   own->until = now + SHARE_LEASE;
   return own->granted;
@@ -171,7 +171,7 @@
 }
 
 /* Rendezvous hashing (Thaler and Ravishankar, "Using name-based mappings to increase hit rates",
- * 1998): when a host dies only what it kept moves. */
+ * 1998): when a host fails, only the organisations that it coordinated move. */
 uint64_t
 share_keeper_weight (const char *organisation, const char *host)
 {
@@ -213,10 +213,10 @@
   out->kind = (enum share_message_kind) pack_read_uint (&reader, SHARE_GRANT);
   out->n_items = pack_read_array (&reader, SHARE_ITEMS_MAX);
   if (!pack_read_ok (&reader) || out->kind < SHARE_ASK)
-    return status_fail (STATUS_MALFORMED, "not a message about shares");
+    return status_fail (STATUS_MALFORMED, "not a share message: invalid kind or item count");
   out->items = talloc_zero_array (parent, struct share_item, out->n_items + 1);
   if (out->items == NULL)
-    return status_fail (STATUS_NO_MEMORY, "no memory for %u shares", out->n_items);
+    return status_fail (STATUS_NO_MEMORY, "out of memory for %u share items", out->n_items);
   for (i = 0; i < out->n_items && pack_read_ok (&reader); i++)
     {
       struct share_item *item = &out->items[i];
@@ -230,5 +230,6 @@
     return STATUS_OK;
   TALLOC_FREE (out->items);
   out->n_items = 0;
-  return status_fail (STATUS_MALFORMED, "a message about shares is cut or out of range");
+  return status_fail (STATUS_MALFORMED,
+                      "share message is truncated, too long or has a value out of range");
 }
--- a/src/share.h
+++ b/src/share.h
@@ -1,18 +1,20 @@
-/* Shares of an organisation's cluster-wide limits, moved between hosts by demand.
+/* Distribution of an organisation's cluster-wide limits over hosts, by demand.
  *
- * Each organisation has one keeper among the hosts, named by hashing.  A host tells the keeper its
- * demand and gets a share on a lease; the keeper never has more than the whole out, counting each
- * lease until it has ended everywhere.  Callers never wait for this: a host applies the share it
- * has.  Kept back and always even is SHARE_RESERVE, so that a host without a lease serves too.
+ * Each organisation has one coordinator among the hosts, found by rendezvous hashing.  A host sends
+ * its demand to the coordinator and gets a share on a lease.  The coordinator never grants more
+ * than the whole, and counts each lease until it has expired on its host.  Requests never wait for
+ * this: a host applies the share it has.  SHARE_RESERVE is not leased but always split evenly, so
+ * that a host without a lease serves requests too.
  *
- * Bounds.  Leases of one keeper sum to at most 1.  A host that has not asked yet (it does within
- * SHARE_PERIOD of its first request) or whose keeper is silent applies an even share; while the
- * keeper of an organisation changes, the new one gives at most an even share for one lease.  So
- * the sum over all hosts is at most 2 at any moment, and 1 once all hosts with callers have asked.
- * Across a partition each side applies the limit by itself: times the number of sides.  Limits that
- * round up let one request more through on each host (limit.h).
+ * Bounds.  The leases of one coordinator sum to at most 1.  A host that has not asked yet (it does
+ * within SHARE_PERIOD of its first request), or whose coordinator does not answer, applies an even
+ * share.  When the coordinator of an organisation changes, the new one grants at most an even share
+ * for the time of one lease.  So the sum over all hosts is at most 2 at any moment, and at most 1
+ * once all hosts with callers have asked.  In a partition each side applies the whole limit, so the
+ * bounds are multiplied by the number of sides.  Limits that round up admit one more request on
+ * each host (limit.h).
  *
- * Pure: no I/O, time passed in. */
+ * No I/O and no clock: the time is an argument. */
 #ifndef SHARE_H
 #define SHARE_H
 
@@ -26,20 +28,20 @@
 
 BEGIN_DECLS
 
-#define SHARE_RESERVE 0.2 /* of each limit, always split evenly */
+#define SHARE_RESERVE 0.2 /* part of each limit that is always split evenly */
 #define SHARE_PERIOD (2 * USEC_PER_SEC)
-#define SHARE_LEASE (6 * USEC_PER_SEC) /* from the asking, on the asker's clock */
-#define SHARE_ITEMS_MAX 2048           /* in one message */
+#define SHARE_LEASE (6 * USEC_PER_SEC) /* from the request, by the requesting host's clock */
+#define SHARE_ITEMS_MAX 2048           /* most items in one message */
 
-/* ---- the keeper's side ---- */
+/* ---- coordinator ---- */
 
 struct share_book;
 
-/* Freed with `parent`.  NULL when memory is out. */
+/* Freed with `parent`.  NULL when out of memory. */
 struct share_book *share_book_new (void *parent);
 
-/* `host` asks for its part of what is not reserved; the part granted, 0 to 1 - SHARE_RESERVE.
- * `n_hosts` are the hosts that live. */
+/* Grants `host` a lease by its demand, in requests per second; returns the share granted, 0 to
+ * 1 - SHARE_RESERVE, and 0 when out of memory.  `n_hosts` is the number of live hosts. */
 double share_book_ask (struct share_book *book,
                        const char *organisation,
                        const char *host,
@@ -47,23 +49,23 @@
                        uint32_t n_hosts,
                        int64_t now);
 
-/* Forget organisations nobody asked for since a lease ago. */
+/* Removes expired leases, and organisations that have none left. */
 void share_book_expire (struct share_book *book, int64_t now);
 
-/* ---- the asker's side ---- */
+/* ---- requesting host ---- */
 
 struct share_hold
 {
   double granted;
-  int64_t until; /* 0: none yet */
+  int64_t until; /* end of the lease; 0: none yet */
 };
 
-/* The share of the limits that applies now. */
+/* The share of the limits to apply at `now`, 0 to 1. */
 double share_hold_now (const struct share_hold *hold, uint32_t n_hosts, int64_t now);
 
-/* ---- who keeps what ---- */
+/* ---- choice of the coordinator ---- */
 
-/* The weight of a host for an organisation; the live host with the highest keeps it. */
+/* The weight of a host for an organisation; the live host with the highest is its coordinator. */
 uint64_t share_keeper_weight (const char *organisation, const char *host);
 
 /* ---- messages ---- */
@@ -78,7 +80,7 @@
 {
   char organisation[RESOURCE_NAME_SIZE];
   double value;     /* demand, or the share granted */
-  uint64_t sent_at; /* the asker's clock; comes back in the grant */
+  uint64_t sent_at; /* time of the request by the requesting host's clock; copied to the grant */
 };
 
 struct share_message
@@ -90,8 +92,8 @@
 
 void share_message_write (const struct share_message *message, struct bytes *out);
 
-/* `out->items` are allocated under `parent`.  STATUS_MALFORMED for anything else than a whole
- * message with values in their ranges. */
+/* `out->items` is allocated under `parent`.  STATUS_MALFORMED when the message is incomplete, too
+ * long, or has a value out of range; STATUS_NO_MEMORY. */
 enum status share_message_read (void *parent,
                                 const void *data,
                                 size_t length,
--- a/src/share_control.c
+++ b/src/share_control.c
@@ -1,16 +1,17 @@
-/* Asks keepers for shares each period, answers those who ask us, and hands shares to decide.c.
+/* Requests shares from the coordinators each period, answers requests of other hosts, and passes
+ * the shares to decide.c.
  *
- * Only organisations with a limit and with demand here are asked for.  Asks for one keeper go in
- * one message. */
+ * Shares are requested only for organisations with a limit and with demand on this host.  Requests
+ * to one coordinator are sent in one message. */
 #include "share_control.h"
 #include "container.h"
 #include "share.h"
 #include <string.h>
 #include <talloc.h>
 
-#define DEMAND_MIN 0.01 /* requests a second; less is as good as none */
+#define DEMAND_MIN 0.01 /* requests per second; no share is requested for less */
 
-/* What we hold of one organisation's limits. */
+/* This host's share of one organisation's limits. */
 struct holding
 {
   uint32_t generation; /* of its handle on the board */
@@ -19,11 +20,11 @@
 
 struct share_control
 {
-  struct peer_listener listener; /* first: the port calls back with it */
+  struct peer_listener listener; /* must be first: the port passes it to callbacks */
   struct share_control_config config;
   struct timer timer;
   struct share_book *book;
-  struct holding *holdings; /* by the organisation's index on the board */
+  struct holding *holdings; /* by organisation index on the board */
 };
 
 static bool
@@ -90,7 +91,8 @@
   decide_set_share (control->config.decide, organisation, share, now);
 }
 
-/* A grant counts from when it was asked for, so that it ends here before it ends at the keeper. */
+/* A lease runs from the time of the request, so that it ends here before it ends at the
+ * coordinator. */
 static void
 take_grant (struct share_control *control, const struct share_item *item, int64_t now)
 {
@@ -114,7 +116,7 @@
 
   bytes_init (&bytes, control);
   share_message_write (message, &bytes);
-  /* A message that is not sent is as one lost: the next period asks again. */
+  /* A message that cannot be sent is lost; the next period requests again. */
   if (!bytes_failed (&bytes))
     control->config.port->ops->send (control->config.port, host, PEER_CHANNEL_LIMIT, bytes.data,
                                      bytes.length);
@@ -155,7 +157,7 @@
   talloc_free (message.items);
 }
 
-/* The asks of one period, with their keepers. */
+/* The share requests of one period, with their coordinators. */
 struct asks
 {
   uint32_t count;
@@ -187,7 +189,7 @@
     }
 }
 
-/* All asks for the keeper of the ask at `first`, which are marked as sent. */
+/* Sends all requests for the coordinator of the one at `first`, and marks them as sent. */
 static void
 ask_keeper (struct share_control *control, struct asks *asks, uint32_t first, int64_t now)
 {
--- a/src/share_control.h
+++ b/src/share_control.h
@@ -1,4 +1,4 @@
-/* Keeps each organisation's share of its limits on this host up to date with its keepers. */
+/* Updates this host's share of each organisation's limits by leases from the coordinators. */
 #ifndef SHARE_CONTROL_H
 #define SHARE_CONTROL_H
 
