--- a/tests/unit_balance.cc
+++ b/tests/unit_balance.cc
@@ -1,4 +1,4 @@
-// Which engine a prompt goes to.
+// Choice of the engine for a prompt.
 #include "balance.h"
 #include <cstdio>
 #include <gtest/gtest.h>
@@ -12,7 +12,7 @@
 const int64_t NOW = 10 * USEC_PER_SEC;
 const char *const POOL = "p";
 
-// One entry host's view of the same engines.
+// One entry host's state of the engines.
 struct host_view
 {
   void *parent = talloc_new (nullptr);
@@ -49,7 +49,7 @@
     return balance_choose (&balance, POOL, &prompt, nullptr, 0, NOW);
   }
 
-  // A prompt of so many tokens is on its way through the engine.
+  // Adds a running prompt of `tokens` to the engine's load.
   void
   load (const struct balance_target *target, uint32_t tokens)
   {
@@ -76,9 +76,9 @@
   return prompt;
 }
 
-// An engine crashes and starts again under its identity.  What was under way through it, and how
-// often it failed, is of the start before: it is as good as any new one.
-TEST (Balance, AnEngineThatStartedAgainIsANewOne)
+// An engine crashes and restarts with the same id.  Its running requests and failures belong to the
+// previous incarnation: kept, they would leave the new one ejected and make it look loaded.
+TEST (Balance, RestartResetsTheStateOfAnEngine)
 {
   host_view view (1);
   struct balance_target *target = balance_find (&view.balance, "engine-2");
@@ -100,10 +100,9 @@
   EXPECT_EQ (cost.running, 0u);
 }
 
-// Megabytes of results lie in one failure domain, a few in another, and the engines where most lie
-// have a little more to read.  The results must not cross to save the request a wait that it has to
-// spare.
-TEST (Balance, GoesWhereMostOfItsResultsLie)
+// Most of a request's stage results are in one failure domain, whose engines have a slightly longer
+// queue.  The results must not cross domains to save a delay that the request can afford.
+TEST (Balance, PrefersTheDomainOfMostResults)
 {
   host_view view (1);
   struct balance_prompt prompt = prompt_of (7, 0);
@@ -115,7 +114,7 @@
 
       snprintf (target->domain, sizeof target->domain, "%s", there ? "b" : "a");
       if (there)
-        view.load (target, 4000); // some 100 ms
+        view.load (target, 4000); // about 100 ms
     }
   EXPECT_STREQ (view.choose (prompt)->domain, "a");
   prompt.n_places = 2;
@@ -124,7 +123,7 @@
   EXPECT_STREQ (view.choose (prompt)->domain, "b");
 }
 
-TEST (Balance, SendsAPromptToTheSameEngineFromEveryHost)
+TEST (Balance, EveryHostChoosesTheSameEngineForAPrompt)
 {
   host_view one (1);
   host_view other (2);
@@ -134,10 +133,10 @@
                   other.choose (prompt_of (key, 10000))->id);
 }
 
-// Power is lost everywhere and the hosts come back without their picture, while the engines still
-// hold what they have read.  Requests that came a moment before load the engines unevenly, by far
-// less than reading again takes: if that decided, most shared parts would be read a second time.
-TEST (Balance, FindsAPartWhereItWasFirstReadAfterAllWasForgotten)
+// All hosts restart without their state, while the engines still have their caches.  The engines'
+// loads differ by far less than a prefill takes: chosen by load alone, most shared parts would be
+// prefilled a second time.
+TEST (Balance, ChoosesTheHomeEngineAfterARestartOfTheHosts)
 {
   host_view before (1);
   host_view after (2);
@@ -148,7 +147,7 @@
   EXPECT_STREQ (after.choose (prompt)->id, home.c_str ());
 }
 
-TEST (Balance, LeavesAHomeThatIsBusy)
+TEST (Balance, LeavesABusyHomeEngine)
 {
   host_view host (1);
   struct balance_prompt prompt = prompt_of (7, 10000);
@@ -158,8 +157,8 @@
   EXPECT_NE (host.choose (prompt), home);
 }
 
-// What a prompt shares is read in no time, or it shares nothing: then only the load counts.
-TEST (Balance, GivesAPromptWithoutSharedPartsNoHome)
+// A prompt that shares nothing, or a part of negligible prefill time, is placed by load only.
+TEST (Balance, BalancesPromptsWithoutSharedPartsByLoad)
 {
   host_view host (1);
   struct balance_target *first = host.choose (prompt_of (0, 0));
--- a/tests/unit_decide.cc
+++ b/tests/unit_decide.cc
@@ -1,4 +1,4 @@
-// The decisions under load: each test tells the failure it guards against.
+// The decisions that depend on load.
 #include "decide.h"
 #include "text.h"
 #include <cstring>
@@ -12,7 +12,7 @@
 
 constexpr int64_t SECOND = USEC_PER_SEC;
 
-// A board with one pipeline of one stage over one pool, and the decisions of one host.
+// A board with a pipeline of one stage in one pool, and the decisions of one host.
 class DecideTest : public ::testing::Test
 {
 protected:
@@ -133,7 +133,7 @@
     decide_ended (decide, request, &result, now);
   }
 
-  // One attempt from choice to end.
+  // Runs one attempt from its choice to its end.
   void
   run_one (enum decide_end how, int64_t now, int64_t span)
   {
@@ -144,7 +144,7 @@
     end (&request, choice, how, now, now + span);
   }
 
-  // Prompts take half a millisecond a token, and hardly anything when all of it is cached.
+  // Teaches a prefill time of half a millisecond per token, and hardly any for a cached prompt.
   void
   teach_reading ()
   {
@@ -166,10 +166,10 @@
   struct handle pipeline = {};
 };
 
-// Six hosts see the same report, two seconds old, in which one target is idle and eight are busy.
-// Were the report believed, all of them would send all they have to that target, which is then the
-// busiest; the next report moves the whole crowd to another.
-TEST_F (DecideTest, OldReportsDoNotDrawEveryChoiceToOneTarget)
+// Reports two seconds old show one target idle and eight busy.  If hosts trusted them, all would
+// send all requests to the idle target, which then is the busiest until the next report moves all
+// of them to another (herding).
+TEST_F (DecideTest, StaleReportDoesNotCauseHerding)
 {
   std::vector<struct handle> targets;
   std::vector<int> chosen (9);
@@ -198,9 +198,9 @@
     EXPECT_LE (chosen[t], 25) << t;
 }
 
-// A report said "idle" and then the target's reports stopped.  A minute later it must count for
-// nothing: a target known from recent reports to be idle is to be preferred.
-TEST_F (DecideTest, ReportThatStoppedComingIsNotTrusted)
+// A target's last report showed it idle, then its reports stopped.  A minute later that report must
+// be ignored, and a target that is idle by recent reports must be preferred.
+TEST_F (DecideTest, ExpiredReportIsIgnored)
 {
   struct handle silent = add_target ("silent", "a");
   struct handle fresh = add_target ("fresh", "a");
@@ -225,9 +225,9 @@
   EXPECT_GT (to_fresh, 6);
 }
 
-// Every target fails.  Each request asks to be sent again, the load doubles, and what could have
-// recovered does not.  The budget must end that after what it held at the start.
-TEST_F (DecideTest, RetryStormEndsWithTheBudget)
+// Every target fails and every request is retried, which doubles the load and prevents a recovery.
+// The retry budget must stop that after its initial allowance.
+TEST_F (DecideTest, RetriesAreLimitedByTheBudget)
 {
   struct decide_request request = request_at (0);
   int granted = 0;
@@ -239,7 +239,7 @@
   EXPECT_EQ (decide_retry (decide, &request, 3, 0), DECIDE_ATTEMPTS);
 }
 
-TEST_F (DecideTest, RetriesAreAShareOfSuccesses)
+TEST_F (DecideTest, RetryBudgetGrowsWithSuccesses)
 {
   struct decide_request request = request_at (0);
   int granted = 0;
@@ -255,8 +255,8 @@
   EXPECT_LE (granted, 10);
 }
 
-// A shared cause (a bad model version, a cut network) makes every target of a pool fail.  Ejecting
-// all of them turns slow answers into none, so a pool keeps its share in use.
+// A common cause (a bad model version, a network partition) makes every target of a pool fail.
+// Ejecting all of them would leave no answers at all, so part of the pool must stay in use.
 TEST_F (DecideTest, WholePoolIsNeverEjected)
 {
   std::vector<struct handle> targets;
@@ -283,8 +283,8 @@
   EXPECT_LE (seen, 8);
 }
 
-// A target fails three times, is left alone for a while, then gets one attempt to show that it is
-// back: not a full load at once, which would cost every request sent to it.
+// A target fails three times and is ejected.  After the ejection it must get a single probe, not
+// its full load, which would fail every request sent to it.
 TEST_F (DecideTest, EjectedTargetIsProbedOnce)
 {
   struct handle bad = add_target ("bad", "a");
@@ -319,9 +319,10 @@
   EXPECT_EQ (probes, 1);
 }
 
-// One of two targets refuses all it gets, at once.  With nothing in flight it always looks the
-// idler one, so every request goes there first; three refusals in a row put it out for a while.
-TEST_F (DecideTest, ATargetThatRefusesEverythingDoesNotDrawEveryRequest)
+// One of two targets refuses every request immediately.  With nothing in flight it always looks
+// less loaded, so every request would be sent to it first; three consecutive refusals must eject
+// it.
+TEST_F (DecideTest, TargetThatRefusesEverythingIsEjected)
 {
   struct handle refuser = add_target ("refuser", "a");
   int refusals = 0;
@@ -342,8 +343,8 @@
   EXPECT_LE (refusals, 3);
 }
 
-// A target that is leaving, or whose lease ran out, gets nothing, even when it is the only one.
-TEST_F (DecideTest, UnusableTargetsGetNothing)
+// A target that is leaving, or whose lease has expired, gets no requests, even as the only one.
+TEST_F (DecideTest, UnusableTargetsAreNotChosen)
 {
   struct handle leaving = add_target ("leaving", "a");
   struct handle expired = add_target ("expired", "a");
@@ -355,9 +356,9 @@
   EXPECT_EQ (decide_admit (decide, &request, SECOND).reason, DECIDE_NO_TARGET);
 }
 
-// An engine fails, is ejected, and its process is started anew under the same name.  What the old
-// process did and had cached must not be held of the new one, which starts slowly instead.
-TEST_F (DecideTest, RestartedTargetIsANewOne)
+// An engine fails, is ejected, and its process restarts under the same name.  The failures and the
+// cache of the old process must not be attributed to the new one, which gets a slow start.
+TEST_F (DecideTest, RestartResetsTheStateOfATarget)
 {
   struct handle restarted = add_target ("restarted", "a");
   auto *entry = static_cast<struct board_target *> (table_get (board->targets, restarted));
@@ -387,9 +388,9 @@
   EXPECT_EQ (choice.prefix_tokens, 0u);
 }
 
-// One target turns five times slower than its pool.  It must get less work, and when it is well
-// again it must get its part back, though little work comes to it to show that.
-TEST_F (DecideTest, SlowTargetGetsLessWorkUntilItIsWell)
+// One target becomes five times slower than its pool and must get less work.  After it recovers it
+// must get its part again, although the little work it gets gives few samples.
+TEST_F (DecideTest, SlowTargetGetsLessWorkUntilItRecovers)
 {
   struct handle slow = add_target ("slow", "a");
   int64_t now = 100 * SECOND;
@@ -424,7 +425,7 @@
   EXPECT_GT (to_slow, 20);
 }
 
-// A failure domain goes down: the second attempt must not go to another target in it.
+// A failure domain fails: the second attempt must not go to another target in it.
 TEST_F (DecideTest, RetryPrefersAnotherFailureDomain)
 {
   struct handle first = add_target ("a-1", "a");
@@ -439,9 +440,9 @@
     }
 }
 
-// Everyone asks about the same case file.  Its cache makes one target look best for all of them,
-// and without a bound that one would queue the whole pool's work.
-TEST_F (DecideTest, PopularPrefixDoesNotSinkItsTarget)
+// Many requests share a prompt prefix that one target has cached.  That target looks best for all
+// of them, and without a bound it would get the whole pool's work.
+TEST_F (DecideTest, PopularPrefixDoesNotOverloadItsTarget)
 {
   auto *line = static_cast<struct board_pipeline *> (table_get (board->pipelines, pipeline));
   std::vector<struct handle> targets;
@@ -466,13 +467,13 @@
       for (int t = 0; t < 6; t++)
         chosen[t] += handle_equal (choice.target, targets[t]);
     }
-  EXPECT_GE (chosen[0], 12); // more than its even part of ten
+  EXPECT_GE (chosen[0], 12); // more than an even split, 10
   EXPECT_LE (chosen[0], 20);
 }
 
-// A stage takes three seconds; a request with one second left is started all the same, costs its
-// three seconds of a slot, and its answer is thrown away.
-TEST_F (DecideTest, WorkThatCannotEndInTimeIsRefusedBeforeItCosts)
+// A stage takes three seconds.  A request with one second left, if admitted, would use a slot for
+// three seconds for an answer that is discarded.
+TEST_F (DecideTest, RequestThatCannotEndInTimeIsNotAdmitted)
 {
   add_target ("t", "a");
   for (int i = 0; i < 20; i++)
@@ -485,9 +486,9 @@
   decide_finish (decide, &request, false, 300 * SECOND);
 }
 
-// More arrives than can end inside the window.  Admitting all of it makes every answer late; what
-// cannot end in time is refused and told when to come back.
-TEST_F (DecideTest, OverloadIsRefusedWithATimeToComeBack)
+// More requests arrive than can end in time.  If all were admitted, every answer would be late; the
+// excess must be refused with a delay for the retry.
+TEST_F (DecideTest, OverloadIsRefusedWithARetryDelay)
 {
   int admitted = 0;
   int refused = 0;
@@ -512,8 +513,8 @@
   EXPECT_EQ (admitted + refused, 100);
 }
 
-// A large organisation floods the system.  Small ones send little and must still be served.
-TEST_F (DecideTest, FloodingOrganisationDoesNotTakeTheOthersShare)
+// A large organisation floods the system.  Small ones with few requests must still be served.
+TEST_F (DecideTest, FloodingOrganisationLeavesOthersTheirShare)
 {
   struct handle large = add_organisation ("large", 1);
   struct handle small = add_organisation ("small", 1);
@@ -537,9 +538,9 @@
   EXPECT_EQ (served, 2);
 }
 
-// A request's window is nearly over and later stages need longer than is left; running on costs
-// slots and can give nothing.
-TEST_F (DecideTest, HopelessOnceTheWindowIsOver)
+// A request that can no longer end in time must be recognised: continuing it uses slots without any
+// result.
+TEST_F (DecideTest, DeadlineIsUnreachableOnceItHasPassed)
 {
   struct decide_request request = request_at (0);
 
@@ -547,9 +548,9 @@
   EXPECT_TRUE (decide_hopeless (decide, &request, 4 * SECOND));
 }
 
-// An engine accepts a generation and gives nothing.  Waiting for the time of a whole answer leaves
-// none for another target, so the first output has a bound of its own, well inside the window.
-TEST_F (DecideTest, GenerationThatGivesNothingIsEndedWhileAnotherCanStillMakeIt)
+// An engine accepts a generation and sends no output.  Waiting as long as for a complete answer
+// would leave no time for another target, so the first output has its own, earlier timeout.
+TEST_F (DecideTest, FirstOutputTimeoutLeavesTimeForAnotherAttempt)
 {
   auto *line = static_cast<struct board_pipeline *> (table_get (board->pipelines, pipeline));
 
@@ -579,13 +580,13 @@
   EXPECT_LT (choice.first_by, 301 * SECOND);
   EXPECT_GT (choice.first_by, 300 * SECOND + SECOND / 10);
   EXPECT_GE (choice.give_up, choice.first_by);
-  request.repeatable = false; // its outcome would be unknown, and it may not be sent again
+  request.repeatable = false; // the outcome would be unknown, and it must not be sent again
   EXPECT_EQ (choose (&request, 300 * SECOND).first_by, USEC_NEVER);
   EXPECT_EQ (choose (&request, 300 * SECOND).give_up, USEC_NEVER);
 }
 
-// Drafting fills the slots.  A price at the counter goes before it at the engines, so it must not
-// be refused for a wait that it will not have.
+// Requests of low priority fill the slots.  A request of high priority overtakes them at the
+// engines, so it must not be refused for their queueing delay.
 TEST_F (DecideTest, HighPriorityIsAdmittedPastQueuedLowPriority)
 {
   add_target ("t", "a");
@@ -604,9 +605,9 @@
   EXPECT_EQ (decide_admit (decide, &price, 300 * SECOND).reason, DECIDE_ADMITTED);
 }
 
-// A target that was removed while it had our attempts must not leave them counted for ever, or the
-// pool looks full to every later choice.
-TEST_F (DecideTest, AttemptsOnARemovedTargetAreNotCountedForEver)
+// A target is removed while attempts are running on it.  They must not stay counted, or the pool
+// looks full to every later choice.
+TEST_F (DecideTest, AttemptsOnARemovedTargetAreNotCounted)
 {
   struct handle gone = add_target ("gone", "a");
   struct decide_request request = request_at (SECOND);
@@ -622,7 +623,7 @@
   json_decref (state);
 }
 
-TEST_F (DecideTest, ConcurrencyAndRateAreTheHostsShare)
+TEST_F (DecideTest, ConcurrencyLimitIsScaledByTheShare)
 {
   struct handle handle = add_organisation ("o", 1);
   auto *entry = static_cast<struct board_organisation *> (table_get (board->organisations, handle));
--- a/tests/unit_decide_policy.cc
+++ b/tests/unit_decide_policy.cc
@@ -1,4 +1,5 @@
-// The policies on virtual time, exact from their seeds: what a change of the decisions must keep.
+// Policies simulated in virtual time, reproducible from their seeds: bounds that changes of the
+// decisions must keep.
 #include "policy.h"
 #include <gtest/gtest.h>
 
@@ -41,7 +42,7 @@
 {
 };
 
-TEST_P (PolicyTest, CalmIsNearlyAllAttainedAtLessCostThanLeastLoad)
+TEST_P (PolicyTest, CalmLoadIsAttainedAtLowerCostThanLeastLoad)
 {
   auto config = config_of (GetParam (), POLICY_OURS, POLICY_CALM);
   auto ours = policy_play (&config);
@@ -52,8 +53,8 @@
   EXPECT_LT (cost_each (ours), 0.95 * cost_each (least));
 }
 
-// Three times the load comes for a while.  A system that admits all of it ends every answer late
-// and its goodput collapses; here it must stay at nine tenths of the capacity.
+// A burst of three times the load.  If all of it is admitted, every answer is late and goodput
+// collapses; it must stay at nine tenths of the capacity.
 TEST_P (PolicyTest, GoodputHoldsAtThreeTimesTheLoad)
 {
   auto config = config_of (GetParam (), POLICY_OURS, POLICY_BURST);
@@ -62,9 +63,9 @@
   EXPECT_GE (ours.goodput, 0.9 * policy_capacity (GetParam (), 1, 1));
 }
 
-// Whatever fails, nothing unrepeatable is sent twice, nothing goes to a target that left or was
-// lost for long, and retries stay under a tenth of the load.
-TEST_P (PolicyTest, PromisesHoldInEveryExperiment)
+// In every experiment unrepeatable work is sent once at most, targets that left or were lost for
+// long get no work, and retries stay under a tenth of the attempts.
+TEST_P (PolicyTest, InvariantsHoldInEveryExperiment)
 {
   for (int experiment = 0; experiment < POLICY_EXPERIMENT_COUNT; experiment++)
     {
@@ -79,7 +80,7 @@
     }
 }
 
-TEST_P (PolicyTest, ReplaysExactlyFromItsSeed)
+TEST_P (PolicyTest, IsReproducibleFromItsSeed)
 {
   auto config = config_of (GetParam (), POLICY_OURS, POLICY_DOMAIN_LOST);
   auto first = policy_play (&config);
--- a/tests/unit_decide_prefix.cc
+++ b/tests/unit_decide_prefix.cc
@@ -1,4 +1,4 @@
-// The index of cached prefixes, which is told things late, twice or not at all.
+// The index of cached prefixes, with events that are late, duplicated or lost.
 #include "prefix.h"
 #include "usec.h"
 #include <gtest/gtest.h>
@@ -17,7 +17,7 @@
   SetUp () override
   {
     index = prefix_index_new (nullptr, 64);
-    // Every fourth block is a sampled one.
+    // Every fourth block is sampled.
     for (uint64_t i = 0; i < 32; i++)
       prompt.push_back ((i * 0x9e3779b97f4a7c15u & ~7ull) | (i % 4));
   }
@@ -50,7 +50,7 @@
   struct handle b = { .index = 2, .generation = 7 };
 };
 
-TEST_F (PrefixTest, DeepestHolderComesFirst)
+TEST_F (PrefixTest, LongestPrefixComesFirst)
 {
   store (a, 9, SECOND);
   store (b, 32, SECOND);
@@ -63,9 +63,9 @@
   EXPECT_EQ (found[1].blocks, 9u);
 }
 
-// An engine drops the end of a prompt from its cache and says so; some of the events are lost.
-// What is left must not claim the blocks that were dropped.
-TEST_F (PrefixTest, DroppedBlocksAreNotClaimed)
+// An engine evicts the end of a prompt from its cache, and some of the events are lost.  The
+// entries left must not report the evicted blocks.
+TEST_F (PrefixTest, EvictedBlocksAreNotReported)
 {
   store (a, 32, SECOND);
   for (uint32_t i = 10; i < 32; i++)
@@ -74,16 +74,16 @@
   EXPECT_EQ (find (SECOND)[0].blocks, 9u);
 }
 
-// The drop was never told.  After two minutes without use the note must count for nothing.
-TEST_F (PrefixTest, OldNotesAreForgotten)
+// The eviction event was lost.  After two minutes without an update the entry must be ignored.
+TEST_F (PrefixTest, EntriesExpire)
 {
   store (a, 32, SECOND);
   EXPECT_EQ (find (100 * SECOND).size (), 1u);
   EXPECT_TRUE (find (200 * SECOND).empty ());
 }
 
-// Far more is stored than the index can keep.  It must stay bounded and keep the newest.
-TEST_F (PrefixTest, NewestNotesStayWhenItIsFull)
+// More blocks are stored than the index can hold.  It must stay bounded and keep the newest.
+TEST_F (PrefixTest, OldestEntriesAreEvictedWhenFull)
 {
   for (uint64_t i = 1; i < 100000; i++)
     prefix_note (index, i * 4 * 0x9e3779b97f4a7c15u, a, SECOND);
--- a/tests/unit_decide_share.cc
+++ b/tests/unit_decide_share.cc
@@ -1,4 +1,4 @@
-// Shares of limits moved between hosts: what is out must never sum to more than the bound.
+// Distribution of limits over hosts: the shares must never sum to more than the bound.
 #include "rng.h"
 #include "share.h"
 #include "share_control.h"
@@ -16,7 +16,7 @@
 
 constexpr int64_t SECOND = USEC_PER_SEC;
 
-TEST (ShareBook, FollowsDemandWithoutEverGivingTheWholeTwice)
+TEST (ShareBook, SharesFollowDemandAndNeverExceedTheWhole)
 {
   struct share_book *book = share_book_new (nullptr);
   double a = 0;
@@ -35,9 +35,9 @@
   talloc_free (book);
 }
 
-// A host with nearly the whole limit dies.  The others are refused what is theirs until its lease
-// has ended, and must have it soon after.
-TEST (ShareBook, ShareOfADeadHostComesBackAfterItsLease)
+// A host that has leased nearly the whole limit fails.  Its share must not be granted again before
+// its lease has expired, and must be granted right after.
+TEST (ShareBook, ShareOfAFailedHostIsReleasedAfterItsLease)
 {
   struct share_book *book = share_book_new (nullptr);
   int64_t now = 0;
@@ -49,7 +49,7 @@
   talloc_free (book);
 }
 
-TEST (ShareMessage, ReadsWhatWasWrittenAndNothingElse)
+TEST (ShareMessage, RoundTripsAndRejectsMalformedMessages)
 {
   struct share_item items[2] = { { .organisation = "a", .value = 3.5, .sent_at = 7 },
                                  { .organisation = "b", .value = 0, .sent_at = 8 } };
@@ -76,7 +76,7 @@
 
 struct cluster;
 
-// A host with its board and decisions; its port drops and delays messages.
+// A host with its board and decisions.  Its port drops and delays messages.
 struct node
 {
   struct peer_port port;
@@ -184,7 +184,7 @@
     all.nodes.push_back (std::move (node));
   }
 
-  // Requests at a rate on one host; they are refused for want of a pipeline only after the limits.
+  // Sends requests to one host.  The pipeline has no stages, so only the limits decide.
   void
   demand (struct node *node, int requests)
   {
@@ -256,9 +256,9 @@
   struct cluster all;
 };
 
-// All of an organisation's callers come to one host.  An even split would refuse five sixths of a
-// demand that is inside the limit.
-TEST_F (ShareControl, ShareFollowsTheCallers)
+// All callers of an organisation use one host.  An even split would refuse five sixths of a demand
+// that is within the limit.
+TEST_F (ShareControl, ShareFollowsDemand)
 {
   for (int i = 0; i < 300; i++)
     {
@@ -269,8 +269,8 @@
   EXPECT_LE (sum (), 1.0 + 5.0 / 6 + 1e-9); // hosts that never asked stay at their even share
 }
 
-// A third of the messages are lost, the rest up to a second late, and the demand jumps from host to
-// host.  Grants from different moments must not add up to more than the stated bound.
+// A third of the messages are lost, the rest are delayed by up to a second, and the demand moves
+// from host to host.  Grants made at different times must not sum to more than the stated bound.
 TEST_F (ShareControl, BoundHoldsWithLostAndLateMessages)
 {
   all.lost = 0.33;
--- a/tests/unit_patience.cc
+++ b/tests/unit_patience.cc
@@ -1,4 +1,4 @@
-// How old requests are when they come.
+// Estimated age of arriving requests.
 #include "patience.h"
 #include <gtest/gtest.h>
 #include <talloc.h>
@@ -22,7 +22,7 @@
     return patience_age (patience, route, milliseconds_left * USEC_PER_MSEC) / USEC_PER_MSEC;
   }
 
-  // So many new requests, whose way takes a few milliseconds more or less.
+  // `n` new requests, whose network delay varies by a few milliseconds.
   void
   see (const char *route, int64_t milliseconds, int n)
   {
@@ -31,13 +31,13 @@
   }
 };
 
-TEST_F (PatienceTest, KnowsNothingAtFirst)
+TEST_F (PatienceTest, AgeIsZeroBeforeTheFirstEstimate)
 {
   EXPECT_EQ (age ("r", 4000), 0);
   EXPECT_EQ (age ("r", 1000), 0);
 }
 
-TEST_F (PatienceTest, TellsWhoComesAgain)
+TEST_F (PatienceTest, EstimatesTheAgeOfARetry)
 {
   see ("r", 8000, 32);
   EXPECT_EQ (age ("r", 5000), 3000);
@@ -45,26 +45,26 @@
   EXPECT_EQ (age ("other", 5000), 0);
 }
 
-// In a burst almost every second request is one that was turned away.
-TEST_F (PatienceTest, TellsThemWhereManyComeAgain)
+// In a burst every second request is a retry of a rejected one.
+TEST_F (PatienceTest, EstimatesTheAgeWhenManyRequestsAreRetries)
 {
   for (int i = 0; i < 64; i++)
     age ("r", i % 2 == 0 ? 8000 : 3000 + 10 * i);
   EXPECT_EQ (age ("r", 5000), 3000);
 }
 
-// Each client of the route has a deadline of its own.  Taken for old, those with short ones would
-// be served last, for good.
-TEST_F (PatienceTest, TellsNothingWhereClientsAreNotAlike)
+// Each client of the route uses its own deadline.  Requests with short deadlines must not be taken
+// for retries: they would always be served last.
+TEST_F (PatienceTest, AgeIsZeroWhenDeadlinesDiffer)
 {
   for (int i = 0; i < 64; i++)
     age ("r", 1000 + 701 * (i % 11));
   EXPECT_EQ (age ("r", 2000), 0);
 }
 
-// Clients choose deadlines within a sixth of each other.  One that bears half comes again, and its
-// objective is half gone; with its age taken for 0 it went before requests that could be in time.
-TEST_F (PatienceTest, TellsWhoComesAgainWhereDeadlinesDifferSomewhat)
+// Deadlines of clients differ by a sixth.  A request with half of that is a retry with half of its
+// objective used; with an age of 0 it would go before requests that can still be in time.
+TEST_F (PatienceTest, EstimatesTheAgeWhenDeadlinesAreSimilar)
 {
   for (int i = 0; i < 64; i++)
     age ("r", i % 4 == 3 ? 3000 : 5100 + 137 * (i % 7));
@@ -73,8 +73,8 @@
   EXPECT_EQ (age ("r", 5900), 0);
 }
 
-// Clients are given a shorter deadline.  They must not look old for long.
-TEST_F (PatienceTest, FollowsAChange)
+// The clients' deadline is shortened.  Their new requests must soon be recognised as new.
+TEST_F (PatienceTest, FollowsAChangedDeadline)
 {
   see ("r", 8000, 32);
   see ("r", 3000, 32);
@@ -82,8 +82,8 @@
   EXPECT_EQ (age ("r", 2000), 1000);
 }
 
-// An operator tries hundreds of routes, one after the other, beside one that is used all the time.
-TEST_F (PatienceTest, KeepsTheRoutesThatAreUsed)
+// Hundreds of routes are used once each, beside one in constant use, whose record must be kept.
+TEST_F (PatienceTest, EvictsTheLeastRecentlyUsedRoute)
 {
   see ("used", 8000, 32);
   for (int i = 0; i < 1000; i++)
