--- a/src/quarantine.c
+++ b/src/quarantine.c
@@ -1,4 +1,4 @@
-/* Requests that end the targets that run them. */
+/* Table of poison requests. */
 #include "quarantine.h"
 #include <string.h>
 #include <talloc.h>
@@ -6,7 +6,7 @@
 
 #define FIRST_ROOM 8
 
-/* News of the time at which a request was last sent are worth telling from this much on. */
+/* A later `seen` is merged and passed on only if it is later by more than this. */
 #define SEEN_STEP (QUARANTINE_KEEP / 4)
 
 struct quarantine
@@ -40,7 +40,7 @@
   return quarantine->n == 0;
 }
 
-/* The place behind the last where it is not suspected. */
+/* The number of suspects if it is not suspected. */
 static uint32_t
 find_place (const struct quarantine *quarantine, const struct request_digest *digest)
 {
@@ -65,8 +65,8 @@
 
 /* ---- ends ---- */
 
-/* Of the valid ends that had not begun when `before` was over, the one that is over first; NULL
- * when there is none. */
+/* Of the valid ends that do not overlap `before`, the one with the earliest `to`; NULL if there is
+ * none. */
 static const struct quarantine_end *
 next_end (const struct quarantine_end *ends, uint32_t n, const struct quarantine_end *before)
 {
@@ -84,8 +84,8 @@
   return next;
 }
 
-/* The most spans from `first` on of which none meets another: each time the one that is over first.
- */
+/* Size of the largest set of pairwise disjoint spans from `first` on: greedy interval scheduling
+ * by earliest `to`. */
 static uint32_t
 count_from (const struct quarantine_suspect *suspect, const struct quarantine_end *first)
 {
@@ -122,8 +122,8 @@
   return NULL;
 }
 
-/* Which of these ends is needed least: the oldest one that was taken back, else the oldest one that
- * is not counted.  Whoever knows the same ends gives up the same one. */
+/* The end to evict: the oldest one that was taken back, else the oldest one that is not counted.
+ * Deterministic, so that hosts with the same ends evict the same one. */
 static uint32_t
 least_needed (const struct quarantine_end *ends, uint32_t n)
 {
@@ -147,7 +147,7 @@
   return least == NULL ? n - 1 : (uint32_t) (least - ends);
 }
 
-/* False when it is the one that is needed least. */
+/* False if `from` is the end to evict. */
 static bool
 add_end (struct quarantine_suspect *suspect, const struct quarantine_end *from)
 {
@@ -215,8 +215,8 @@
   *suspect = quarantine->suspects[--quarantine->n];
 }
 
-/* Who gives up its place: of those that may still be sent the one with the fewest ends, and of
- * those the one that was not seen for the longest time. */
+/* The suspect to evict: of those that may still be sent, the one with the fewest counted ends;
+ * among equals the least recently seen.  NULL if there is none. */
 static struct quarantine_suspect *
 least_suspected (struct quarantine *quarantine, const char *organisation, int64_t now)
 {
@@ -283,7 +283,7 @@
   return true;
 }
 
-/* One that was not suspected, and nothing that is known of it yet. */
+/* Adds a suspect without any ends or trials. */
 static bool
 add (struct quarantine *quarantine,
      const struct quarantine_suspect *from,
@@ -327,7 +327,7 @@
       suspect->tried = from->tried;
       news = true;
     }
-  /* In steps: dates that several hosts tell each other differ by what their messages took. */
+  /* Only in steps, because the times that hosts send each other differ by the message delay. */
   if (from->seen > suspect->seen + SEEN_STEP)
     {
       suspect->seen = from->seen;
@@ -350,8 +350,8 @@
   return last;
 }
 
-/* Nothing follows from what is known of it, and nothing will.  What was held once is remembered as
- * cleared: somebody who was cut off may still hold it. */
+/* None of its ends counts now or will count later.  A suspect that was once held is kept as
+ * cleared, because a host that was cut off may still hold it. */
 static bool
 is_settled (const struct quarantine_suspect *suspect, int64_t now)
 {
--- a/src/quarantine_entry.h
+++ b/src/quarantine_entry.h
@@ -1,5 +1,5 @@
-/* An entry host's part in keeping requests from targets that they would end: what broke, whether
- * its target ended, and what may be sent. */
+/* Quarantine on an entry host: which requests broke, whether their targets ended, and what may be
+ * sent. */
 #ifndef QUARANTINE_ENTRY_H
 #define QUARANTINE_ENTRY_H
 
@@ -14,7 +14,7 @@
 
 BEGIN_DECLS
 
-/* Broken requests whose targets' fate is not known yet. */
+/* Broken requests whose target's fate is not known yet. */
 #define QUARANTINE_PENDING_MAX 256
 
 struct quarantine_entry;
@@ -31,24 +31,26 @@
 struct quarantine_entry *quarantine_entry_new (void *parent,
                                                const struct quarantine_entry_config *config);
 
-/* Where nothing is suspected no request need be digested. */
+/* A request need not be digested while nothing is suspected. */
 bool quarantine_entry_is_empty (const struct quarantine_entry *entry);
 
-/* A client sends it now: may it go to a target?  TRY is given once, and counts. */
+/* Verdict on a request that a client sends.  TRY is returned once and recorded as a trial. */
 enum quarantine_verdict quarantine_entry_judge (struct quarantine_entry *entry,
                                                 const struct request_digest *digest,
                                                 int64_t now);
 
-/* The same of one that was let in, as it goes to a target. */
+/* Verdict on a request that was admitted, just before it is sent to a target. */
 enum quarantine_verdict quarantine_entry_judge_again (const struct quarantine_entry *entry,
                                                       const struct request_digest *digest,
                                                       int64_t now);
 
-/* A run of it begins, and is over.  False: it is not suspected, and its end need not be told. */
+/* Count a run in and out.  False: the request is not suspected, and quarantine_entry_over() need
+ * not be called. */
 bool quarantine_entry_began (struct quarantine_entry *entry, const struct request_digest *digest);
 void quarantine_entry_over (struct quarantine_entry *entry, const struct request_digest *digest);
 
-/* It has had a whole answer, which clears it of breaks whose fate is not known yet, too. */
+/* The request has had a complete answer, which clears it also of breaks whose target's fate is not
+ * known yet. */
 void quarantine_entry_whole (struct quarantine_entry *entry,
                              const struct request_digest *digest,
                              int64_t now);
@@ -60,10 +62,10 @@
                              const struct quarantine_suspect *suspect,
                              int64_t now);
 
-/* Whether targets ended when connections to them broke. */
+/* The watch that finds out whether targets ended when connections to them broke. */
 struct target_watch *quarantine_entry_watch (struct quarantine_entry *entry);
 
-/* What it knows, and tells others. */
+/* The replicated table. */
 struct quarantine_control *quarantine_entry_control (struct quarantine_entry *entry);
 
 END_DECLS
--- a/src/quarantine_wire.c
+++ b/src/quarantine_wire.c
@@ -1,4 +1,4 @@
-/* Messages about requests that end targets. */
+/* Messages about poison requests. */
 #include "quarantine_wire.h"
 #include "pack.h"
 #include <string.h>
@@ -9,7 +9,7 @@
   pack_uint (out, at > now ? 0 : (uint64_t) (now - at));
 }
 
-/* Older than anything that is kept counts as that old. */
+/* Ages are capped at 2 * QUARANTINE_KEEP; nothing that old is kept. */
 static int64_t
 read_age (struct pack_reader *in, int64_t now)
 {
--- a/src/quarantine_wire.h
+++ b/src/quarantine_wire.h
@@ -1,6 +1,6 @@
-/* Messages about requests that end targets (PEER_CHANNEL_QUARANTINE).
+/* Messages about poison requests (PEER_CHANNEL_QUARANTINE).
  *
- * Points in time go as ages, since clocks of hosts differ. */
+ * Times are sent as ages, because the clocks of hosts differ. */
 #ifndef QUARANTINE_WIRE_H
 #define QUARANTINE_WIRE_H
 
@@ -10,26 +10,26 @@
 
 BEGIN_DECLS
 
-/* Suspects in one message at most: about 24 kB. */
+/* Suspects per message; a full message takes about 24 kB. */
 #define QUARANTINE_WIRE_MAX 64
 
 /* Written into messages: never renumbered. */
 enum quarantine_message
 {
   QUARANTINE_NEWS = 1,    /* suspects */
-  QUARANTINE_RELAY = 2,   /* the same, to be passed on to all entry hosts */
-  QUARANTINE_SUMMARY = 3, /* of a table: whose differs answers with its suspects and its summary */
-  QUARANTINE_ANSWER = 4,  /* the summary of who answers: whose still differs sends its suspects */
+  QUARANTINE_RELAY = 2,   /* suspects, to be relayed to all entry hosts */
+  QUARANTINE_SUMMARY = 3, /* table hash; a receiver that differs sends suspects and hash */
+  QUARANTINE_ANSWER = 4,  /* hash in a reply; a receiver that differs sends suspects */
 };
 
-/* A message of suspects begins so; as many follow. */
+/* Header of a message of suspects; `n` suspects follow. */
 void quarantine_write_news (enum quarantine_message kind, uint32_t n, struct bytes *out);
 void quarantine_write_suspect (const struct quarantine_suspect *suspect,
                                int64_t now,
                                struct bytes *out);
 void quarantine_write_summary (enum quarantine_message kind, uint64_t summary, struct bytes *out);
 
-/* What a message holds. */
+/* A decoded message. */
 struct quarantine_said
 {
   enum quarantine_message kind;
@@ -38,7 +38,7 @@
   struct quarantine_suspect suspects[QUARANTINE_WIRE_MAX];
 };
 
-/* False when it is not a whole message. */
+/* False if the message is malformed or incomplete. */
 bool quarantine_read (const void *data, size_t length, int64_t now, struct quarantine_said *out);
 
 END_DECLS
--- a/src/request_digest.c
+++ b/src/request_digest.c
@@ -1,13 +1,13 @@
-/* Which requests are the same. */
+/* Digest that identifies equal requests. */
 #include "request_digest.h"
 #include <sodium.h>
 #include <string.h>
 
 _Static_assert(REQUEST_DIGEST_SIZE >= crypto_generichash_BYTES_MIN
                    && REQUEST_DIGEST_SIZE <= crypto_generichash_BYTES_MAX,
-               "no size of a BLAKE2b digest");
+               "REQUEST_DIGEST_SIZE is not a valid size of a BLAKE2b digest");
 
-/* With its length before it, so that no two lists of parts are the same bytes. */
+/* Hashes the length first, so that different lists of parts never give the same bytes. */
 static void
 add (crypto_generichash_state *state, const void *part, size_t length)
 {
--- a/src/request_digest.h
+++ b/src/request_digest.h
@@ -1,8 +1,8 @@
-/* Which requests are the same: those that would do the same to a target.
+/* Digest that identifies equal requests: those with the same effect on a target.
  *
- * Method, host, path with its query, organisation and body count; identities, deadlines and what
- * concerns one connection differ from one try to the next and do not.  The organisation is in it,
- * so that nobody's requests can be mistaken for another's. */
+ * It covers the method, host, path with query, organisation and body.  Identities, deadlines and
+ * connection headers are left out, because they differ from one try to the next.  The organisation
+ * is included so that requests of different organisations never compare equal. */
 #ifndef REQUEST_DIGEST_H
 #define REQUEST_DIGEST_H
 
@@ -14,7 +14,7 @@
 
 BEGIN_DECLS
 
-#define REQUEST_DIGEST_SIZE 32 /* bytes of BLAKE2b: nobody makes two requests that share one */
+#define REQUEST_DIGEST_SIZE 32 /* bytes of BLAKE2b: collisions are infeasible */
 #define REQUEST_DIGEST_TEXT (2 * REQUEST_DIGEST_SIZE + 1)
 
 struct request_digest
@@ -22,7 +22,7 @@
   uint8_t bytes[REQUEST_DIGEST_SIZE];
 };
 
-/* `organisation` is "" where requests bear no keys. */
+/* `organisation` is "" where requests carry no API keys. */
 void request_digest_of (const struct h1_head *head,
                         const struct bytes *body,
                         const char *organisation,
@@ -30,10 +30,10 @@
 
 bool request_digest_equal (const struct request_digest *a, const struct request_digest *b);
 
-/* In hexadecimal digits, as logs and commands name it. */
+/* Hexadecimal digits, as in logs and commands. */
 void request_digest_write (const struct request_digest *digest, char out[REQUEST_DIGEST_TEXT]);
 
-/* False when it is not one. */
+/* False if `text` is not a digest. */
 bool request_digest_read (const char *text, struct request_digest *out);
 
 END_DECLS
