--- a/bench/cmd_quarantine.c
+++ b/bench/cmd_quarantine.c
@@ -1,4 +1,4 @@
-/* quarantine: what requests that end their targets do to fleets of growing size, on virtual time.
+/* quarantine: effect of poison requests on fleets of growing size, in virtual time.
  *
  *   quarantine [--seconds N] [--seeds N] [--rate N] */
 #include "quarantine_fleet.h"
@@ -14,9 +14,9 @@
 };
 
 static const struct argp_option argp_options[] = {
-  { "seconds", 's', "N", 0, "virtual time of each play (40)", 0 },
-  { "seeds", 'k', "N", 0, "plays of each kind (10)", 0 },
-  { "rate", 'r', "N", 0, "arrivals a second of each request that ends targets (8)", 0 },
+  { "seconds", 's', "N", 0, "virtual seconds per run (40)", 0 },
+  { "seeds", 'k', "N", 0, "runs per scenario and fleet size (10)", 0 },
+  { "rate", 'r', "N", 0, "arrivals per second of each poison request (8)", 0 },
   { 0 },
 };
 
@@ -93,10 +93,11 @@
 int
 main (int argc, char **argv)
 {
-  const struct argp parser = { .options = argp_options,
-                               .parser = parse,
-                               .doc =
-                                   "Requests that end their targets, in fleets on virtual time." };
+  const struct argp parser = {
+    .options = argp_options,
+    .parser = parse,
+    .doc = "Effect of poison requests on fleets of growing size, in virtual time."
+  };
   struct options options = { .seconds = 40, .seeds = 10, .rate = 8 };
 
   setvbuf (stdout, NULL, _IOLBF, 0);
--- a/bench/quarantine_fleet.c
+++ b/bench/quarantine_fleet.c
@@ -1,4 +1,4 @@
-/* Targets and requests of a fleet on virtual time. */
+/* Targets and requests of the fleet simulation. */
 #include "quarantine_fleet.h"
 #include "container.h"
 #include "quarantine_fleet_private.h"
@@ -8,16 +8,16 @@
 
 #define START (100 * USEC_PER_SEC)
 
-/* Until a break is known for an end. */
+/* Delay in microseconds until a host learns that a broken connection was the end of the target. */
 #define PROBE_LEAST 200
 #define PROBE_SPREAD (10 * USEC_PER_MSEC)
 
-/* A target is back after two to four seconds. */
+/* A target restarts after two to four seconds. */
 #define TARGET_BACK (2 * USEC_PER_SEC)
 #define SOUND_RUN (100 * USEC_PER_MSEC)
 #define SOUND_RUN_SPREAD (900 * USEC_PER_MSEC)
 
-/* A loss of power takes a quarter of the targets. */
+/* A power cut takes one target in this many. */
 #define POWER_CUT_ONE_IN 4
 
 /* ---- targets ---- */
@@ -45,7 +45,7 @@
   run->target->n_runs--;
 }
 
-/* Everything that runs there breaks; each host finds out a moment later that the target ended. */
+/* All runs on the target break; each host learns of the end after a probe delay. */
 static void
 end_target (struct fleet_target *target, int64_t now)
 {
@@ -87,8 +87,7 @@
   return request == fleet->config->bad;
 }
 
-/* The suspect in the table of the run's host; NULL where there is none, or the host started again.
- */
+/* The suspect in the table of the run's host; NULL if there is none or the host has restarted. */
 static struct quarantine_suspect *
 suspect_of (const struct run *run)
 {
@@ -122,7 +121,7 @@
 
 static const struct timer_ops return_ops = { .fire = return_fired };
 
-/* Its client comes again, once; bad ones come by their own clock. */
+/* The client retries a normal request once; poison requests arrive at their own rate. */
 static void
 lose (struct run *run, int64_t now)
 {
@@ -174,7 +173,7 @@
     bad->third = now;
 }
 
-/* The end that a run was drawn to have. */
+/* The run reaches the outcome that was drawn for it. */
 static void
 run_fired (struct timer *timer, int64_t now)
 {
@@ -202,7 +201,7 @@
 
 static const struct timer_ops run_ops = { .fire = run_fired };
 
-/* One that is up, drawn; for a suspect the one with the least on it. */
+/* A random target that is up; for a suspect the one with the fewest runs. */
 static struct fleet_target *
 choose_target (struct fleet *fleet, bool apart)
 {
@@ -276,7 +275,7 @@
   timer_arm (fleet->timers, &run->timer, now + least + fleet_draw (fleet, spread));
 }
 
-/* One host makes the tries of a request. */
+/* Trials of a request are made by one host. */
 static enum quarantine_verdict
 judge (struct run *run, int64_t now)
 {
@@ -352,7 +351,7 @@
 
 static const struct timer_ops arrival_ops = { .fire = arrival_fired };
 
-/* ---- troubles ---- */
+/* ---- faults ---- */
 
 static void
 cut_power (struct fleet *fleet, int64_t now)
@@ -386,7 +385,7 @@
 
 static const struct timer_ops trouble_ops = { .fire = trouble_fired };
 
-/* ---- the whole ---- */
+/* ---- simulation ---- */
 
 static void
 begin_arrivals (struct fleet *fleet)
@@ -478,7 +477,7 @@
         if (fleet->bad[i].late > out->late_most)
           out->late_most = fleet->bad[i].late;
     }
-  /* Each disarms its timer, while what the other timers are in is still there. */
+  /* Each node disarms its timer; the objects that hold the other timers must still exist. */
   for (uint32_t i = 0; fleet != NULL && i < fleet->n_nodes; i++)
     talloc_free (fleet->nodes[i].control);
   talloc_free (fleet);
--- a/bench/quarantine_fleet_node.c
+++ b/bench/quarantine_fleet_node.c
@@ -1,4 +1,4 @@
-/* The entry hosts and controllers of a fleet on virtual time, and the messages between them. */
+/* Entry hosts and controllers of the fleet simulation, and the messages between them. */
 #include "container.h"
 #include "quarantine_fleet_private.h"
 #include <stdio.h>
@@ -6,11 +6,11 @@
 #include <string.h>
 #include <talloc.h>
 
-/* Of a message. */
+/* Message delay in microseconds. */
 #define DELAY_LEAST 200
 #define DELAY_SPREAD (3 * USEC_PER_MSEC)
 
-/* A process is back after one to two seconds. */
+/* A process restarts after one to two seconds. */
 #define PROCESS_BACK (1 * USEC_PER_SEC)
 #define CUT_FOR (4 * USEC_PER_SEC)
 
@@ -89,7 +89,8 @@
 
 static const struct peer_port_ops port_ops = { .send = port_send, .listen = port_listen };
 
-/* A cut shows two seconds later at the earliest: until then its other side is told, in vain. */
+/* A partition would show two seconds later at the earliest, so the list ignores it: messages to
+ * the other side are sent and lost. */
 static uint32_t
 list_peers (struct quarantine_peers *peers, const char *out[SYNC_HOSTS_MAX], int64_t now)
 {
--- a/bench/quarantine_fleet_private.h
+++ b/bench/quarantine_fleet_private.h
@@ -1,4 +1,4 @@
-/* What the files of the fleet on virtual time share. */
+/* Declarations shared by the files of the fleet simulation. */
 #ifndef QUARANTINE_FLEET_PRIVATE_H
 #define QUARANTINE_FLEET_PRIVATE_H
 
@@ -20,15 +20,15 @@
   struct peer_port port;
   struct quarantine_peers peers;
   struct peer_listener *listener;
-  struct quarantine_control *control; /* NULL while it is down */
+  struct quarantine_control *control; /* NULL while the process is down */
   struct counters *counters;
-  struct timer timer; /* back, or joined */
+  struct timer timer; /* end of the restart or of the partition */
   char name[16];
   bool is_entry;
   bool cut;
-  uint32_t start;     /* counts its starts */
-  int64_t calm_since; /* nothing has happened to it since */
-  int64_t second;     /* of the bytes below */
+  uint32_t start;     /* number of starts */
+  int64_t calm_since; /* time of the last restart, partition or return */
+  int64_t second;     /* the second in which bytes_of_second were sent */
   double bytes_of_second;
 };
 
@@ -37,7 +37,7 @@
   struct timer timer;
   struct node *from;
   struct node *to;
-  uint32_t start; /* of the receiver: one that came back does not get what went to it before */
+  uint32_t start; /* of the receiver: a message sent before its restart is dropped */
   struct bytes bytes;
 };
 
@@ -46,25 +46,25 @@
 struct fleet_target
 {
   struct fleet *fleet;
-  struct timer timer; /* back */
+  struct timer timer; /* end of the restart */
   bool up;
   uint64_t incarnation;
   uint32_t n_runs;
   struct run *runs;
 };
 
-/* A request, from its arrival to its last word. */
+/* One client request, from arrival to completion. */
 struct run
 {
   struct fleet *fleet;
-  struct timer timer; /* what comes next */
+  struct timer timer; /* next event of the run */
   struct node *host;
-  uint32_t start; /* of the host */
+  uint32_t start; /* start number of the host at arrival */
   struct fleet_target *target;
-  uint64_t incarnation; /* that it ran on */
-  uint32_t request;     /* names what it asks: bad ones first, then the popular one */
-  bool again;           /* its client's second try */
-  bool counted;         /* among the runs of a suspect */
+  uint64_t incarnation; /* of the target it ran on */
+  uint32_t request;     /* number of its content: poison requests first, then the popular one */
+  bool again;           /* the client's retry */
+  bool counted;         /* counted in the suspect's `running` */
   int64_t sent;
   int64_t broke;
   struct run *prev;
@@ -75,16 +75,16 @@
 {
   uint32_t ends;
   uint32_t late;
-  int64_t third; /* when the third target ended */
+  int64_t third; /* time at which the third target ended */
 };
 
-/* Requests that come at random. */
+/* Poisson arrivals of requests, or evenly spaced ones. */
 struct arrivals
 {
   struct fleet *fleet;
   struct timer timer;
-  uint32_t request; /* above the popular one: of all that are sound */
-  double rate;      /* a second */
+  uint32_t request; /* a number above the popular one stands for all that are not poison */
+  double rate;      /* arrivals per second */
 };
 
 struct fleet
@@ -98,9 +98,9 @@
   uint32_t n_nodes;
   struct fleet_target *targets;
   struct bad_request bad[FLEET_BAD_MAX];
-  struct arrivals arrivals[FLEET_BAD_MAX + 1]; /* of each bad request, and of all others */
+  struct arrivals arrivals[FLEET_BAD_MAX + 1]; /* one per poison request, and one for all others */
   struct timer troubles;
-  uint32_t left[4]; /* power cuts, restarts, cuts and blackouts still to come */
+  uint32_t left[4]; /* power cuts, restarts, partitions and full restarts still to come */
   uint32_t next_request;
   double messages;
   double bytes;
@@ -114,16 +114,16 @@
 
 /* ---- quarantine_fleet_node.c ---- */
 
-/* False when memory is out. */
+/* False if memory runs out. */
 bool fleet_build_nodes (struct fleet *fleet);
 
-/* One of them is restarted or cut off, unless that is so already. */
+/* Restarts or partitions a random node, unless it is already down or cut off. */
 void fleet_disturb (struct fleet *fleet, bool restarts, int64_t now);
 
-/* All of them start again. */
+/* Restarts all nodes that are up. */
 void fleet_black_out (struct fleet *fleet, int64_t now);
 
-/* The host is in touch: it has run, and reached the others, for the whole of FLEET_CONTACT. */
+/* The host has been up, reachable and undisturbed for FLEET_CONTACT. */
 bool fleet_is_in_touch (const struct node *node, int64_t now);
 
 #endif
--- a/src/quarantine_control.c
+++ b/src/quarantine_control.c
@@ -1,4 +1,4 @@
-/* Wires the table of suspected requests to the peer channel. */
+/* Replicates the table of suspected requests over the peer channel. */
 #include "quarantine_control.h"
 #include "container.h"
 #include "log.h"
@@ -12,10 +12,10 @@
   struct quarantine_control_config config;
   struct quarantine *table;
   struct peer_listener listener;
-  struct timer timer; /* compares */
+  struct timer timer; /* compares tables */
   struct timer tell_timer;
-  uint32_t turn;        /* of the controllers, in comparing */
-  uint32_t next_sent;   /* the first suspect of the next message of all */
+  uint32_t turn;        /* index of the next controller to compare with */
+  uint32_t next_sent;   /* where the next send_all() starts */
   struct counter *held; /* requests that are not sent any more */
   struct counter *suspected;
   struct counter *learnt;
@@ -59,7 +59,7 @@
   bytes_clear (&message);
 }
 
-/* Of suspects that were written, so many. */
+/* Builds a message of `n` suspects that are encoded already. */
 static void
 write_message (enum quarantine_message kind,
                const struct bytes *suspects,
@@ -71,7 +71,8 @@
   bytes_append (out, suspects->data, suspects->length);
 }
 
-/* What is worth telling: as much as one message takes, the next time what is behind it. */
+/* Sends the suspects that entry hosts need, at most one message of them; the next call continues
+ * behind the last one sent. */
 static void
 send_all (struct quarantine_control *control,
           enum quarantine_message kind,
@@ -102,7 +103,8 @@
   bytes_clear (&written);
 }
 
-/* An entry host's news go to all controllers; the first that takes them passes them on. */
+/* Sends new evidence to all peers.  An entry host asks the first controller that takes the message
+ * to relay it. */
 static void
 tell (struct quarantine_control *control,
       const struct bytes *suspects,
@@ -122,7 +124,7 @@
   bytes_clear (&relay);
 }
 
-/* As much as one message takes. */
+/* Sends at most one message and rearms the timer for the rest. */
 static void
 tell_fired (struct timer *timer, int64_t now)
 {
@@ -133,7 +135,7 @@
   struct bytes written;
   uint32_t n = 0;
 
-  /* What one host alone knows is told when there is somebody to tell. */
+  /* Evidence that only this host has is kept until a controller is reachable. */
   if (n_peers == 0 && control->config.is_entry)
     {
       timer_arm (control->config.timers, timer, now + QUARANTINE_COMPARE_FIRST);
@@ -171,7 +173,7 @@
     timer_arm (control->config.timers, &control->tell_timer, now + QUARANTINE_TELL);
 }
 
-/* ---- what is believed ---- */
+/* ---- local changes ---- */
 
 static void
 show_gauges (struct quarantine_control *control, int64_t now)
@@ -227,7 +229,7 @@
              "seen_ms", (json_int_t) ((now - suspect->seen) / USEC_PER_MSEC));
 }
 
-/* NULL: nothing of it was new. */
+/* NULL if nothing of it was new. */
 static struct quarantine_suspect *
 take (struct quarantine_control *control,
       const struct quarantine_suspect *from,
@@ -305,8 +307,8 @@
 
 /* ---- receiving ---- */
 
-/* What is new goes on to whom it was sent to be passed on; its sender too may know less than there
- * is by now. */
+/* A relayed message is passed on to all entry hosts where it is new; its sender is included, as it
+ * may know less than this table by now. */
 static void
 take_news (struct quarantine_control *control,
            const struct quarantine_said *said,
@@ -363,7 +365,7 @@
 
 static const struct peer_listener_ops listener_ops = { .received = received };
 
-/* ---- time ---- */
+/* ---- periodic comparison ---- */
 
 static void
 timer_fired (struct timer *timer, int64_t now)
@@ -428,7 +430,7 @@
   return out;
 }
 
-/* ---- the whole ---- */
+/* ---- construction ---- */
 
 static int
 free_control (struct quarantine_control *control)
--- a/src/quarantine_entry.c
+++ b/src/quarantine_entry.c
@@ -1,4 +1,4 @@
-/* An entry host's part in keeping requests from targets that they would end. */
+/* Quarantine on an entry host. */
 #include "quarantine_entry.h"
 #include "container.h"
 #include "log.h"
@@ -7,7 +7,8 @@
 #include <talloc.h>
 #include <xxhash.h>
 
-/* A request that is seen again is worth telling of this often. */
+/* Least time between announcements that clients still send a held request, so that others keep
+ * it. */
 #define TELL_SEEN (QUARANTINE_KEEP / 4)
 
 struct quarantine_entry
@@ -18,7 +19,7 @@
   struct quarantine_control *control;
   struct quarantine *table;
   struct target_watch *watch;
-  struct quarantine_suspect *pending; /* of QUARANTINE_PENDING_MAX, each with one end */
+  struct quarantine_suspect *pending; /* QUARANTINE_PENDING_MAX, each with one end */
   uint32_t n_pending;
   struct counter *verdicts[QUARANTINE_VERDICT_COUNT];
 };
@@ -62,7 +63,7 @@
   entry->n_pending = kept;
 }
 
-/* What became of the targets says nothing of a request that has had a whole answer since. */
+/* After a complete answer the fate of the targets says nothing about the request. */
 static void
 drop_pending (struct quarantine_entry *entry, const struct request_digest *digest)
 {
@@ -95,8 +96,8 @@
 
 /* ---- verdicts ---- */
 
-/* One host makes the tries of a request, so that all hosts together make no more than one: the
- * highest hash of a name with the request. */
+/* All trials of a request are made by one host, so that there is at most one at a time: the host
+ * with the highest rendezvous hash of its name and the request. */
 static bool
 tries_here (const struct quarantine_entry *entry, const struct request_digest *digest)
 {
@@ -118,7 +119,7 @@
   return best != NULL && subscriber_is_self (entry->config.subscriber, best);
 }
 
-/* The word of a try goes out before its request does. */
+/* Announces the trial before the request itself is sent. */
 static void
 note_try (struct quarantine_entry *entry, const struct quarantine_suspect *suspect, int64_t now)
 {
@@ -212,7 +213,7 @@
   return entry->control;
 }
 
-/* ---- the whole ---- */
+/* ---- construction ---- */
 
 static void
 take_counters (struct quarantine_entry *entry)
--- a/src/stage_answer.c
+++ b/src/stage_answer.c
@@ -1,11 +1,11 @@
-/* The checks of targets' answers: only an answer that is whole and of the right shape counts. */
+/* Checks of targets' answers: only a complete and well-formed answer is accepted. */
 #include "stage.h"
 #include <math.h>
 #include <stdlib.h>
 #include <string.h>
 
-/* jansson's own depth limit is fixed when it is built, so the text is looked over first: a deep
- * nesting would be recursed into by the parser and again by the release. */
+/* The nesting depth is checked before parsing, because jansson's own limit is fixed at its build:
+ * the parser, and later json_decref(), would recurse into a deep nesting. */
 static bool
 depth_within (const char *text, size_t length, uint32_t max)
 {
@@ -137,7 +137,7 @@
   return STATUS_OK;
 }
 
-/* The document a rerank result names, NULL when it names none or one already taken. */
+/* The document that a rerank result names; NULL if it names none or one already taken. */
 static json_t *
 ranked (const json_t *documents, const json_t *result, bool *taken)
 {
@@ -162,7 +162,7 @@
   bool *taken;
   size_t i;
 
-  /* Fewer results than asked for would lose documents without a sign of it. */
+  /* Fewer results than requested would drop documents silently. */
   if (!json_is_array (results) || json_array_size (results) < wanted)
     return status_fail (STATUS_MALFORMED, "results: expected %zu", wanted);
   kept = json_array ();
@@ -218,8 +218,8 @@
   return status;
 }
 
-/* The engine came to its end, or to the tokens that were asked for.  Any other reason, such as that
- * it gave up, ends a text that is not whole. */
+/* The engine finished or reached the requested number of tokens.  With any other reason, such as
+ * an abort, the text is incomplete. */
 static bool
 ends_whole (const json_t *reason)
 {
--- a/src/stage_body.c
+++ b/src/stage_body.c
@@ -1,4 +1,4 @@
-/* What goes to targets, and to the caller at the end, by stage kind. */
+/* Bodies of calls to targets, and the result for the caller, by stage kind. */
 #include "stage.h"
 #include <inttypes.h>
 #include <stdlib.h>
@@ -47,7 +47,7 @@
     }
 }
 
-/* ---- JSON text, straight into the body ---- */
+/* ---- JSON text ---- */
 
 static int
 take_text (const char *buffer, size_t size, void *out)
@@ -74,14 +74,14 @@
     bytes_append_text (out, data->input_text);
 }
 
-/* Model names are letters, digits, '-' and '.': nothing to escape. */
+/* Model names consist of letters, digits, '-' and '.', so they need no escaping. */
 static void
 append_model (struct bytes *out, const char *model)
 {
   bytes_append_format (out, "{\"model\":\"%s\"", model);
 }
 
-/* The input, and the documents after it, as one JSON string. */
+/* Appends the input and the documents after it as one JSON string. */
 static void
 append_prompt (struct bytes *out, struct stage_data *data)
 {
@@ -97,7 +97,7 @@
       stage_append_json (json_object_get (document, "text"), &text);
       if (bytes_failed (&text) || bytes_failed (out))
         break;
-      /* Its text without the quotes takes the place of the closing quote so far. */
+      /* The text without its opening quote overwrites the closing quote of the string so far. */
       out->length--;
       bytes_append_text (out, "\\n");
       bytes_append (out, text.data + 1, text.length - 1);
