--- a/tests/unit_quarantine.cc
+++ b/tests/unit_quarantine.cc
@@ -1,4 +1,4 @@
-// The table of requests that end targets: how what is known merges, and what follows from it.
+// Table of poison requests: merging of evidence, verdicts, and the encoding of messages.
 #include "quarantine.h"
 #include "quarantine_wire.h"
 #include "rng.h"
@@ -15,7 +15,7 @@
 const int64_t START = 7 * QUARANTINE_KEEP;
 const int64_t RUN = 30 * USEC_PER_MSEC;
 
-// What one host learns of one end: the run before it took so long.
+// Evidence of one end, as one host reports it; `took` is the duration of the run.
 struct quarantine_suspect
 learnt (int request,
         uint64_t incarnation,
@@ -59,7 +59,7 @@
     return out;
   }
 
-  // Three ends, one after the other; the time of the last.
+  // Adds three ends one second apart; returns the time of the last.
   int64_t
   hold (int request, const char *organisation = "org")
   {
@@ -105,7 +105,7 @@
   EXPECT_EQ (judge (2, START + 2 * USEC_PER_SEC), QUARANTINE_PASS);
 }
 
-// One target ends, and several hosts tell of it.
+// Several hosts report the end of the same target.
 TEST_F (Quarantine, CountsAnIncarnationOnce)
 {
   for (int i = 0; i < 9; i++)
@@ -122,16 +122,16 @@
   EXPECT_EQ (judge (1, START), QUARANTINE_APART);
 }
 
-// A client that comes again at once, to targets that end within milliseconds.
-TEST_F (Quarantine, CountsRunsOneAfterTheOther)
+// A client repeats a request at once, and its targets end within milliseconds of each other.
+TEST_F (Quarantine, CountsEndsOfConsecutiveRunsSeparately)
 {
   for (uint64_t i = 0; i < 3; i++)
     add (learnt (1, 10 + i, START + static_cast<int64_t> (i) * 2 * USEC_PER_MSEC, USEC_PER_MSEC));
   EXPECT_EQ (count (1), 3u);
 }
 
-// Runs overlap, and targets end at moments that have nothing to do with each other.
-TEST_F (Quarantine, CountsEndsThatAreFarApart)
+// Runs overlap, but the targets end at unrelated moments.
+TEST_F (Quarantine, CountsUnrelatedEndsOfOverlappingRunsSeparately)
 {
   for (uint64_t i = 0; i < 3; i++)
     add (learnt (1, 10 + i, START + static_cast<int64_t> (i) * 2 * QUARANTINE_INSTANT,
@@ -139,9 +139,9 @@
   EXPECT_EQ (count (1), 3u);
 }
 
-// So many runs are out at once that more targets end together than are kept: those that end later
-// must still count.
-TEST_F (Quarantine, CountsLaterEndsHoweverManyCameTogether)
+// More targets end together than ends are stored, as many runs are in flight at once: ends that
+// follow must still be counted.
+TEST_F (Quarantine, CountsLaterEndsAfterMoreSimultaneousEndsThanAreStored)
 {
   for (uint64_t i = 0; i < 30; i++)
     add (learnt (1, 10 + i, START + static_cast<int64_t> (i) * USEC_PER_MSEC, USEC_PER_SEC));
@@ -149,7 +149,7 @@
   add (learnt (1, 50, START + USEC_PER_SEC));
   add (learnt (1, 51, START + 2 * USEC_PER_SEC));
   EXPECT_EQ (count (1), 3u);
-  // What was given up and is heard again is no news.
+  // An evicted end that is reported again is not new.
   struct quarantine_suspect again = learnt (1, 11, START + USEC_PER_MSEC, USEC_PER_SEC);
   struct quarantine_suspect *out;
 
@@ -158,8 +158,8 @@
   EXPECT_EQ (count (1), 3u);
 }
 
-// A request that is sent all day is on some target whenever one ends.
-TEST_F (Quarantine, CountsNoEndsThatAreLongApart)
+// A request that is sent all day is in flight on some target whenever one ends.
+TEST_F (Quarantine, CountsOnlyEndsWithinOneWindow)
 {
   for (uint64_t i = 0; i < 5; i++)
     add (learnt (1, 10 + i, START + static_cast<int64_t> (i) * QUARANTINE_WINDOW * 2 / 3));
@@ -167,8 +167,9 @@
   EXPECT_EQ (judge (1, START + 10 * QUARANTINE_WINDOW), QUARANTINE_PASS);
 }
 
-// A target whose machine is silent is known to have ended some seconds later: at any moment since.
-TEST_F (Quarantine, CountsSilentTargetsOnce)
+// The end of a target whose machine goes silent is detected seconds later, so it may lie at any
+// moment since the last sign of life.
+TEST_F (Quarantine, CountsSilentTargetsWithOverlappingSpansOnce)
 {
   for (uint64_t i = 0; i < 3; i++)
     {
@@ -181,9 +182,9 @@
   EXPECT_EQ (count (1), 1u);
 }
 
-// What one of several requests beside each other does is put down to all of them until a whole
-// answer clears one; what was learnt before does not come back with late news.
-TEST_F (Quarantine, AWholeAnswerClearsForGood)
+// Requests that run beside a poison request collect its ends until a complete answer clears them.
+// Evidence from before the answer that arrives late must not count again.
+TEST_F (Quarantine, ACompleteAnswerClearsOlderEvidencePermanently)
 {
   int64_t now = hold (1);
   struct quarantine_suspect of = learnt (1, 0, now);
@@ -196,7 +197,7 @@
   EXPECT_EQ (judge (1, now + USEC_PER_SEC), QUARANTINE_APART);
 }
 
-TEST_F (Quarantine, TakesBackTheEndOfATargetThatLives)
+TEST_F (Quarantine, TakesBackTheEndOfALiveTarget)
 {
   int64_t now = hold (1);
   struct quarantine_suspect of = learnt (1, 0, now);
@@ -206,8 +207,8 @@
   EXPECT_FALSE (quarantine_take_back (quarantine_find (table, &of.digest), 11, now));
 }
 
-// One host heard of the target before another host saw it end.
-TEST_F (Quarantine, TakesBackNoEndAfterTheTargetWasHeardLast)
+// One host saw the target alive before another host saw it end: the end is valid.
+TEST_F (Quarantine, KeepsAnEndAfterTheTargetWasLastSeenAlive)
 {
   struct quarantine_suspect of = learnt (1, 0, hold (1));
   struct quarantine_suspect *held = quarantine_find (table, &of.digest);
@@ -219,8 +220,9 @@
   EXPECT_TRUE (quarantine_take_back (held, incarnation, ended));
 }
 
-// Hosts hear the same things in any order, some of them often: they must come to the same belief.
-TEST_F (Quarantine, MergesInAnyOrderAnyNumberOfTimes)
+// Hosts receive the same evidence in different orders and with duplicates: their tables must
+// converge.
+TEST_F (Quarantine, ConvergesForAnyOrderAndDuplicationOfEvidence)
 {
   for (uint64_t seed = 1; seed <= 200; seed++)
     {
@@ -234,7 +236,7 @@
               learnt (static_cast<int> (rng_below (&rng, 3)), 1 + rng_below (&rng, 5),
                       START + static_cast<int64_t> (rng_below (&rng, 5)) * USEC_PER_SEC);
 
-          // One incarnation has one end, whoever tells of it.
+          // One incarnation has one end, whichever host reports it.
           one.ends[0].to = START + static_cast<int64_t> (one.ends[0].incarnation) * USEC_PER_SEC;
           one.ends[0].from = one.ends[0].to - RUN;
           one.ends[0].taken_back = rng_below (&rng, 4) == 0;
@@ -250,7 +252,7 @@
             heard.push_back (news[rng_below (&rng, news.size ())]);
           for (size_t i = heard.size (); i > 1; i--)
             std::swap (heard[i - 1], heard[rng_below (&rng, i)]);
-          // Each is heard whole in the end.
+          // Every item is delivered at least once.
           heard.insert (heard.end (), news.begin (), news.end ());
           for (const auto &one : heard)
             {
@@ -268,8 +270,9 @@
     }
 }
 
-// An organisation that invents requests takes nobody else's place, and no place of what is held.
-TEST_F (Quarantine, KeepsWhatIsHeldHoweverManyAreInvented)
+// An organisation that sends invented requests evicts neither the suspects of others nor requests
+// that are held.
+TEST_F (Quarantine, KeepsHeldRequestsWhenManySuspectsAreAdded)
 {
   hold (1, "other");
   hold (2, "many");
@@ -289,9 +292,9 @@
   EXPECT_EQ (n, static_cast<uint32_t> (QUARANTINE_SUSPECTS_MAX));
 }
 
-// It was beside another request that ended its targets, or what ended them has been mended: it is
-// tried again, twice at most.
-TEST_F (Quarantine, TriesAgainTwice)
+// A request was held only because it ran beside a poison request, or the cause has been repaired:
+// it is tried again, at most twice.
+TEST_F (Quarantine, TriesAHeldRequestAgainTwice)
 {
   const int64_t waits[] = { QUARANTINE_FIRST_TRIAL, QUARANTINE_SECOND_TRIAL };
   int64_t now = hold (1);
@@ -312,7 +315,7 @@
   EXPECT_EQ (judge (1, now + 100 * QUARANTINE_SECOND_TRIAL, true), QUARANTINE_REFUSE);
 }
 
-TEST_F (Quarantine, ForgetsWhatNobodySends)
+TEST_F (Quarantine, DropsRequestsThatNoClientSends)
 {
   hold (1);
   quarantine_expire (table, START + QUARANTINE_KEEP - 1);
@@ -324,8 +327,9 @@
   EXPECT_TRUE (quarantine_is_empty (table));
 }
 
-// A target ended by itself: once that is long ago no request need be compared with what ran there.
-TEST_F (Quarantine, ForgetsEndsThatLedToNothing)
+// A target ended for a reason of its own: once that end expired, no request need be compared with
+// those that ran there.
+TEST_F (Quarantine, DropsASuspectWhoseEndExpired)
 {
   add (learnt (1, 11, START));
   quarantine_expire (table, START + QUARANTINE_WINDOW);
@@ -334,8 +338,8 @@
   EXPECT_TRUE (quarantine_is_empty (table));
 }
 
-// A host that was cut off may still hold what was cleared meanwhile.
-TEST_F (Quarantine, RemembersThatWhatWasHeldIsCleared)
+// A host that was cut off may still hold a request that was cleared meanwhile.
+TEST_F (Quarantine, KeepsAClearedRequestThatWasHeld)
 {
   int64_t now = hold (1);
 
@@ -347,7 +351,7 @@
 
 // ---- messages ----
 
-TEST_F (Quarantine, IsReadAsItIsWritten)
+TEST_F (Quarantine, DecodesWhatWasEncoded)
 {
   int64_t now = hold (1) + USEC_PER_SEC;
   struct quarantine_suspect *suspect = quarantine_at (table, 0);
@@ -360,7 +364,7 @@
   bytes_init (&message, parent);
   quarantine_write_news (QUARANTINE_RELAY, 1, &message);
   quarantine_write_suspect (suspect, now, &message);
-  // Read on a host whose clock shows something else.
+  // Decoded on a host whose clock differs.
   ASSERT_TRUE (quarantine_read (message.data, message.length, now + 77, &read));
   ASSERT_EQ (read.n, 1u);
   EXPECT_EQ (read.kind, QUARANTINE_RELAY);
@@ -380,9 +384,9 @@
     }
 }
 
-// A message that was cut or damaged on the way is refused, or reads as some message: never more
-// than was sent, and nothing outside it.
-TEST_F (Quarantine, ReadsNoDamagedMessage)
+// A truncated message is rejected.  A corrupted one is rejected or decodes within the limits, and
+// nothing outside it is read.
+TEST_F (Quarantine, RejectsTruncatedMessagesAndBoundsCorruptedOnes)
 {
   struct quarantine_said read;
   struct bytes message;
--- a/tests/unit_quarantine_control.cc
+++ b/tests/unit_quarantine_control.cc
@@ -1,4 +1,4 @@
-// What hosts tell each other of requests that end targets, and when.
+// Replication of evidence about poison requests between hosts: recipients and timing.
 #include "container.h"
 #include "quarantine_control.h"
 #include "quarantine_wire.h"
@@ -67,8 +67,7 @@
     timer_service_run (timers, now);
   }
 
-  // To whom suspects went, with the kind of message and how many ends each had; what only compares
-  // tables is left out.
+  // Recipient, kind and number of ends of each message of suspects; summaries are left out.
   std::vector<std::string>
   told () const
   {
@@ -106,8 +105,8 @@
   int64_t now = 100 * USEC_PER_SEC;
 };
 
-// An end that one host alone knows, while it reaches no controller: it must not be lost.
-TEST_F (QuarantineControl, TellsWhenThereIsSomebodyToTell)
+// An end is recorded while no controller is reachable: it must not be lost.
+TEST_F (QuarantineControl, AnnouncesOnceAControllerIsReachable)
 {
   struct quarantine_suspect suspect = learnt (11);
 
@@ -120,8 +119,8 @@
   EXPECT_EQ (told (), (std::vector<std::string>{ "c1:1 relay 1", "c2:1 news 1" }));
 }
 
-// The controller that is asked to pass on cannot be reached: the next one is.
-TEST_F (QuarantineControl, HasAnotherControllerPassOn)
+// The controller that is asked to relay is unreachable: the next one is asked.
+TEST_F (QuarantineControl, AsksTheNextControllerToRelayWhenTheFirstIsUnreachable)
 {
   struct quarantine_suspect suspect = learnt (11);
 
@@ -133,9 +132,10 @@
   EXPECT_EQ (told (), (std::vector<std::string>{ "c2:1 relay 1", "c3:1 news 1" }));
 }
 
-// Hundreds of requests have one end when a host of targets loses power: controllers keep that to
-// themselves, and tell all entry hosts of a second end, whoever told of it.
-TEST_F (QuarantineControl, PassesOnWhatHasTwoEnds)
+// When a host of targets loses power, hundreds of requests get one end each.  Controllers keep
+// these to themselves and announce a request to all entry hosts from its second end on, whichever
+// host reported it.
+TEST_F (QuarantineControl, RelaysRequestsFromTheSecondEndOn)
 {
   start (false);
   peers.names = { "h1:1", "h2:1" };
@@ -146,14 +146,14 @@
   hear (QUARANTINE_RELAY, learnt (12));
   pass (QUARANTINE_TELL);
   EXPECT_EQ (told (), (std::vector<std::string>{ "h1:1 news 2", "h2:1 news 2" }));
-  // What is no news goes no further.
+  // Evidence that is not new is not announced.
   hear (QUARANTINE_RELAY, learnt (12));
   pass (QUARANTINE_TELL);
   EXPECT_EQ (told ().size (), 2u);
 }
 
-// Tables that differ: who is asked sends what it has and how it stands, and takes what it lacks.
-TEST_F (QuarantineControl, GivesAHostThatStartsAllThereIs)
+// Tables differ: the host that is asked replies with its suspects and the hash of its table.
+TEST_F (QuarantineControl, SendsItsTableToAHostWhoseTableDiffers)
 {
   struct bytes message;
 
@@ -168,7 +168,7 @@
   EXPECT_EQ (told (), (std::vector<std::string>{ "h1:1 news 2" }));
   EXPECT_EQ (port.sent.size (), 2u);
   bytes_clear (&message);
-  // One that knows the same is told nothing.
+  // A host whose table is equal gets no reply.
   quarantine_write_summary (QUARANTINE_SUMMARY,
                             quarantine_summary (quarantine_control_table (control), now), &message);
   port.deliver ("h1:1", PEER_CHANNEL_QUARANTINE, &message, now);
--- a/tests/unit_quarantine_fleet.cc
+++ b/tests/unit_quarantine_fleet.cc
@@ -1,4 +1,4 @@
-// Fleets on virtual time in which requests end the targets that run them.
+// Simulated fleets in virtual time with poison requests.
 #include "quarantine.h"
 #include "quarantine_fleet.h"
 #include <gtest/gtest.h>
@@ -6,10 +6,11 @@
 namespace
 {
 
-// Sends of one request by hosts in touch, after it ended a third target and they should know.
+// Limit on the sends of one request by hosts in touch, later than FLEET_CONTACT after it ended a
+// third target.
 const uint32_t LATE_MAX = 3;
 
-// Ends by one request of which no two runs are out at once.
+// Limit on the ends by one request of which no two runs are in flight at once.
 const uint32_t ENDS_MAX = 3;
 
 struct quarantine_fleet_config
@@ -37,8 +38,8 @@
   return figures;
 }
 
-// What the tests below guard against does happen where nothing holds a request back.
-TEST (QuarantineFleet, EndsTargetsWhereNothingIsHeldBack)
+// Control run: without verdicts the failure that the tests below guard against occurs.
+TEST (QuarantineFleet, TargetsEndWithoutQuarantine)
 {
   struct quarantine_fleet_config config = fleet (3, 1);
 
@@ -52,7 +53,7 @@
   EXPECT_GT (figures.late_most, 50u);
 }
 
-// One request that comes at every host, several times a second.
+// One poison request arrives at every host several times a second.
 TEST (QuarantineFleet, HoldsARequestAtAllHosts)
 {
   for (uint32_t hosts : { 3u, 30u, 200u })
@@ -63,7 +64,7 @@
         config.bad = 1;
         config.bad_rate = 4;
         config.bad_evenly = true;
-        // Before it is tried again.
+        // The simulation stops before the first trial.
         config.span = QUARANTINE_FIRST_TRIAL - USEC_PER_SEC;
         config.bad_run = 100 * USEC_PER_MSEC;
         struct quarantine_fleet_figures figures = play (config);
@@ -74,8 +75,8 @@
       }
 }
 
-// The same at any moments, so that two runs may be out when the first target ends.
-TEST (QuarantineFleet, HoldsARequestThatComesInCrowds)
+// Random arrivals: two runs may be in flight when the first target ends.
+TEST (QuarantineFleet, HoldsARequestWithConcurrentRuns)
 {
   for (uint64_t seed = 1; seed <= 30; seed++)
     {
@@ -88,9 +89,9 @@
     }
 }
 
-// Runs that take long before they end their target, so that several are out at once; hosts and
-// controllers that start again with empty tables or are cut off for a while meanwhile.
-TEST (QuarantineFleet, HoldsRequestsThroughRestartsAndCuts)
+// Long runs, so that several are in flight at once, while hosts and controllers restart with empty
+// tables or are partitioned.
+TEST (QuarantineFleet, HoldsRequestsDuringRestartsAndPartitions)
 {
   for (uint64_t seed = 1; seed <= 30; seed++)
     {
@@ -107,9 +108,9 @@
     }
 }
 
-// Entry hosts and controllers all lose power at once, and with it what they know: the request ends
-// three more targets, but not while hosts count as in touch.
-TEST (QuarantineFleet, HoldsARequestAgainAfterAllHaveStartedAgain)
+// All entry hosts and controllers restart at once and lose their tables: the request ends three
+// more targets, but not while hosts count as in touch.
+TEST (QuarantineFleet, HoldsARequestAgainAfterAllHostsRestart)
 {
   for (uint64_t seed = 1; seed <= 30; seed++)
     {
@@ -123,9 +124,9 @@
     }
 }
 
-// A quarter of the targets lose power at one moment, again and again, with a popular request on all
-// of them: neither it nor any other may be held.
-TEST (QuarantineFleet, HoldsNobodyForTargetsThatEndByThemselves)
+// A quarter of the targets loses power at one moment, repeatedly, while a popular request runs on
+// all of them: no request may be held.
+TEST (QuarantineFleet, HoldsNoRequestForPowerCuts)
 {
   for (uint64_t seed = 1; seed <= 20; seed++)
     {
@@ -137,9 +138,9 @@
     }
 }
 
-// Three requests end one target after the other, and a popular one is on most of them.  Where it is
-// taken for a fourth it must be let go after a while.
-TEST (QuarantineFleet, LetsGoOfARequestThatWasBesideOthers)
+// Three poison requests end one target after another while a popular request runs on most of them.
+// If it is held as well, it must be released within the run.
+TEST (QuarantineFleet, ReleasesARequestThatRanBesidePoisonRequests)
 {
   for (uint64_t seed = 1; seed <= 40; seed++)
     {
@@ -158,8 +159,8 @@
     }
 }
 
-// Most runs of a popular request are reset, and no target ends.
-TEST (QuarantineFleet, HoldsNobodyForConnectionsThatBreak)
+// Most connections of a popular request are reset while no target ends.
+TEST (QuarantineFleet, HoldsNoRequestForConnectionResets)
 {
   struct quarantine_fleet_config config = fleet (6, 1);
 
--- a/tests/unit_stage.cc
+++ b/tests/unit_stage.cc
@@ -1,4 +1,4 @@
-// The SSE decoder, and the checks that only a whole and well-formed answer passes.
+// SSE decoder, and checks of targets' answers: only complete and well-formed ones are accepted.
 #include "sse.h"
 #include "stage.h"
 #include <cstdlib>
@@ -55,7 +55,7 @@
   }
 };
 
-// A network splits a stream anywhere, also inside a line break.
+// The network may split a stream at any byte, also within a line break.
 TEST_F (Sse, SplitsAnywhereGiveTheSameEvents)
 {
   const std::string stream =
@@ -71,21 +71,21 @@
     }
 }
 
-TEST_F (Sse, AnEventOverTheBoundIsRefused)
+TEST_F (Sse, AnEventOverTheSizeLimitIsRejected)
 {
   EXPECT_EQ (feed ("data: " + std::string (40, 'x') + "\n"), STATUS_OK);
   EXPECT_EQ (feed ("data: " + std::string (40, 'x') + "\n"), STATUS_TOO_LARGE);
 }
 
-TEST_F (Sse, ASinkThatStopsSeesNoMoreEvents)
+TEST_F (Sse, ASinkThatCancelsGetsNoMoreEvents)
 {
   recorder.stop_after = 1;
   EXPECT_EQ (feed ("data: a\n\ndata: b\n\n"), STATUS_CANCELLED);
   EXPECT_EQ (recorder.events.size (), 1u);
 }
 
-// No memory for a line.  What came of the event before it must not pass for the whole event.
-TEST_F (Sse, AnEventWhoseLineFoundNoMemoryIsNotGiven)
+// Memory runs out in a line: the event so far must not be delivered as if it were complete.
+TEST_F (Sse, AnEventWithoutMemoryForALineIsNotDelivered)
 {
   sse_init (&decoder, memory, 65536);
   EXPECT_EQ (feed ("data: a\n"), STATUS_OK);
@@ -142,7 +142,7 @@
   }
 };
 
-TEST_F (Stage, OnlyWellFormedAnswersAreTaken)
+TEST_F (Stage, OnlyWellFormedAnswersAreAccepted)
 {
   struct
   {
@@ -170,8 +170,8 @@
     EXPECT_EQ (take (c.kind, c.top, c.body), c.expected) << c.body;
 }
 
-// A body is cut at any byte, or something follows it: it must not pass for a whole answer.
-TEST_F (Stage, AnAnswerCutOrFollowedByMoreIsRefused)
+// A body that is truncated at any byte, or followed by more data, must not be accepted.
+TEST_F (Stage, AnAnswerThatIsTruncatedOrFollowedByDataIsRejected)
 {
   const std::pair<enum stage_kind, std::string> answers[] = {
     { STAGE_ENCODE, R"({"data": [{"embedding": [0.5, 1]}], "usage": {"prompt_tokens": 3}})" },
@@ -190,8 +190,8 @@
     }
 }
 
-// A reranker that names a document twice, or one that was not asked about, or too few, would put a
-// wrong document before the generator; nothing is taken then and the documents stay.
+// A reranker that names a document twice, an unknown one or too few would put a wrong document
+// before the generator: the answer is rejected and the documents stay.
 TEST_F (Stage, ARerankMustNameEachDocumentOnce)
 {
   const char *wrong[] = {
@@ -215,15 +215,15 @@
   EXPECT_EQ (documents (), "ca");
 }
 
-// An answer of brackets alone would be recursed into once for each of them and end the process.
-TEST_F (Stage, DeepNestingIsRefusedBeforeParsing)
+// A parser that recurses once per bracket would overflow the stack and end the process.
+TEST_F (Stage, DeepNestingIsRejectedBeforeParsing)
 {
   EXPECT_EQ (take (STAGE_CALL, 0, std::string (100000, '[')), STATUS_MALFORMED);
   EXPECT_EQ (take (STAGE_CALL, 0, R"(["[[[[[[[[[[[[[[[[[[[[[[[[[[[[[[[[[[[[[[\"[[[["])"),
              STATUS_OK);
 }
 
-TEST_F (Stage, PiecesCarryTextIndexAndTheEnd)
+TEST_F (Stage, PiecesCarryTextIndexAndFinish)
 {
   struct stage_piece piece;
   const std::string text = R"({"choices": [{"text":"ab","index": 3}]})";
@@ -244,8 +244,8 @@
   EXPECT_EQ (stage_piece_read ("{}", 2, &piece), STATUS_MALFORMED);
 }
 
-// An index out of range must not be read as 0, the first piece.
-TEST_F (Stage, APieceWhoseIndexIsNoIndexIsRefused)
+// An index out of range must not be read as 0, the index of the first piece.
+TEST_F (Stage, APieceWithAnInvalidIndexIsRejected)
 {
   for (const char *index :
        { "-1", "4294967295", "4294967296", "9223372036854775807", "1.0", "\"1\"" })
@@ -258,8 +258,8 @@
     }
 }
 
-// An engine that gives up says so in the piece that ends its text: the text is not whole by it.
-TEST_F (Stage, ATextThatWasGivenUpIsNotFinished)
+// An engine that aborts says so in the last piece: the text must not count as complete.
+TEST_F (Stage, AnAbortedTextIsNotFinished)
 {
   const std::map<std::string, enum status> reasons = {
     { "stop", STATUS_OK },         { "length", STATUS_OK },     { "abort", STATUS_MALFORMED },
@@ -277,7 +277,7 @@
     }
 }
 
-TEST_F (Stage, APromptIsTheInputAndEachDocumentOnItsLine)
+TEST_F (Stage, APromptIsTheInputAndOneLinePerDocument)
 {
   struct stage_spec spec = {};
   struct stage_call call = { .max_tokens = 5, .priority = 9, .resume_from = 2 };
