--- a/src/directory.c
+++ b/src/directory.c
@@ -1,4 +1,4 @@
-/* The directory: what targets say, and the ends that time brings. */
+/* The directory: calls of targets, expiry of leases and removal of old entries. */
 #include "directory.h"
 #include "directory_state.h"
 #include "log.h"
@@ -8,7 +8,8 @@
 
 #define TICK (100 * USEC_PER_MSEC)
 
-/* A renewal that comes with less than this of the lease left is told to the others at once. */
+/* A renewal that arrives when less than this is left of the lease is pushed to the other hosts at
+ * once. */
 #define LAST_MOMENT (600 * USEC_PER_MSEC)
 
 static int
@@ -60,7 +61,7 @@
   return directory;
 }
 
-/* ---- what targets say ---- */
+/* ---- calls of targets ---- */
 
 static enum status
 refuse_old (struct directory *directory, const char *name)
@@ -77,7 +78,7 @@
   entry->renewed_at = now;
   if (entry->phase == DIRECTORY_LAPSED)
     directory_set_phase (directory, entry, DIRECTORY_READY, now);
-  /* Elsewhere the lease has ended or is about to: they are told, and ask. */
+  /* On other hosts the lease has expired or is about to: the push makes them request the list. */
   if (last_moment)
     directory_list_changed (directory, entry->slot, now);
   directory_set_lease (directory, entry, now + DIRECTORY_LEASE);
@@ -114,8 +115,8 @@
   return STATUS_OK;
 }
 
-/* The entry these words are about, if it is at home here and they are not old; else NULL, with the
- * reason in `status`. */
+/* Returns the entry that `key` refers to if its home is this host and the key is not outdated; else
+ * NULL, with the reason in `status`. */
 static struct directory_entry *
 at_home (struct directory *directory,
          const struct directory_key *key,
@@ -184,7 +185,7 @@
   if (entry == NULL)
     return status;
   target = directory_target_of (directory, entry);
-  /* Reports may overtake each other; an older one tells nothing. */
+  /* Reports may arrive out of order; an older one is ignored. */
   if (target != NULL && report->measured_at >= target->report.measured_at)
     {
       target->report = *report;
@@ -214,7 +215,7 @@
     }
   for (size_t i = 0; i < n_events; i++)
     {
-      /* A resend after a lost answer begins with events that were taken. */
+      /* A resend after a lost answer begins with events that were already processed. */
       if (first + i < entry->cache_next)
         continue;
       entry->cache_next = first + i + 1;
@@ -224,10 +225,10 @@
   return STATUS_OK;
 }
 
-/* ---- what time ends ---- */
+/* ---- expiry ---- */
 
-/* A target at home that stopped renewing.  One that was leaving is gone; another may only be slow
- * and keeps its place for a while. */
+/* Expires the lease of a target of this host that stopped renewing.  A target that was leaving is
+ * then removed; any other may only be slow and is kept for DIRECTORY_KEEP_LAPSED. */
 static void
 lapse_at_home (struct directory *directory, struct directory_entry *entry, int64_t now)
 {
@@ -270,13 +271,13 @@
   if (entry->home == directory->ours)
     lapse_at_home (directory, entry, now);
   else if (entry->home != NULL && now - entry->renewed_at >= DIRECTORY_KEEP_LAPSED)
-    directory_detach (directory, entry, now); /* its home is dead or lost it */
+    directory_detach (directory, entry, now); /* its home is dead or no longer lists it */
   forget (directory, entry, now);
 }
 
-/* A process whose clock was set back learns from the others that its incarnation is an old one, and
- * takes a newer (member.c).  The list does too, or the others would go on taking it for the old
- * process's. */
+/* A process whose clock was set back learns from the other hosts that its incarnation is outdated
+ * and adopts a newer one (member.c).  The list's epoch follows, or other hosts would ignore the
+ * list as that of the previous process. */
 static void
 follow_incarnation (struct directory *directory)
 {
--- a/src/directory.h
+++ b/src/directory.h
@@ -1,14 +1,15 @@
-/* The directory of targets: what they announce, which host is their home, and the leases that end
- * new work to a target by themselves.
+/* The directory of targets: what each target announced, which host is its home, and its lease.  A
+ * target whose lease expired gets no new work.
  *
- * A target is the only writer of what is said of it: (incarnation, sequence) orders its words.  The
- * host it announces itself to is its home and the only writer of a list with a version, so that a
- * version names exactly one state of the list and a host that has it needs nothing more.  Hosts ask
- * each home for its list again and again; each answer renews the leases of all targets in it at
- * once.  A lease counts from when the question was asked, on the asker's clock, so that an answer
- * that was held up anywhere grants nothing.
+ * A target is the only writer of its own record; (incarnation, sequence) orders its announcements.
+ * The host that a target announces itself to is its home.  A home is the only writer of the list of
+ * its targets, and each change increments the list's version, so that a version identifies exactly
+ * one state of the list.  Hosts poll every home for its list; each answer renews the leases of all
+ * targets in it.  A lease runs from the time of the request, on the requester's clock, so that a
+ * delayed answer does not extend it.
  *
- * Pure over the board: time and the seed are passed in, messages go out through a vtable. */
+ * No I/O and no clock: time and the seed are passed in, messages are sent through a vtable, state
+ * is kept on the board. */
 #ifndef DIRECTORY_H
 #define DIRECTORY_H
 
@@ -21,24 +22,25 @@
 
 BEGIN_DECLS
 
-/* A target's lease from its own last renewal, on any host. */
+/* Lease of a target on any host, from the target's last renewal. */
 #define DIRECTORY_LEASE (3 * USEC_PER_SEC)
 
-/* How often a target renews. */
+/* Interval of a target's renewals. */
 #define DIRECTORY_RENEW (1 * USEC_PER_SEC)
 
-/* An answer of the home renews for at most this long from the question.  It bounds how long a host
- * that lost the home goes on sending work to a target that has since said that it leaves (2 s). */
+/* An answer of the home renews a lease for at most this long, from the time of the request.  It
+ * bounds how long a host that lost its connection to the home still sends work to a target that has
+ * since announced its shutdown (limit: 2 s). */
 #define DIRECTORY_SHARE_LEASE (1800 * USEC_PER_MSEC)
 
-/* How often a home with targets is asked, and asked again where no answer came: one answer may be
- * lost without a lease ending. */
+/* Interval of requests to a home with targets, and the interval of retries when no answer came: a
+ * single lost answer does not let a lease expire. */
 #define DIRECTORY_ASK (1400 * USEC_PER_MSEC)
 #define DIRECTORY_ASK_AGAIN (200 * USEC_PER_MSEC)
 
 #define DIRECTORY_MESSAGE_MAX (16u << 10)
 
-/* What a target announces. */
+/* The record that a target announces. */
 struct directory_record
 {
   char name[RESOURCE_NAME_SIZE];
@@ -58,7 +60,7 @@
   uint64_t sequence;
 };
 
-/* Which words of which target. */
+/* Identifies a target and the announcement that a call refers to. */
 struct directory_key
 {
   const char *name;
@@ -72,7 +74,7 @@
   bool stored;
 };
 
-/* Where messages to other hosts go. */
+/* Sends messages to other hosts. */
 struct directory_wire
 {
   const struct directory_wire_ops *ops;
@@ -83,8 +85,8 @@
   void (*send) (struct directory_wire *wire, const char *host, const void *data, size_t length);
 };
 
-/* Takes the cache events of targets at home here, in order; host.c hands them to
- * decide_cache_event(). */
+/* Receives the cache events, in order, of targets whose home is this host; host_serving.c passes
+ * them to decide_cache_event(). */
 struct directory_cache_sink
 {
   const struct directory_cache_sink_ops *ops;
@@ -105,7 +107,7 @@
   struct directory_wire *wire;
   struct directory_cache_sink *cache; /* NULL for none */
   const char *self;
-  uint64_t incarnation; /* of this process, grows at each start */
+  uint64_t incarnation; /* of this process; increases at each start */
   uint64_t seed;
 };
 
@@ -113,14 +115,14 @@
 
 struct directory *directory_new (void *parent, const struct directory_config *config);
 
-/* A target announces itself to us, which makes us its home.  STATUS_CONFLICT for words older than
- * what is known of it, STATUS_LIMIT when the tables are full. */
+/* Handles a target's announcement to this host, which becomes its home.  STATUS_CONFLICT when the
+ * announcement is older than the known record, STATUS_LIMIT when the tables are full. */
 enum status directory_announce (struct directory *directory,
                                 const struct directory_record *said,
                                 int64_t now);
 
-/* STATUS_NOT_FOUND when it is not at home here, STATUS_CONFLICT for an older incarnation or
- * sequence. */
+/* Handle a target's renewal and its notice of shutdown.  STATUS_NOT_FOUND when this host is not the
+ * target's home, STATUS_CONFLICT for an older incarnation or sequence. */
 enum status directory_renew (struct directory *directory,
                              const struct directory_key *key,
                              int64_t now);
@@ -128,15 +130,15 @@
                              const struct directory_key *key,
                              int64_t now);
 
-/* `report->measured_at` is on our clock.  The sequence is not looked at. */
+/* `report->measured_at` is on this host's clock.  The sequence in `key` is ignored. */
 enum status directory_load (struct directory *directory,
                             const struct directory_key *key,
                             const struct load_report *report,
                             int64_t now);
 
-/* Events numbered from `first`.  Those seen before are passed over; numbers left out are counted as
- * a gap, after which what is known of the target's cache may be wrong until blocks are seen again.
- */
+/* Handles cache events numbered from `first`.  Events already seen are skipped.  Missing numbers
+ * are counted as a gap, after which the known cache contents of the target may be wrong until its
+ * blocks are reported again. */
 enum status directory_cache (struct directory *directory,
                              const struct directory_key *key,
                              uint64_t first,
@@ -144,18 +146,18 @@
                              size_t n_events,
                              int64_t now);
 
-/* A message of another host. */
+/* Handles a message from another host. */
 void directory_receive (
     struct directory *directory, const char *from, const void *data, size_t length, int64_t now);
 
-/* The process just started: the board's `targets_unknown` holds until every live host has told its
- * list, or for a bounded time. */
+/* To be called once after the process started: sets the board's `targets_unknown` until every live
+ * host has sent its list, or until a timeout. */
 void directory_ready_start (struct directory *directory, int64_t now);
 
-/* Does what is due; when to call again. */
+/* Runs what is due; returns the time of the next call. */
 int64_t directory_tick (struct directory *directory, int64_t now);
 
-/* Targets whose home is this host and whose lease runs. */
+/* Number of targets whose home is this host and whose lease has not expired. */
 uint32_t directory_at_home (const struct directory *directory);
 
 json_t *directory_describe (const struct directory *directory);
--- a/src/directory_control.c
+++ b/src/directory_control.c
@@ -1,4 +1,4 @@
-/* Wires the directory to the peer channel PEER_CHANNEL_DIRECTORY and to the timers. */
+/* Connects the directory to the peer channel PEER_CHANNEL_DIRECTORY and to the timers. */
 #include "directory_control.h"
 #include "container.h"
 #include <stddef.h>
@@ -20,7 +20,7 @@
 {
   struct directory_control *control = (struct directory_control *) wire;
 
-  /* A full queue or an unknown host loses the message; the next question makes it good. */
+  /* The message is lost when the queue is full or the host unknown; the next request recovers. */
   (void) control->port->ops->send (control->port, host, PEER_CHANNEL_DIRECTORY, data, length);
 }
 
--- a/src/directory_control.h
+++ b/src/directory_control.h
@@ -1,4 +1,4 @@
-/* The directory on the process's loop: the peer channel and the timer. */
+/* Connects the directory to the event loop: the peer channel and the timer. */
 #ifndef DIRECTORY_CONTROL_H
 #define DIRECTORY_CONTROL_H
 
--- a/src/directory_entry.c
+++ b/src/directory_entry.c
@@ -1,10 +1,10 @@
-/* The directory's entries: by name, in their homes' lists, and shown on the board. */
+/* The directory's entries: by name, in their homes' lists, and on the board. */
 #include "directory_state.h"
 #include "text.h"
 #include <string.h>
 #include <talloc.h>
 
-/* uthash's macros are long; the functions are not.
+/* uthash's macros expand to long code.
  * NOLINTBEGIN(readability-function-size) */
 struct directory_entry *
 directory_find (const struct directory *directory, const char *name)
@@ -78,8 +78,8 @@
   struct board_target *target = directory_target_of (directory, entry);
   bool added = false;
 
-  /* A restarted process must not inherit what is still on its way for the old one: late answers
-   * hold the old handle, which finds nothing from here on. */
+  /* A restarted process must not get late answers that belong to the old one: those hold the old
+   * handle, which is invalid from here on. */
   if (target != NULL && target->incarnation != said->incarnation)
     {
       directory_hide (directory, entry, now);
--- a/src/directory_list.c
+++ b/src/directory_list.c
@@ -1,4 +1,5 @@
-/* The list of targets at home here: one writer, one version, tombstones for a while. */
+/* The list of targets whose home is this host: a single writer, one version, tombstones kept for
+ * DIRECTORY_TOMBSTONE. */
 #include "directory_state.h"
 #include "text.h"
 #include <talloc.h>
@@ -66,7 +67,7 @@
       DL_APPEND (directory->items, item);
     }
   item->version = ++directory->ours->version;
-  /* The next tick pushes: changes that come together go out together. */
+  /* The next tick pushes, so that changes between two ticks share one message. */
   if (directory->push_at == USEC_NEVER)
     directory->push_at = now;
 }
--- a/src/directory_ready.c
+++ b/src/directory_ready.c
@@ -1,15 +1,15 @@
-/* When a host that just started knows the targets well enough to serve.
+/* Readiness of a host that just started.
  *
- * Failure: a host restarts under load, is named to callers as soon as its configuration is
- * confirmed, and fails a request half way because the home of a later stage's targets has not
- * answered yet. Until every live host has told its list, or for a bounded time, the board says that
- * the targets are not known: requests are refused as not run and callers are not named this host.
+ * Without it, a host that restarts under load is listed to callers as soon as its configuration is
+ * confirmed, and fails a request midway because the home of a later stage's targets has not
+ * answered yet.  Until every live host has sent its list, or until READY_MAX, the board's
+ * `targets_unknown` is set: requests are refused as not run and the host is not listed to callers.
  */
 #include "directory_state.h"
 
 #define READY_MAX (3 * USEC_PER_SEC)
 
-/* uthash's macros are long; the function is not.
+/* uthash's macros expand to long code.
  * NOLINTBEGIN(readability-function-size) */
 static bool
 has_told (const struct directory *directory, const struct board_host *host)
--- a/src/directory_sync.c
+++ b/src/directory_sync.c
@@ -1,8 +1,8 @@
-/* The directory between hosts: questions, answers that renew leases, and pushes of changes; what
- * they tell is taken in by directory_told.c.
+/* Messages of the directory to other hosts: requests for lists, answers that renew leases, and
+ * pushes of changes.  directory_told.c handles the received answers and pushes.
  *
- * What holds without any message: a lease that no answer renews ends.  A push only makes a change
- * known sooner; a lost one is made good by the next answer, because versions differ. */
+ * A lease that no answer renews expires without any message.  A push only makes a change known
+ * sooner; after a lost push the next answer brings the change, because the versions differ. */
 #include "directory_state.h"
 #include "load_report.h"
 #include "log.h"
@@ -11,20 +11,21 @@
 #include <talloc.h>
 #include <utlist.h>
 
-/* A host without targets is asked so seldom that all of these questions together stay at a few a
- * second; its first target comes by a push. */
+/* Intervals of requests to a host that has not answered yet, and to a host without targets.  The
+ * latter grows with the number of hosts, so that these requests stay at a few per second in total;
+ * a host's first target is announced by a push. */
 #define ASK_UNHEARD (400 * USEC_PER_MSEC)
 #define ASK_IDLE_MIN (5 * USEC_PER_SEC)
 #define ASK_IDLE_PER_HOST (400 * USEC_PER_MSEC)
 
-/* After this many questions without an answer the home is likely gone and is asked as seldom as
- * ever. */
+/* After this many retries without an answer the home is likely gone, and requests fall back to the
+ * regular interval. */
 #define ASK_AGAIN_MAX 2
 
-/* Between two pushes. */
+/* Interval between the pushes of a change set that exceeds one message. */
 #define PUSH_INTERVAL (100 * USEC_PER_MSEC)
 
-/* uthash's macros are long; the function is not.
+/* uthash's macros expand to long code.
  * NOLINTBEGIN(readability-function-size) */
 struct directory_home *
 directory_home_of (struct directory *directory, const char *name)
@@ -86,14 +87,14 @@
   int64_t span = DIRECTORY_ASK;
   int64_t idle = (int64_t) table_count (directory->board->hosts) * ASK_IDLE_PER_HOST;
 
-  /* The first question may have gone out before there was a connection. */
+  /* The first request may have been sent before a connection existed. */
   if (home->epoch == 0)
     span = ASK_UNHEARD;
   else if (home->n_ready == 0)
     span = idle > ASK_IDLE_MIN ? idle : ASK_IDLE_MIN;
   if (home->unanswered > 0 && home->unanswered <= ASK_AGAIN_MAX)
     return DIRECTORY_ASK_AGAIN;
-  /* Up to a tenth earlier, so that hosts do not ask in step. */
+  /* Up to a tenth earlier, so that the requests of different hosts are not synchronised. */
   return span - (int64_t) rng_below (&directory->rng, (uint64_t) span / 10);
 }
 
@@ -116,7 +117,7 @@
     }
 }
 
-/* ---- what we tell ---- */
+/* ---- answers and pushes ---- */
 
 static void
 write_item (const struct directory *directory, struct bytes *out, const struct directory_item *item)
@@ -134,8 +135,8 @@
   directory_write_change (out, &change, target);
 }
 
-/* Write what changed after `head->since` to `out`, as far as one message takes it, and say in the
- * head how far that is. */
+/* Write the items that changed after `head->since` to `out`, as many as fit in one message, and set
+ * `head->version` to the version of the last one. */
 static void
 write_changes (const struct directory *directory, struct directory_head *head, struct bytes *out)
 {
@@ -179,7 +180,7 @@
   bytes_clear (&out);
 }
 
-/* One lease for the list, and by name those that have less of it left. */
+/* Write one lease for the whole list, and exceptions by slot for targets that have less left. */
 static void
 write_leases (const struct directory *directory, struct directory_head *head, int64_t now)
 {
--- a/src/directory_told.c
+++ b/src/directory_told.c
@@ -1,4 +1,4 @@
-/* What other hosts tell of their targets: changes of a list, and leases. */
+/* Messages of the directory from other hosts: changes of their lists, and leases. */
 #include "directory_state.h"
 #include "load_report.h"
 #include "log.h"
@@ -7,7 +7,7 @@
 #include <talloc.h>
 #include <utlist.h>
 
-/* A change of belief about where a target is at home; `to` NULL: nowhere that we know of. */
+/* Log a change of a target's home as this host knows it; `to` NULL: no known home. */
 static void
 log_home (const struct directory *directory,
           const struct directory_entry *entry,
@@ -33,8 +33,9 @@
     directory_detach (directory, entry, now);
 }
 
-/* Does `home` speak for the target now?  Newer words win.  The same words at another home are a
- * target that moved without a new sequence, unless that home too has lost it. */
+/* Whether a change from `home` applies to the target.  A newer announcement wins.  The same one
+ * from another home means that the target moved without a new sequence, unless its lease has
+ * expired at that home too. */
 static bool
 takes (const struct directory_entry *entry,
        const struct directory_home *home,
@@ -62,12 +63,12 @@
       entry->incarnation = change->said.incarnation;
       entry->sequence = change->said.sequence;
     }
-  log_home (directory, entry, NULL, "its home no longer has it", now);
+  log_home (directory, entry, NULL, "its home no longer lists it", now);
   directory_detach (directory, entry, now);
 }
 
-/* The lease that a target of the same incarnation has here now: a move to another home does not cut
- * it, though the message that tells of the move grants none. */
+/* The end of the lease that this host holds for a target of the same incarnation, else 0.  A move
+ * to another home must not cut it, although the push that reports the move grants no lease. */
 static int64_t
 lease_before (const struct directory *directory,
               const struct directory_entry *entry,
@@ -101,7 +102,7 @@
       return;
     }
   if (entry->home != home)
-    log_home (directory, entry, home, "the new home says so", now);
+    log_home (directory, entry, home, "the new home lists it", now);
   if (entry->home != NULL && (entry->home != home || entry->slot != change->slot))
     leave_list (directory, entry, now);
   if (directory_show (directory, entry, &change->said, now) != STATUS_OK)
@@ -120,24 +121,24 @@
     directory_set_lease (directory, entry, lease);
 }
 
-/* Failure: a home restarts within a second and tells of an empty list before its targets have
- * announced themselves anew.  Cutting their leases would leave a pool without targets meanwhile; a
- * target that is really gone loses its lease all the same, by itself and as soon as with a home
- * that is silent. */
+/* Drop a home's list but keep the leases.  A home that restarts within a second sends an empty list
+ * before its targets have announced themselves again; cutting their leases would leave a pool
+ * without targets meanwhile.  The lease of a target that is really gone still expires, as soon as
+ * with a home that does not answer. */
 static void
 forget_list (struct directory *directory, struct directory_home *home, int64_t now)
 {
   for (uint32_t slot = 0; slot < home->n_slots; slot++)
     if (home->slots[slot] != NULL)
       {
-        log_home (directory, home->slots[slot], NULL, "its home began its list anew", now);
+        log_home (directory, home->slots[slot], NULL, "its home restarted its list", now);
         directory_release (directory, home->slots[slot], now);
       }
   home->version = 0;
   home->base = 0;
 }
 
-/* With `apply` false only the reading is tried, so that a message that is cut changes nothing. */
+/* With `apply` false the changes are only parsed, so that a truncated message changes nothing. */
 static bool
 read_changes (struct directory *directory,
               struct directory_home *home,
@@ -162,7 +163,8 @@
   return pack_read_end (&reader);
 }
 
-/* The lease of a slot; slots are asked for in rising order, as the exceptions are listed. */
+/* The lease of a slot, in microseconds.  Callers pass slots in ascending order, the order of the
+ * exceptions; `cursor` is the position among them. */
 static int64_t
 lease_of (const struct directory_head *head, uint32_t slot, uint32_t *cursor)
 {
@@ -173,7 +175,8 @@
   return head->lease_ms * USEC_PER_MSEC;
 }
 
-/* Targets with little left renew late: ask again before the first of them ends. */
+/* Exceptions are targets that renew late: schedule the next request before the first of their
+ * leases expires. */
 static void
 ask_before_end (struct directory_home *home, const struct directory_head *head)
 {
@@ -200,7 +203,7 @@
   int64_t asked_at = (int64_t) head->asked_at;
   uint32_t cursor = 0;
 
-  /* Not an answer to a question of ours that a lease could still count from. */
+  /* Not an answer to a request of this host, or one from which every lease has already expired. */
   if (asked_at > now || now - asked_at >= DIRECTORY_LEASE)
     return;
   for (uint32_t slot = 0; slot < home->n_slots; slot++)
@@ -218,10 +221,10 @@
     }
 }
 
-/* Failure: a home that had none tells of its targets in this answer.  Asked next as seldom as a
- * home without any, it would be asked seconds after their leases ended; so the span counts once
- * more with what the answer brought.  The earlier of both holds, as a home that lost its list will
- * have its targets back soon. */
+/* Compute the time of the next request again with the list that the answer brought.  A home that
+ * had no targets until this answer would otherwise be polled at the interval of a home without
+ * targets, seconds after the new leases expired.  The earlier time is used, because the targets of
+ * a home that lost its list come back soon. */
 static void
 ask_again_by_list (struct directory *directory, struct directory_home *home, int64_t now)
 {
@@ -271,7 +274,7 @@
       load_report_apply (directory, home, head, now);
       return;
     }
-  /* A push grants no lease; a part of a list neither. */
+  /* Neither a push nor a part of a list grants a lease. */
   if (!known || home->n_ready > 0)
     home->ask_at = now;
 }
--- a/src/directory_wire.c
+++ b/src/directory_wire.c
@@ -1,4 +1,4 @@
-/* Encoding of the messages about targets. */
+/* Encoding and decoding of the directory's messages. */
 #include "directory_wire.h"
 #include "text.h"
 #include <string.h>
--- a/src/directory_wire.h
+++ b/src/directory_wire.h
@@ -1,4 +1,4 @@
-/* The messages between hosts about targets: typed, encoded and decoded with limits. */
+/* Messages of the directory between hosts: types, and encoding and decoding with limits. */
 #ifndef DIRECTORY_WIRE_H
 #define DIRECTORY_WIRE_H
 
@@ -9,16 +9,17 @@
 
 BEGIN_DECLS
 
-#define DIRECTORY_INTEREST_MAX 64     /* targets a question wants load reports of */
+#define DIRECTORY_INTEREST_MAX 64     /* targets of which a request asks for load reports */
 #define DIRECTORY_LOADS_MAX 32        /* load reports in one answer */
-#define DIRECTORY_EXCEPTIONS_MAX 2048 /* targets of an answer with less than the whole lease */
+#define DIRECTORY_EXCEPTIONS_MAX 2048 /* targets in an answer with less than the full lease left   \
+                                       */
 #define DIRECTORY_CHANGES_MAX 128     /* entries in one message */
 
 /* name, text */
 #define DIRECTORY_PHASE_LIST(X)                                                                    \
   X (READY, "ready")                                                                               \
   X (LEAVING, "leaving")                                                                           \
-  X (LAPSED, "lapsed") /* did not renew; comes back when it does */                                \
+  X (LAPSED, "lapsed") /* did not renew; ready again after a renewal */                            \
   X (GONE, "gone")     /* left, or has another home */
 
 enum directory_phase
@@ -38,13 +39,13 @@
   DIRECTORY_PUSH_MESSAGE
 };
 
-/* "Which version have you?  I have this one." */
+/* A request for the list of a home, with the version that the requester has. */
 struct directory_ask_message
 {
-  uint64_t asked_at; /* the asker's clock; comes back in the answer */
+  uint64_t asked_at; /* on the requester's clock; echoed in the answer */
   uint64_t epoch;
   uint64_t version;
-  uint64_t base; /* what it has is no older than this, though it may still be a part */
+  uint64_t base; /* the list as known is no older than this version, but may be incomplete */
   uint32_t interest[DIRECTORY_INTEREST_MAX]; /* slots */
   uint32_t n_interest;
 };
@@ -64,17 +65,17 @@
   uint32_t kv_percent;
 };
 
-/* The head of an answer or a push; the entries follow. */
+/* The header of an answer or a push; the changes follow. */
 struct directory_head
 {
   enum directory_message_kind kind;
   uint64_t asked_at; /* 0 in a push */
   uint64_t epoch;
-  uint64_t since;    /* the entries are all that changed after this version ... */
+  uint64_t since;    /* the message holds all changes after this version ... */
   uint64_t version;  /* ... up to this one */
   uint64_t current;  /* the home's version now */
-  uint32_t lease_ms; /* of every target of the list that is no exception, from `asked_at` */
-  bool reset;        /* forget what this home said before */
+  uint32_t lease_ms; /* for all targets of the list but the exceptions, from `asked_at` */
+  bool reset;        /* drop everything known from this home */
   struct directory_exception exceptions[DIRECTORY_EXCEPTIONS_MAX]; /* by slot */
   uint32_t n_exceptions;
   struct directory_load_entry loads[DIRECTORY_LOADS_MAX];
@@ -87,7 +88,7 @@
   uint32_t slot;
   uint64_t version;
   enum directory_phase phase;
-  struct directory_record said; /* of a target that is gone: name, incarnation, sequence */
+  struct directory_record said; /* for a GONE target only name, incarnation and sequence */
 };
 
 void directory_write_ask (struct bytes *out, const struct directory_ask_message *ask);
@@ -95,7 +96,7 @@
 
 void directory_write_head (struct bytes *out, const struct directory_head *head);
 
-/* After the kind was read. */
+/* The kind must have been read already. */
 bool directory_read_head (struct pack_reader *reader, struct directory_head *head);
 
 void directory_write_change (struct bytes *out,
--- a/src/drain.c
+++ b/src/drain.c
@@ -1,4 +1,4 @@
-/* The steps of a graceful shutdown. */
+/* State machine of the graceful shutdown. */
 #include "drain.h"
 #include "container.h"
 #include "log.h"
@@ -61,7 +61,7 @@
          || now - drain->state_at >= DRAIN_QUIET_WAIT_MAX;
 }
 
-/* One step forward if its time has come; true when there may be another. */
+/* Enters the next state if its condition holds; true when another step may follow at once. */
 static bool
 step (struct drain *drain, int64_t now)
 {
@@ -80,7 +80,7 @@
         return false;
       ops->hand_over (drain->actions, now);
       enter (drain, DRAIN_HANDING_OVER, now);
-      return false; /* what came with the last connections is read first */
+      return false; /* requests on the last accepted connections are read first */
     case DRAIN_HANDING_OVER:
       if ((ops->handed_over (drain->actions, now) && ops->idle (drain->actions))
           || now - drain->state_at >= DRAIN_HAND_OVER_MAX)
--- a/src/drain.h
+++ b/src/drain.h
@@ -1,14 +1,14 @@
 /* Graceful shutdown: from the signal to the exit, without cutting a request.
  *
- *   serving --signal--> leaving: named to callers no more, but every list that names us is still
- *                       good, so everything is served
- *   leaving --list_keep--> refusing: no list names us any more; new requests are refused as not
- *                       run, what is in flight goes on
- *   refusing --idle and quiet--> handing over: no connections are taken any more; targets at home,
- *   leadership, limit shares
+ *   serving --signal--> leaving: no longer listed to callers, but lists already given out are still
+ *                       valid, so every request is served
+ *   leaving --list_keep--> refusing: no valid list names this host; new requests are refused as not
+ *                       run, requests in flight continue
+ *   refusing --idle and quiet--> handing over: connections are no longer accepted; targets of this
+ *                       host, leadership and limit shares are handed over
  *   handing over --done and idle, or HAND_OVER_MAX--> ended, exit 0
  *
- * A second signal, or the bound, ends it wherever it is; what is unfinished is logged. */
+ * A second signal, or `drain_bound`, ends it in any state; unfinished requests are logged. */
 #ifndef DRAIN_H
 #define DRAIN_H
 
@@ -21,12 +21,13 @@
 
 #define DRAIN_HAND_OVER_MAX (5 * USEC_PER_SEC)
 
-/* A caller whose list has just ended asks for a new one and still sends by the old.  Such requests
- * came up to 110 ms after the refusing began; one that came when the process ended was cut, though
- * nothing had been in flight a moment before.  So the end waits until none came for this long. */
+/* A caller whose list has just expired still uses it until the new one arrives.  Such requests came
+ * up to 110 ms after the start of the refusing state; one that arrived as the process exited was
+ * cut, although the host was idle before.  The drain therefore waits until no request has come for
+ * this long. */
 #define DRAIN_QUIET (250 * USEC_PER_MSEC)
 
-/* Callers that do not look at their lists at all cannot keep a host for longer than this. */
+/* Longest wait for that, as some callers ignore their lists' expiry and never stop sending. */
 #define DRAIN_QUIET_WAIT_MAX (2 * USEC_PER_SEC)
 
 #define DRAIN_EXIT_WHOLE 0
@@ -50,7 +51,7 @@
 
 const char *drain_state_text (enum drain_state state);
 
-/* What the process does at each step; host.c embeds it. */
+/* The actions of the process at each step; struct host embeds it. */
 struct drain_actions
 {
   const struct drain_ops *ops;
@@ -58,23 +59,24 @@
 
 struct drain_ops
 {
-  /* Tell the others that we leave (member_leave()). */
+  /* Announce to the other hosts that this host leaves (member_leave()). */
   void (*leave) (struct drain_actions *actions, int64_t now);
 
-  /* Nothing is in flight, and no answer waits to be taken. */
+  /* Whether nothing is in flight and no answer is waiting to be sent. */
   bool (*idle) (struct drain_actions *actions);
 
-  /* When the last caller's request came; 0 before the first. */
+  /* Time of the last request from a caller; 0 before the first. */
   int64_t (*last_arrival) (struct drain_actions *actions);
 
-  /* Take no connections any more, and begin to hand over. */
+  /* Stop accepting connections and start the hand-over. */
   void (*hand_over) (struct drain_actions *actions, int64_t now);
   bool (*handed_over) (struct drain_actions *actions, int64_t now);
 
-  /* Log each unfinished request by its id; how many there are. */
+  /* Log each unfinished request by its id; returns their number. */
   uint32_t (*log_unfinished) (struct drain_actions *actions, int64_t now);
 
-  /* Say goodbye (member_left()) and end the loop with this exit code.  The last call. */
+  /* Announce that this host has left (member_left()) and stop the loop with this exit code.  The
+   * last call. */
   void (*end) (struct drain_actions *actions, int exit_code, int64_t now);
 };
 
@@ -84,7 +86,7 @@
   struct timer_service *timers;
   struct drain_actions *actions;
   struct dump *dump;   /* NULL for none */
-  int64_t list_keep;   /* how long a caller may keep a list */
+  int64_t list_keep;   /* how long a caller may use a list of hosts */
   int64_t drain_bound; /* from the signal to the end */
 };
 
@@ -93,7 +95,7 @@
 /* NULL when out of memory. */
 struct drain *drain_new (void *parent, const struct drain_config *config);
 
-/* SIGTERM or SIGINT came. */
+/* Handles SIGTERM or SIGINT. */
 void drain_signal (struct drain *drain, int64_t now);
 
 enum drain_state drain_state (const struct drain *drain);
--- a/src/host.c
+++ b/src/host.c
@@ -1,5 +1,5 @@
-/* A host's process: built in order, run, and ended.  Talloc frees a parent's children last first,
- * so that each part is gone before those it was built on. */
+/* A host's process: construction in order, event loop and shutdown.  Talloc frees a parent's
+ * children in reverse order of creation, so each component is freed before those it depends on. */
 #include "host_private.h"
 #include <sodium.h>
 #include <string.h>
--- a/src/host.h
+++ b/src/host.h
@@ -1,4 +1,4 @@
-/* A host's process: every part built, wired and run until it is told to leave. */
+/* A host's process: builds and connects all components and runs until it is told to stop. */
 #ifndef HOST_H
 #define HOST_H
 
@@ -9,8 +9,8 @@
 
 /* name, value: the exit status of `cherryarch run` */
 #define HOST_EXIT_LIST(X)                                                                          \
-  X (OK, 0)           /* left in order, nothing cut off */                                         \
-  X (UNFINISHED, 3)   /* the bound on leaving passed or a second signal came: see the log */       \
+  X (OK, 0)           /* shut down gracefully, no request cut */                                   \
+  X (UNFINISHED, 3)   /* drain bound exceeded or second signal: see the log */                     \
   X (START_FAILED, 4) /* an address, key or data folder could not be used */
 
 enum host_exit
--- a/src/host_drain.c
+++ b/src/host_drain.c
@@ -1,4 +1,4 @@
-/* A host's shutdown: signals in, the steps of drain.h carried out. */
+/* Shutdown of a host: signal handling and the actions of drain.h. */
 #include "container.h"
 #include "host_private.h"
 #include <signal.h>
@@ -39,8 +39,8 @@
   host_transfer_leadership (host, now);
 }
 
-/* Targets at home here look for another host when their renewals find this one leaving.  A transfer
- * of leadership that its receiver did not take is offered again. */
+/* Targets of this host move to another one when their renewals are answered that this one is
+ * leaving. A leadership transfer that was not accepted is retried. */
 static bool
 drain_handed_over (struct drain_actions *actions, int64_t now)
 {
--- a/src/host_dump.c
+++ b/src/host_dump.c
@@ -1,4 +1,4 @@
-/* The dump's view of the blackboard and of the parts that add no source of their own. */
+/* Dump of the board and of the components that add no dump source of their own. */
 #include "container.h"
 #include "host_private.h"
 #include <stddef.h>
@@ -74,7 +74,8 @@
   return list;
 }
 
-/* Names and revisions of what is in force; the specs are the resources' own. */
+/* Names and revisions of the pools, pipelines and organisations in force; their specs are dumped by
+ * the resources. */
 static json_t *
 describe_in_force (const struct board *board)
 {
--- a/src/host_edges.c
+++ b/src/host_edges.c
@@ -1,11 +1,11 @@
-/* A host's edges: loop, HTTP server and client, peers, keys. */
+/* Builds a host's event loop, HTTP server and client, peer port and keys. */
 #include "host_private.h"
 #include "text.h"
 #include <sodium.h>
 #include <string.h>
 
-/* Descriptors beside the callers' connections: listeners, signals, the data folder's files and what
- * ZeroMQ keeps for each peer. */
+/* File descriptors in addition to the callers' connections: listeners, signals, files of the data
+ * folder, and those that ZeroMQ holds per peer. */
 #define HOST_SPARE_DESCRIPTORS 256
 #define HOST_UNSENT_BYTES (1u << 20)
 #define HOST_ANSWER_BYTES (16u << 20)
@@ -29,7 +29,7 @@
   return keyfile_read (host->settings->key_file, &host->keys);
 }
 
-/* "ip:port" with the port in use in place of a 0. */
+/* Write the listen address as "ip:port", with the bound port in place of 0. */
 static enum status
 actual_address (const char *listen, uint16_t port, char out[RESOURCE_ADDRESS_SIZE])
 {
@@ -101,7 +101,7 @@
   return host->client == NULL ? STATUS_IO : STATUS_OK;
 }
 
-/* Peers that the settings name are trusted under the key given there. */
+/* Trust the peers in the settings with the key given there, and set their addresses. */
 static enum status
 trust_peers (struct host *host, const struct settings_peer *peers, uint32_t n_peers)
 {
--- a/src/host_private.h
+++ b/src/host_private.h
@@ -1,4 +1,5 @@
-/* The parts of a host's process, shared by the files that build, wire and end it. */
+/* The components of a host's process, shared by the files that build, connect and shut them down.
+ */
 #ifndef HOST_PRIVATE_H
 #define HOST_PRIVATE_H
 
@@ -29,15 +30,15 @@
 #include "store.h"
 #include "target_api.h"
 
-/* A talloc root: every part is its child, freed in the reverse order of building. */
+/* A talloc root; every component is a child of it and is freed in the reverse order of creation. */
 struct host
 {
   const struct settings *settings;
-  uint64_t incarnation;   /* of this process: the wall clock's microseconds at its start */
+  uint64_t incarnation;   /* of this process: wall clock at its start, in microseconds */
   int64_t wall_offset_ms; /* wall clock minus monotonic clock at the start */
   struct key_pair keys;   /* all zero where the settings name no key file */
 
-  /* Edges. */
+  /* Event loop, HTTP, peers. */
   struct loop *loop;
   struct timer_service *timers;
   struct counters *counters;
@@ -45,7 +46,7 @@
   struct http_server *server;
   struct http_client *client;
   struct peer_port *port;
-  char addresses[HTTP_LISTENER_COUNT][RESOURCE_ADDRESS_SIZE]; /* with the ports in use */
+  char addresses[HTTP_LISTENER_COUNT][RESOURCE_ADDRESS_SIZE]; /* with the ports actually bound */
   char peer_address[RESOURCE_ADDRESS_SIZE];
 
   /* Shared state. */
@@ -53,7 +54,7 @@
   struct access *access;
   struct store *store;
   struct consensus *consensus;
-  bool voter; /* has a data folder, or is the whole group */
+  bool voter; /* has a data folder, or is the only member of its group */
   struct config *config;
   struct config_link *link;
   struct config_wait *wait;
@@ -68,36 +69,36 @@
   struct decide *decide;
   struct flow *flow;
 
-  /* The end. */
+  /* Shutdown. */
   struct drain *drain;
   struct drain_actions drain_actions;
   struct loop_signal signals;
   int exit;
 
-  /* Parts without a dump source of their own. */
+  /* Dump sources of components that have none of their own. */
   struct dump_source board_dump;
   struct dump_source consensus_dump;
   struct dump_source decide_dump;
 };
 
-/* Build the parts in this order; each leaves status_message() on failure. */
+/* Build the components, called in this order; on failure each sets status_message(). */
 enum status host_build_edges (struct host *host);
 enum status host_build_state (struct host *host, int64_t now);
 enum status host_build_serving (struct host *host, int64_t now);
 
-/* Shutdown: signals in, drain.h's steps out. */
+/* Sets up the shutdown: signal handlers and the actions of drain.h. */
 enum status host_build_drain (struct host *host);
 
-/* Begin to hand the log's leadership over, where we hold it. */
+/* Starts a transfer of the log's leadership if this host is the leader. */
 void host_transfer_leadership (struct host *host, int64_t now);
 
-/* The dump of the board, and of parts without a source of their own. */
+/* Adds the dump sources of the board and of components that have none of their own. */
 void host_add_dump (struct host *host);
 
-/* The outcome of a part that could not be made for want of memory. */
+/* Returns STATUS_NO_MEMORY with its message. */
 enum status host_no_memory (void);
 
-/* A fresh random seed. */
+/* Returns a new random seed. */
 uint64_t host_seed (void);
 
 #endif
--- a/src/host_serving.c
+++ b/src/host_serving.c
@@ -1,4 +1,5 @@
-/* What a host serves with: membership, targets, decisions, the request path, the entry list. */
+/* Builds the serving components of a host: membership, targets, routing decisions, the request path
+ * and the list of entry hosts. */
 #include "container.h"
 #include "entries_api.h"
 #include "host_private.h"
@@ -32,7 +33,7 @@
   text_copy_cut (out->public_key, sizeof out->public_key, host->keys.public_key);
 }
 
-/* Seeds and voters are both hosts to ask at the start. */
+/* Both the seeds and the voters are contacted at the start. */
 static uint32_t
 member_seeds (const struct settings *settings, struct member_seed *out)
 {
--- a/src/host_state.c
+++ b/src/host_state.c
@@ -1,4 +1,4 @@
-/* A host's shared state: the replicated log, resources, claims and the operators' interface. */
+/* Builds a host's shared state: the replicated log, resources, claims and the operators' API. */
 #include "claim_machine.h"
 #include "consensus_local.h"
 #include "consensus_remote.h"
@@ -10,8 +10,8 @@
 #include <string.h>
 #include <talloc.h>
 
-/* Resources and claims share one log.  XXX: claims in shards of their own are due when their rate
- * nears what one log commits; see docs/CAPACITY.md. */
+/* Resources and claims share one log.  XXX: move claims to shards of their own before their rate
+ * reaches the commit rate of one log; see docs/CAPACITY.md. */
 static struct machine *
 build_machine (struct host *host)
 {
@@ -78,8 +78,8 @@
   return consensus_remote_new (host, &config);
 }
 
-/* A data folder makes a voter; without one the voters of the settings are asked; without those the
- * host is a group of its own, in memory. */
+/* A host with a data folder is a voter.  Without one it uses the voters in the settings; if there
+ * are none it is a group of one, in memory. */
 static enum status
 build_consensus (struct host *host, int64_t now)
 {
@@ -212,7 +212,7 @@
   return http_server_add_routes (host->server, routes, n_routes);
 }
 
-/* Only a voter may lead, and only the leader gives orders. */
+/* Only a voter can be the leader, and only the leader issues orders. */
 static enum status
 build_orders (struct host *host, int64_t now)
 {
--- a/src/host_trust.c
+++ b/src/host_trust.c
@@ -1,4 +1,4 @@
-/* Peers' keys as host resources declare them. */
+/* Public keys of peers from host resources. */
 #include "host_trust.h"
 #include "board.h"
 #include "log.h"
@@ -16,7 +16,7 @@
 
 struct host_trust
 {
-  struct store_listener listener; /* first: the vtable */
+  struct store_listener listener; /* first member */
   struct store *store;
   struct peer_port *port;
   const char *self;
@@ -85,9 +85,8 @@
     revoke (trust, event->name);
 }
 
-/* Failure: this host was cut off while another's resource was deleted, and learns of it only as an
- * object that is missing from the whole.  What was declared and is not there any more is revoked.
- */
+/* Revoke the keys of declared hosts that are missing from the new snapshot: a host that was
+ * partitioned while a host resource was deleted receives no event for the deletion. */
 static void
 replaced (struct store_listener *listener)
 {
--- a/src/host_trust.h
+++ b/src/host_trust.h
@@ -1,7 +1,8 @@
-/* Peers' keys as host resources declare them, beside those that the settings pin.
+/* Public keys of peers from host resources, in addition to the keys pinned in the settings.
  *
- * A changed key is taken beside the one before it, so that a host may change keys without a stop; a
- * deleted resource revokes every key of its host, on each host as soon as the revision is there. */
+ * A changed key is trusted in addition to the previous one, so that a host can change its key
+ * without downtime.  Deleting a resource revokes all keys of its host, on each host as soon as that
+ * revision is applied there. */
 #ifndef HOST_TRUST_H
 #define HOST_TRUST_H
 
@@ -13,7 +14,7 @@
 
 struct host_trust;
 
-/* NULL when out of memory.  Listens to the store for as long as both live. */
+/* NULL when out of memory.  Listens to the store until either is freed. */
 struct host_trust *host_trust_new (void *parent,
                                    struct store *store,
                                    struct peer_port *port,
--- a/src/host_view.c
+++ b/src/host_view.c
@@ -1,4 +1,4 @@
-/* The entry hosts that may share work. */
+/* Merged view of the entry hosts that may share work. */
 #include "host_view.h"
 #include <string.h>
 
@@ -9,7 +9,7 @@
   view->left_out = 0;
 }
 
-/* The place of the first host that is not before the name. */
+/* Index of the first host whose name is not less than `name`. */
 static uint32_t
 place_of (const struct host_view *view, const char *name)
 {
--- a/src/host_view.h
+++ b/src/host_view.h
@@ -1,8 +1,8 @@
-/* The entry hosts that may share work, as the controllers' lists name them: one array, sorted by
+/* The entry hosts that may share work, merged from the controllers' lists into one array, sorted by
  * name, each host once.
  *
- * Load pattern: a large fleet.  Every request and every message asks for the view, while lists
- * change with hosts that come and go; so it is put together when a list changes.  Pure. */
+ * The view is rebuilt when a list changes, not when it is read: every request and every message
+ * reads it, while lists change only as hosts join and leave.  No I/O and no clock. */
 #ifndef HOST_VIEW_H
 #define HOST_VIEW_H
 
@@ -13,20 +13,20 @@
 
 struct host_view
 {
-  const struct sync_host *hosts[SYNC_HOSTS_MAX]; /* sorted by name; they belong to the lists */
+  const struct sync_host *hosts[SYNC_HOSTS_MAX]; /* sorted by name; owned by the lists */
   uint32_t n;
-  uint32_t left_out; /* found no place */
+  uint32_t left_out; /* hosts beyond SYNC_HOSTS_MAX */
 };
 
 void host_view_clear (struct host_view *view);
 
-/* Hosts of one list; one that is named twice counts once, as the list added first has it. */
+/* Add the hosts of one list; a host already in the view keeps its first entry. */
 void host_view_add (struct host_view *view, const struct sync_host *list, uint32_t n);
 
-/* Take one out. */
+/* Remove a host; no effect when it is not in the view. */
 void host_view_remove (struct host_view *view, const char *name);
 
-/* NULL when it is not there. */
+/* NULL when it is not in the view. */
 const struct sync_host *host_view_find (const struct host_view *view, const char *name);
 
 END_DECLS
--- a/src/registry.c
+++ b/src/registry.c
@@ -1,4 +1,4 @@
-/* The targets as they register themselves. */
+/* The registry of targets. */
 #include "registry.h"
 #include <string.h>
 #include <talloc.h>
@@ -68,8 +68,8 @@
   target->revision = ++registry->revision;
 }
 
-/* Addresses are used again: who was first heard there later lives there now, and the other's late
- * renewals must not call it back. */
+/* Addresses are reused: of two targets at one address, the one first heard later owns it now.  The
+ * other becomes GONE, so that its delayed renewals do not bring it back. */
 static void
 settle_address (struct registry *registry, struct registry_target *newcomer)
 {
@@ -117,8 +117,8 @@
 }
 /* NOLINTEND(readability-function-size) */
 
-/* Is this word of an earlier or a later start than the one held?  Where one of them tells no time
- * the sequence alone decides. */
+/* Compares the start times of a registration and the one held: below 0 when earlier, above 0 when
+ * later.  When either reports no start time they compare equal, and the sequence alone decides. */
 static int
 compare_starts (const struct registry_word *word, const struct registry_word *held)
 {
@@ -127,7 +127,7 @@
   return word->started < held->started ? -1 : 1;
 }
 
-/* The target started again under its identity: nothing that was known of it holds. */
+/* Replaces the registration of a target that restarted with the same identity. */
 static enum registry_news
 begin_anew (struct registry *registry,
             struct registry_target *target,
@@ -166,7 +166,8 @@
     target->word.started = word->started;
   if (now - age > target->heard && word->sequence >= target->word.sequence)
     target->heard = now - age;
-  /* The state only goes forward, whatever the sequence: an end may be said without one. */
+  /* The state only moves forward, whatever the sequence: the end of a target may be reported
+   * without a new sequence. */
   if (word->sequence < target->word.sequence && word->state <= target->word.state)
     return REGISTRY_NEWS_STALE;
   changed = word->state > target->word.state;
