--- a/src/registry.h
+++ b/src/registry.h
@@ -1,13 +1,12 @@
-/* The targets as they register themselves, and how what several hosts heard is merged.
+/* The registry of targets, and the merge of registrations received by several hosts.
  *
- * A target renews with any host that takes registrations, each time perhaps another one; every such
- * host tells every entry host what it heard.  A target's own sequence orders what it said, so the
- * merge needs no leader.  Each start of a target is an incarnation, mostly with an identity of its
- * own; one that starts again under its identity tells a later time of start, and its sequence
- * begins anew.  Of two identities at one address the one first heard later is the one that lives
- * there.
+ * A target may send each renewal to a different host that accepts registrations; every such host
+ * forwards it to all entry hosts.  The target's own sequence orders its registrations, so the merge
+ * needs no leader.  Each start of a target is an incarnation, usually with a new identity; a target
+ * that restarts with the same identity reports a later start time, and its sequence starts over. Of
+ * two identities at one address, the one first heard later owns the address.
  *
- * Pure: time is passed in. */
+ * No I/O and no clock: time is passed in. */
 #ifndef REGISTRY_H
 #define REGISTRY_H
 
@@ -24,11 +23,11 @@
 
 #define REGISTRY_NAME_SIZE 64
 
-/* A record that ended is remembered for so long, so that a renewal that was held up under way does
- * not bring its target back. */
+/* A target that is gone or expired is kept for this long after its last renewal, so that a delayed
+ * renewal does not bring it back. */
 #define REGISTRY_REMEMBER (60 * USEC_PER_SEC)
 
-/* name, text; a later one never gives way to an earlier one */
+/* name, text; within an incarnation the state only moves down this list */
 #define REGISTRY_STATE_LIST(X)                                                                     \
   X (READY, "ready")                                                                               \
   X (LEAVING, "leaving")                                                                           \
@@ -44,11 +43,11 @@
 
 const char *registry_state_text (enum registry_state state);
 
-/* What a target says of itself. */
+/* A registration: the record that a target sends of itself. */
 struct registry_word
 {
   char id[REGISTRY_NAME_SIZE];
-  uint64_t started; /* of this incarnation, Unix milliseconds; 0: not told */
+  uint64_t started; /* of this incarnation, Unix milliseconds; 0: not reported */
   char pool[REGISTRY_NAME_SIZE];
   char address[REGISTRY_NAME_SIZE];
   char domain[REGISTRY_NAME_SIZE];
@@ -58,26 +57,26 @@
   int64_t cold_for; /* how much longer it is slow after its start */
 };
 
-/* A target, and what we know of it. */
+/* A target as known to this host. */
 struct registry_target
 {
   struct registry_word word;
-  uint64_t id_hash; /* of its identity: renewals in short bear it */
+  uint64_t id_hash; /* of its identity; short renewals carry it instead of the identity */
   int64_t first_heard;
-  int64_t heard;     /* its last renewal with any host we hear, on our clock */
-  uint64_t revision; /* of the registry when its word last changed in substance */
-  bool expired;      /* not heard for a lease */
-  void *user;        /* of who balances over the targets */
+  int64_t heard;     /* time of its last renewal with any host, on this host's clock */
+  uint64_t revision; /* of the registry when more than a renewal last changed here */
+  bool expired;      /* no renewal for a lease */
+  void *user;        /* state of the load balancer, owned by it */
   UT_hash_handle hh;
   UT_hash_handle hh_short;
 };
 
 /* name */
 #define REGISTRY_NEWS_LIST(X)                                                                      \
-  X (NONE)  /* nothing but a renewal */                                                            \
-  X (STALE) /* an older word than the one held */                                                  \
+  X (NONE)  /* only a renewal */                                                                   \
+  X (STALE) /* older than the registration held */                                                 \
   X (ADDED)                                                                                        \
-  X (CHANGED) /* its state, its incarnation, or it was expired */
+  X (CHANGED) /* new state or incarnation, or no longer expired */
 
 enum registry_news
 {
@@ -98,21 +97,23 @@
 struct registry *registry_new (void *parent);
 struct registry_target *registry_find (const struct registry *registry, const char *id);
 
-/* By the hash of its identity. */
+/* Find a target by the hash of its identity. */
 uint64_t registry_id_hash (const char *id);
 struct registry_target *registry_find_short (const struct registry *registry, uint64_t id_hash);
 
-/* Take a word that is `age` old.  `out` takes its target, NULL when memory is out. */
+/* Merge a registration that was received `age` microseconds ago.  Sets `out` to its target, or to
+ * NULL when out of memory. */
 enum registry_news registry_merge (struct registry *registry,
                                    const struct registry_word *word,
                                    int64_t age,
                                    int64_t now,
                                    struct registry_target **out);
 
-/* Expire targets not heard for `lease`, forget what ended long ago.  The number expired now. */
+/* Expire targets without a renewal for `lease`, and free those without one for REGISTRY_REMEMBER
+ * that have no `user`.  Returns the number newly expired. */
 uint32_t registry_expire (struct registry *registry, int64_t lease, int64_t now);
 
-/* May new work go to it? */
+/* Whether new work may be sent to the target. */
 static inline bool
 registry_usable (const struct registry_target *target)
 {
@@ -121,7 +122,7 @@
 
 void registry_write (const struct registry_target *target, int64_t now, struct bytes *out);
 
-/* Reads a word and its age; false when it is not one. */
+/* Reads a registration and its age; false when it is malformed. */
 bool registry_read (struct pack_reader *in, struct registry_word *word, int64_t *age);
 
 END_DECLS
--- a/tests/unit_directory.cc
+++ b/tests/unit_directory.cc
@@ -1,4 +1,4 @@
-// Targets, their homes and the leases that end new work, with several hosts on virtual time.
+// The directory of targets: homes, leases and replication among several hosts, on virtual time.
 #include "container.h"
 #include "directory.h"
 #include "directory_wire.h"
@@ -40,7 +40,7 @@
   std::string data;
 };
 
-// Hosts, each with its board and directory; messages take 1 ms unless a link is cut or held up.
+// Hosts, each with its board and directory; messages take 1 ms unless a link is cut or delayed.
 struct net
 {
   void *memory = talloc_new (nullptr);
@@ -179,7 +179,7 @@
       }
   }
 
-  // Run while the targets renew with their homes each second.
+  // Run while the targets renew with their home each second.
   void
   run_renewing (int64_t span, int home, const std::vector<struct directory_record> &targets)
   {
@@ -247,8 +247,8 @@
     }
 }
 
-// A target's process dies without a word.  Requests sent to it until the others notice are lost
-// time; every host must stop by itself 3 s after the last renewal, its home among them.
+// A target's process crashes.  Requests sent to it until the hosts notice only cost time; every
+// host, the home included, must stop using it 3 s after the last renewal without any message.
 TEST (Directory, NoNewWorkThreeSecondsAfterTheLastRenewal)
 {
   struct net n (5);
@@ -261,15 +261,15 @@
   n.run (DIRECTORY_LEASE);
   for (int i = 0; i < 5; i++)
     EXPECT_FALSE (n.usable (i, "t")) << i;
-  // It was only slow: it renews, and is used again.
+  // The target was only slow: it renews and is used again.
   EXPECT_EQ (directory_renew (n[0].directory, &key, n.now), STATUS_OK);
   n.run (300 * USEC_PER_MSEC);
   for (int i = 0; i < 5; i++)
     EXPECT_TRUE (n.usable (i, "t")) << i;
 }
 
-// The link between one host and the target's home goes silent.  That host must stop sending new
-// work within the lease; the others must not notice anything.
+// The link from the target's home to one host is cut.  That host must stop sending new work within
+// the lease; the other hosts must not be affected.
 TEST (Directory, LostRenewalsOnOneHostEndNewWorkThereOnly)
 {
   struct net n (5);
@@ -287,8 +287,8 @@
   EXPECT_TRUE (n.usable (3, "t"));
 }
 
-// One answer of the home is lost, as happens now and then.  The lease it would have renewed must be
-// renewed by another before it ends, or a sound target would be out of use for a moment.
+// One answer of the home is lost.  Another answer must renew the lease before it expires, or a
+// healthy target would be unusable for a moment.
 TEST (Directory, OneLostAnswerEndsNoLease)
 {
   struct net n (2);
@@ -313,9 +313,9 @@
     }
 }
 
-// A target says that it leaves, and every message that would tell the other hosts at once is lost;
-// one host's link to the home is cut besides.  Work sent after 2 s would be cut by the shutdown.
-TEST (Directory, ALeavingTargetGetsNoNewWorkAfterTwoSecondsWhateverIsLost)
+// A target announces its shutdown, all pushes of the change are lost, and one host's link from the
+// home is cut as well.  Work sent after 2 s would be cut by the shutdown.
+TEST (Directory, LeavingTargetGetsNoNewWorkAfterTwoSecondsDespiteLostMessages)
 {
   struct net n (5);
   auto t = record_of ("t", 1, 1);
@@ -333,10 +333,10 @@
     EXPECT_FALSE (n.usable (i, "t")) << i;
 }
 
-// A home's answer waits in a queue for ten seconds while a link is stuck, and arrives after the
-// target has died.  A lease counted from arrival would send work to the dead target; it counts
-// from the question.
-TEST (Directory, AnAnswerThatWasHeldUpGrantsNothing)
+// A home's answer is delayed by ten seconds on a blocked link and arrives after the target has
+// died. A lease that ran from the arrival would send work to the dead target; it runs from the
+// request.
+TEST (Directory, DelayedAnswerDoesNotExtendLease)
 {
   struct net n (2);
   auto t = record_of ("t", 1, 1);
@@ -352,8 +352,8 @@
   EXPECT_FALSE (n.usable (1, "t"));
 }
 
-// A target's home host is killed.  The target announces itself to another host, and work goes on
-// everywhere under the new home; the old home returns with its old list and must not take it back.
+// A target's home is killed.  The target announces itself to another host and is used everywhere
+// under the new home; the old home returns with its old list and must not become the home again.
 TEST (Directory, AnotherHostTakesOverWhenTheHomeDies)
 {
   struct net n (4);
@@ -380,9 +380,9 @@
   EXPECT_EQ (directory_at_home (n[0].directory), 0u);
 }
 
-// The answer to an announcement is lost, and the target sends the same words to another host.
-// Both are its home for a moment; one must remain.
-TEST (Directory, TheSameWordsAtTwoHostsLeaveOneHome)
+// The answer to an announcement is lost, and the target sends the same announcement to another
+// host. Both are its home for a moment; only one must remain.
+TEST (Directory, SameAnnouncementAtTwoHostsLeavesOneHome)
 {
   struct net n (4);
   auto t = record_of ("t", 1, 1);
@@ -400,8 +400,8 @@
   EXPECT_EQ (directory_at_home (n[1].directory), 1u);
 }
 
-// A target restarts at the same address.  Its old process's announcement, delayed on the way or
-// sent again by someone, arrives after the new one: taking it would bring back what is gone.
+// A target restarts at the same address.  An announcement of its old process, delayed or replayed,
+// arrives after the new one; accepting it would bring back a process that is gone.
 TEST (Directory, AnOldAnnouncementAfterARestartIsRefusedOnEveryHost)
 {
   struct net n (3);
@@ -429,8 +429,8 @@
     EXPECT_TRUE (n.usable (i, "t")) << i;
 }
 
-// A target leaves for good.  An hour is not over when its announcement is sent again by someone
-// who kept it: it must not come back.
+// A target leaves for good, and its announcement is replayed within the hour for which its sequence
+// is kept.  The target must not come back.
 TEST (Directory, AnAnnouncementReplayedAfterLeavingIsRefused)
 {
   struct net n (2);
@@ -448,8 +448,8 @@
     }
 }
 
-// A home restarts: its list is empty and its version small.  Hosts that remember the old list must
-// not mistake the new one for a part of it.
+// A home restarts, so its list is empty and its version small.  Hosts that still have the old list
+// must not take the new one for a part of it.
 TEST (Directory, ARestartedHomeStartsANewList)
 {
   struct net n (3);
@@ -470,10 +470,10 @@
     }
 }
 
-// A home restarts with its clock set back, so that its list seems older than the one it kept
-// before. Membership gives it a newer incarnation once the others tell it; its list must follow, or
-// its targets would be used nowhere else.
-TEST (Directory, AHomeWhoseClockWasSetBackIsFollowedAgain)
+// A home restarts with its clock set back, so that its list seems older than that of its previous
+// process.  Membership later gives it a newer incarnation; the epoch of its list must follow, or no
+// other host would use its targets.
+TEST (Directory, ListOfHomeWithClockSetBackIsAppliedAfterNewIncarnation)
 {
   struct net n (3);
   auto t = record_of ("t", 1, 1);
@@ -491,11 +491,11 @@
   EXPECT_TRUE (n.usable (1, "t"));
 }
 
-// A home is killed and starts again at once, and tells of an empty list before its targets have
-// announced themselves anew.  A pool with one target would have none, and requests would be
-// refused, though the target never stopped.  Its lease stays, and ends by itself when it does not
+// A home is killed, restarts at once and sends an empty list before its targets have announced
+// themselves again.  Were the leases cut, a pool with one target would have none and refuse
+// requests although the target never stopped.  The lease stays, and expires if the target does not
 // come back.
-TEST (Directory, ARestartedHomesTargetsKeepTheLeaseTheyHave)
+TEST (Directory, TargetsOfRestartedHomeKeepTheirLeases)
 {
   struct net n (3);
   auto a = record_of ("a", 1, 1);
@@ -512,10 +512,11 @@
   EXPECT_FALSE (n.usable (1, "a") || n.usable (2, "a"));
 }
 
-// A home restarts and tells of an empty list; its targets announce themselves anew, and the push
-// that tells of them is lost, so that the next answer brings them.  Asked as seldom from then on as
-// a home without targets, their leases would end seconds before the next answer, though they renew.
-TEST (Directory, TargetsThatAnAnswerBringsKeepTheirLeases)
+// A home restarts and sends an empty list; its targets announce themselves again, and the push of
+// the change is lost, so that the next answer brings them.  Were the home still polled like one
+// without targets, the leases would expire seconds before the next answer, though the targets
+// renew.
+TEST (Directory, TargetsFirstListedInAnAnswerKeepTheirLeases)
 {
   struct net n (3);
   auto a = record_of ("a", 1, 1);
@@ -533,9 +534,9 @@
     }
 }
 
-// A home shuts down and its targets announce themselves to another.  The message that tells of the
-// move grants no lease; was the old one cut with it, every move would be a moment without a target.
-TEST (Directory, AMoveToAnotherHomeLeavesNoMomentWithoutALease)
+// A home shuts down and its targets announce themselves to another host.  The push that reports the
+// move grants no lease; if it cut the old one, the target would be unusable for a moment.
+TEST (Directory, MoveToAnotherHomeKeepsTheLease)
 {
   struct net n (3);
   auto a = record_of ("a", 1, 1);
@@ -551,9 +552,9 @@
     }
 }
 
-// A host starts under load and its configuration is confirmed before the homes have told it of
-// their targets.  Named to callers then, it would refuse or fail what any other host can serve.
-TEST (Directory, AFreshHostSaysItDoesNotKnowTheTargetsUntilTheHomesHaveTold)
+// A host starts under load and its configuration is confirmed before it has the homes' lists of
+// targets.  Listed to callers then, it would refuse or fail requests that any other host can serve.
+TEST (Directory, TargetsAreUnknownAfterStartUntilAllHomesHaveAnswered)
 {
   struct net n (3);
   auto a = record_of ("a", 1, 1);
@@ -571,8 +572,8 @@
   EXPECT_EQ (table_count (n[2].board->targets), 1u);
 }
 
-// All other hosts are gone: a fresh host must not wait for their lists for ever.
-TEST (Directory, AFreshHostServesAfterABoundedTimeWhoeverIsSilent)
+// All other hosts are down: a host that just started must not wait for their lists for ever.
+TEST (Directory, StartedHostServesAfterTimeoutWithoutAnswers)
 {
   struct net n (2);
 
@@ -584,9 +585,9 @@
   EXPECT_FALSE (n[0].board->targets_unknown);
 }
 
-// A host is cut off for minutes.  Meanwhile a target left and its tombstone was dropped from the
-// home's list; when the host is back it must not go on with the target for ever.
-TEST (Directory, AHostBackFromALongPartitionForgetsWhatItMissed)
+// A host is partitioned for minutes.  Meanwhile a target leaves and its tombstone is dropped from
+// the home's list; when the partition ends, the host must not keep the target for ever.
+TEST (Directory, HostBackFromLongPartitionRemovesTargetThatLeft)
 {
   struct net n (2);
   auto a = record_of ("a", 1, 1);
@@ -598,7 +599,7 @@
   n.run_renewing (2 * USEC_PER_SEC, 0, { a, b });
   n.cut.insert ({ "h0", "h1" });
   directory_leave (n[0].directory, &leave, n.now);
-  // "a" ends, is kept as a tombstone and dropped, all before h1 hears again; h1 keeps it as long.
+  // "a" expires and its tombstone is dropped before h1 is reachable; until then h1 keeps "a".
   n.run_renewing (70 * USEC_PER_SEC, 0, { b });
   n.cut.clear ();
   n.run_renewing (70 * USEC_PER_SEC, 0, { b });
@@ -606,7 +607,7 @@
   EXPECT_TRUE (n.usable (1, "b"));
 }
 
-TEST (Directory, ALongListComesInPartsAndIsLeasedWhenWhole)
+TEST (Directory, LongListIsSentInPartsAndLeasedWhenComplete)
 {
   struct net n (2);
   std::vector<struct directory_record> targets;
@@ -627,20 +628,20 @@
   EXPECT_LT (n.bytes, 10u * 500u);
 }
 
-// Most hosts of a large system are no home of any target; asking them as often as homes would cost
-// each host more than all else.
-TEST (Directory, HostsWithoutTargetsAreAskedSeldom)
+// Most hosts of a large system are not the home of any target; polling them as often as homes would
+// cost each host more than all other messages of the directory.
+TEST (Directory, HostsWithoutTargetsArePolledRarely)
 {
   struct net n (9);
 
   n.run (10 * USEC_PER_SEC);
   n.bytes = 0;
   n.run (60 * USEC_PER_SEC);
-  // 72 pairs, a question and an answer of some 60 bytes together, each 4.5 to 5 s.
+  // 72 pairs, a request and an answer of about 60 bytes together, every 4.5 to 5 s.
   EXPECT_LT (n.bytes, 72u * 60u / 4u * 70u);
 }
 
-// Some targets of a home renew late.  The one lease for the whole list must not stretch theirs.
+// Some targets of a home renew late.  The common lease of the list must not extend their leases.
 TEST (Directory, LateRenewalsShortenOnlyTheirOwnLeases)
 {
   struct net n (2);
@@ -681,15 +682,15 @@
   EXPECT_EQ (user->report.running, 3u);
   EXPECT_EQ (user->report.waiting, 5u);
   EXPECT_DOUBLE_EQ (user->report.kv_used, 0.25);
-  // Never stated younger than it is.
+  // The age of a report is never understated.
   EXPECT_LE (user->report.measured_at, report.measured_at + USEC_PER_MSEC);
   EXPECT_GE (user->report.measured_at, report.measured_at - 100 * USEC_PER_MSEC);
   EXPECT_EQ (board_find_target (n[2].board, "t", nullptr)->report.received_at, 0);
 }
 
-// An engine's cache events are resent after a lost answer, and some are lost for good.  Doubled
-// ones must be passed over and the gap must be counted.
-TEST (Directory, CacheEventsAreTakenOnceAndGapsAreCounted)
+// An engine's cache events are resent after a lost answer, and some are lost for good.  Duplicates
+// must be skipped and the gap must be counted.
+TEST (Directory, CacheEventsAreAppliedOnceAndGapsAreCounted)
 {
   struct net n (1);
   struct directory_key key = { "t", 1, 1 };
@@ -706,9 +707,9 @@
   EXPECT_EQ (gaps->value, 1);
 }
 
-// A peer sends messages that are cut or altered.  They must be refused whole: half a list applied
-// would name targets that are not there.
-TEST (Directory, CutAndAlteredMessagesChangeNothing)
+// A peer sends messages that are truncated or altered.  A truncated one must be refused as a whole,
+// as a list applied in part would name wrong targets; an altered one must not crash the host.
+TEST (Directory, TruncatedMessagesChangeNothingAndAlteredOnesAreHandled)
 {
   struct net n (2);
   struct counter *malformed =
--- a/tests/unit_directory_api.cc
+++ b/tests/unit_directory_api.cc
@@ -1,4 +1,4 @@
-// The calls of targets and of callers for the list of hosts, through a fake HTTP exchange.
+// The API calls of targets, and callers' requests for the list of hosts, on a fake HTTP exchange.
 #include "counter.h"
 #include "entries_api.h"
 #include "target_api.h"
@@ -151,7 +151,7 @@
   EXPECT_STREQ (t->models[0], "m");
 }
 
-TEST (TargetApi, CodesSayWhatATargetMustDoNext)
+TEST (TargetApi, StatusCodesFollowTheStateOfTheTarget)
 {
   struct host h;
 
@@ -175,9 +175,9 @@
   EXPECT_EQ (h.post ("announce", ANNOUNCE).code, 409);
 }
 
-// A target's home is shutting down.  The target must learn another address before the home goes,
-// while work to it goes on.
-TEST (TargetApi, ALeavingHostSendsItsTargetsElsewhere)
+// A target's home is shutting down.  The target must get another host's address before the home
+// exits, and keep its lease meanwhile.
+TEST (TargetApi, LeavingHostRefusesRenewalsAndNamesOtherHosts)
 {
   struct host h;
 
@@ -192,8 +192,8 @@
   EXPECT_TRUE (board_target_usable (board_find_target (h.board, "t", nullptr), h.now));
 }
 
-// A target with a fault, or anyone who reaches the port, sends what is no announcement.
-TEST (TargetApi, BadBodiesAreRefusedByField)
+// A faulty target, or any client that reaches the port, sends an invalid announcement.
+TEST (TargetApi, InvalidBodiesAreRefused)
 {
   struct host h;
   std::string deep = std::string (9, '[') + std::string (9, ']');
--- a/tests/unit_drain.cc
+++ b/tests/unit_drain.cc
@@ -1,4 +1,4 @@
-// Graceful shutdown step by step, on virtual time.
+// The states of a graceful shutdown, on virtual time.
 #include "drain.h"
 #include <gtest/gtest.h>
 #include <string>
@@ -11,7 +11,7 @@
 constexpr int64_t LIST_KEEP = 10 * USEC_PER_SEC;
 constexpr int64_t BOUND = 60 * USEC_PER_SEC;
 
-// What the process does, recorded; requests in flight and the hand-over are set by the test.
+// Records the actions of the process; the test sets the requests in flight and the hand-over.
 struct process
 {
   struct drain_actions actions; // first member
@@ -102,9 +102,9 @@
   }
 };
 
-// A host is restarted under load.  Callers still hold lists that name it, and its own requests take
-// a while: nothing may be refused before the lists are old, nothing cut before it is answered.
-TEST (Drain, ServesWhileListsNameItThenFinishesWhatIsInFlight)
+// A host is restarted under load.  Callers still hold lists that name it, and its requests take a
+// while: none may be refused before the lists have expired, none cut before it is answered.
+TEST (Drain, ServesWhileListsNameTheHostThenFinishesRequestsInFlight)
 {
   struct process p;
 
@@ -125,8 +125,8 @@
   EXPECT_EQ (p.steps, (std::vector<std::string>{ "leave", "hand", "end" }));
 }
 
-// An idle host asked to stop has nothing in flight, but a list given a moment ago still names it.
-TEST (Drain, AnIdleHostStaysUntilNoListNamesIt)
+// A host is stopped while idle, but a list given out shortly before still names it.
+TEST (Drain, IdleHostRunsUntilNoListNamesIt)
 {
   struct process p;
 
@@ -137,10 +137,10 @@
   EXPECT_EQ (p.exit_code, 0);
 }
 
-// Lists have just ended.  Callers that asked for a new one send once more by the old meanwhile, and
-// are refused at once, so that nothing is in flight whenever the drain looks.  The process must not
-// end between two of them: the second would be cut and its caller not know whether it ran.
-TEST (Drain, DoesNotEndWhileCallersStillComeByOldLists)
+// Lists have just expired.  Callers still use them until the new list arrives and are refused at
+// once, so that nothing is in flight whenever the drain polls.  The process must not end between
+// two such requests: the second would be cut and its caller not know whether it ran.
+TEST (Drain, DoesNotEndWhileCallersStillUseExpiredLists)
 {
   struct process p;
 
@@ -156,8 +156,8 @@
   EXPECT_EQ (p.exit_code, 0);
 }
 
-// A load balancer's probe comes for ever, by no list: the shutdown goes on all the same.
-TEST (Drain, CallersThatNeverStopDoNotKeepIt)
+// A load balancer's probes use no list and never stop; the shutdown must go on all the same.
+TEST (Drain, EndsThoughCallersNeverStopSending)
 {
   struct process p;
 
@@ -170,9 +170,9 @@
   EXPECT_EQ (p.exit_code, 0);
 }
 
-// A connection was taken in the moment in which the host closed its port, and its request is read
-// only after that: it is answered before the process ends.
-TEST (Drain, AnswersWhatCameWithTheLastConnections)
+// A connection is accepted just before the host closes its port, and its request is read only after
+// that.  It must be answered before the process ends.
+TEST (Drain, AnswersRequestsOnTheLastConnections)
 {
   struct process p;
 
@@ -187,7 +187,7 @@
   EXPECT_EQ (p.exit_code, 0);
 }
 
-TEST (Drain, WaitsForTheHandOverButNotForEver)
+TEST (Drain, WaitsForTheHandOverForABoundedTime)
 {
   struct process p;
 
@@ -199,9 +199,9 @@
   EXPECT_EQ (p.exit_code, 0);
 }
 
-// An operator cannot wait and sends the signal again: the process ends at once, and its exit code
-// says that something was left.
-TEST (Drain, ASecondSignalEndsAtOnceAndSaysWhatWasUnfinished)
+// An operator sends the signal again to stop at once: the process ends, and its exit code reports
+// unfinished requests.
+TEST (Drain, SecondSignalEndsAtOnceWithUnfinishedExitCode)
 {
   struct process p;
 
@@ -216,8 +216,8 @@
   EXPECT_TRUE (p.steps.empty ());
 }
 
-// A request never ends, its target hangs.  The shutdown ends by its bound all the same.
-TEST (Drain, TheBoundEndsAShutdownWithWorkThatNeverEnds)
+// A request never ends because its target hangs.  The shutdown must end at its bound.
+TEST (Drain, DrainBoundEndsAShutdownWithAHungRequest)
 {
   struct process p;
 
--- a/tests/unit_registry.cc
+++ b/tests/unit_registry.cc
@@ -1,4 +1,4 @@
-// Targets that register with any of several hosts, and what merging their words must hold.
+// Registration of targets with several hosts, and the merge of their registrations.
 #include "registry.h"
 #include <cstring>
 #include <gtest/gtest.h>
@@ -56,7 +56,7 @@
   EXPECT_TRUE (registry_usable (target));
 }
 
-// Renewals in short bear a hash in place of the identity; what was forgotten is not found by it.
+// Short renewals carry a hash instead of the identity; freed targets are not found by it.
 TEST_F (RegistryTest, FindsATargetByTheHashOfItsIdentity)
 {
   uint64_t hash = registry_id_hash ("i-77");
@@ -71,9 +71,9 @@
   EXPECT_EQ (registry_find_short (registry, hash), nullptr);
 }
 
-// A target says that it leaves.  An earlier renewal, held up on a slow link, arrives afterwards; it
-// must not call the target back, or work goes to it while it shuts down.
-TEST_F (RegistryTest, AHeldUpRenewalDoesNotCallALeavingTargetBack)
+// A target reports that it leaves.  An earlier renewal, delayed on a slow link, arrives afterwards;
+// it must not make the target ready again, or work is sent to it while it shuts down.
+TEST_F (RegistryTest, DelayedRenewalDoesNotRestoreLeavingTarget)
 {
   merge (word ("i", "a:1", REGISTRY_READY, 1));
   EXPECT_EQ (merge (word ("i", "a:1", REGISTRY_LEAVING, 5)), REGISTRY_NEWS_CHANGED);
@@ -83,10 +83,10 @@
   EXPECT_EQ (target->word.state, REGISTRY_LEAVING);
 }
 
-// Addresses are used again.  A target crashes behind a cut, another one starts at its address, and
-// then a renewal of the first one gets through.  Requests for the second one's pool must not go by
-// the first one's record.
-TEST_F (RegistryTest, TheLaterTargetKeepsTheAddress)
+// Addresses are reused.  A target crashes behind a partition, another starts at its address, and
+// then a renewal of the first one arrives.  Requests for the pool of the second must not be routed
+// by the record of the first.
+TEST_F (RegistryTest, TargetFirstHeardLaterOwnsTheAddress)
 {
   struct registry_target *first;
 
@@ -107,9 +107,9 @@
   return said;
 }
 
-// A target crashes and starts again under its identity; its sequence begins anew.  Taken for old
-// words, its renewals would count for nothing and it would get no work until they catch up.
-TEST_F (RegistryTest, AStartUnderTheSameIdentityBeginsAnew)
+// A target crashes and restarts with the same identity; its sequence starts over.  If its renewals
+// were ignored as old, it would get no work until the sequence catches up.
+TEST_F (RegistryTest, RestartWithSameIdentityReplacesTheRegistration)
 {
   merge (started (word ("i", "a:1", REGISTRY_READY, 500), 1000));
   now += 10 * USEC_PER_SEC;
@@ -121,9 +121,9 @@
   EXPECT_EQ (merge (started (word ("i", "a:2", REGISTRY_READY, 2), 2000)), REGISTRY_NEWS_NONE);
 }
 
-// The start before left, and one of its words was held up.  It must end neither the new start nor
-// raise its sequence, or the new start's own words would be taken for old ones.
-TEST_F (RegistryTest, WordsOfTheStartBeforeSayNothing)
+// A registration of a target's previous start arrives late.  It must neither end the new start nor
+// raise its sequence, or the new start's own registrations would be ignored as old.
+TEST_F (RegistryTest, RegistrationsOfThePreviousStartAreIgnored)
 {
   merge (started (word ("i", "a:1", REGISTRY_LEAVING, 500), 1000));
   merge (started (word ("i", "a:1", REGISTRY_READY, 1), 2000));
@@ -134,7 +134,7 @@
   EXPECT_EQ (target->word.sequence, 1u);
 }
 
-TEST_F (RegistryTest, WhatEndedIsRememberedForAWhile)
+TEST_F (RegistryTest, GoneTargetIsKeptForABoundedTime)
 {
   merge (word ("i", "a:1", REGISTRY_READY, 1));
   merge (word ("i", "a:1", REGISTRY_GONE, 1));
@@ -148,7 +148,7 @@
   EXPECT_EQ (registry_find (registry, "i"), nullptr);
 }
 
-TEST_F (RegistryTest, AWordSurvivesItsWayToAnotherHost)
+TEST_F (RegistryTest, RegistrationSurvivesEncodingAndDecoding)
 {
   struct bytes out;
   struct pack_reader in;
