--- a/src/config.c
+++ b/src/config.c
@@ -10,14 +10,14 @@
   struct config_config config;
   struct config_board *entries;
   struct store_listener listener;
-  struct timer bring; /* due when the store has what the board has not */
-  struct timer ask;   /* a quorum */
+  struct timer bring; /* armed when the store is newer than the board */
+  struct timer ask;   /* next request to a quorum */
   struct proposal proposal;
   struct dump_source source;
   bool asking;
   int64_t asked_at;
   uint32_t unread; /* specs that this release cannot read */
-  bool replaced;   /* the store was replaced: its history does not tell what changed */
+  bool replaced;   /* the store was replaced; its history does not list what changed */
   struct counter *changes;
   struct counter *revision;
 };
@@ -43,7 +43,7 @@
   counter_add (config->changes, 1);
 }
 
-/* Bring the board up to the store. */
+/* Apply the store's changes to the board. */
 static void
 bring (struct config *config, int64_t now)
 {
@@ -77,8 +77,8 @@
   bring (CONTAINER_OF (timer, struct config, bring), now);
 }
 
-/* From the loop, not from inside the machine: the listener has no time and must not block a voter
- * that applies a long run of entries. */
+/* The board is updated from the loop, not from inside the state machine: the listener is not given
+ * the time, and must not block a voter that applies a long run of entries. */
 static void
 changed (struct store_listener *listener, const struct store_event *event)
 {
@@ -112,7 +112,7 @@
              (json_int_t) board->revision);
 }
 
-/* Ask a quorum whether the store holds everything. */
+/* Ask a quorum whether the store holds everything committed. */
 static void
 ask_due (struct timer *timer, int64_t now)
 {
--- a/src/config.h
+++ b/src/config.h
@@ -1,8 +1,8 @@
-/* The configuration in force on this host: brings the store's revisions onto the board.
+/* The configuration in force on this host: applies the store's revisions to the board.
  *
  * Nothing is in force until a quorum has confirmed, after this process's start, that the store
- * holds everything committed: a restarted host never serves an older revision than one that was
- * in force before.  From then on the board follows the store revision by revision, never back. */
+ * holds everything committed, so a restarted host never serves an older revision than one that was
+ * in force before.  From then on the board follows the store, and its revision never decreases. */
 #ifndef CONFIG_H
 #define CONFIG_H
 
@@ -17,11 +17,11 @@
 
 BEGIN_DECLS
 
-/* How often a quorum is asked, until ready and then. */
+/* Interval between requests to a quorum, before the first confirmation and after it. */
 #define CONFIG_ASK_PERIOD (USEC_PER_SEC / 4)
 #define CONFIG_CONFIRM_PERIOD (2 * USEC_PER_SEC)
 
-/* A confirmation older than this no longer counts: answers, dump and entry lists show it. */
+/* A confirmation older than this has expired; answers, the dump and entry lists show that. */
 #define CONFIG_CONFIRMED_FOR (10 * USEC_PER_SEC)
 
 struct config;
@@ -30,21 +30,22 @@
 {
   struct store *store;
   struct board *board;
-  struct access *access;       /* NULL where operators are not told apart */
-  struct consensus *consensus; /* NULL on a host that follows: config_follow.c confirms */
+  struct access *access;       /* NULL without access control for operators */
+  struct consensus *consensus; /* NULL on a follower, where config_follow.c confirms */
   struct timer_service *timers;
   struct counters *counters;
   struct dump *dump;
 };
 
-/* Freed with `parent`.  NULL when memory is out. */
+/* Freed with `parent`.  NULL when out of memory. */
 struct config *config_new (void *parent, const struct config_config *config, int64_t now);
 
-/* A quorum confirmed at `at` (our clock, before it was asked) what the store now holds. */
+/* Report that a quorum confirmed what the store now holds.  `at` is the local time in us before
+ * the quorum was asked. */
 void config_confirmed (struct config *config, int64_t at, int64_t now);
 
-/* Was what is in force here confirmed lately?  A host for which this is false serves on with what
- * it has, says so, and is left out of entry lists. */
+/* Whether the configuration in force was confirmed within CONFIG_CONFIRMED_FOR.  A host for which
+ * this is false goes on serving with what it has, reports that, and is left out of entry lists. */
 static inline bool
 config_is_confirmed (const struct board *board, int64_t now)
 {
--- a/src/config_board.c
+++ b/src/config_board.c
@@ -1,4 +1,4 @@
-/* From the store's objects to the board's entries. */
+/* Applies the store's objects to the board's entries. */
 #include "config_board.h"
 #include "log.h"
 #include "text.h"
@@ -8,8 +8,8 @@
 
 #define OPERATORS_MAX 1024
 
-/* An operator that access.c was told of: so that one deleted while this host was cut off is taken
- * back, too. */
+/* An operator registered with access.c, kept so that one deleted while this host was cut off is
+ * removed there as well. */
 struct known_operator
 {
   char name[RESOURCE_NAME_SIZE];
@@ -37,7 +37,7 @@
   return self->operators == NULL ? NULL : self;
 }
 
-/* Handles of the stages' pools, none for a pool that is not there. */
+/* Set the handles of the stages' pools; the handle of a missing pool is empty. */
 static void
 link_pools (const struct board *board, struct board_pipeline *pipeline)
 {
--- a/src/config_board.h
+++ b/src/config_board.h
@@ -1,4 +1,4 @@
-/* From the store's objects to the board's entries. */
+/* Applies the store's objects to the board's entries. */
 #ifndef CONFIG_BOARD_H
 #define CONFIG_BOARD_H
 
@@ -14,12 +14,12 @@
 /* `access` may be NULL. */
 struct config_board *config_board_new (void *parent, struct board *board, struct access *access);
 
-/* Bring one change in.  STATUS_UNSUPPORTED, and the board as it was, for a spec that this release
- * cannot read. */
+/* Apply one change.  STATUS_UNSUPPORTED, with the board unchanged, for a spec that this release
+ * cannot read; STATUS_LIMIT when a table is full. */
 enum status config_board_change (struct config_board *self, const struct store_event *event);
 
-/* Bring everything in, and take away what the store does not hold.  The count of specs that this
- * release cannot read. */
+/* Apply all objects of the store and remove the entries that it does not hold.  Return the number
+ * of objects that could not be applied. */
 uint32_t config_board_replace (struct config_board *self, const struct store *store);
 
 END_DECLS
--- a/src/config_feed.c
+++ b/src/config_feed.c
@@ -7,8 +7,8 @@
 #include <utlist.h>
 
 #define FOLLOWERS_MAX 1024
-#define MESSAGE_BYTES (256u << 10)         /* of changes or objects in one message, about */
-#define SNAPSHOT_PERIOD (3 * USEC_PER_SEC) /* between two whole copies to one follower */
+#define MESSAGE_BYTES (256u << 10) /* approximate size of the changes or objects in a message */
+#define SNAPSHOT_PERIOD (3 * USEC_PER_SEC) /* minimum between two snapshots sent to a follower */
 #define READ_WITHIN (2 * USEC_PER_SEC)
 
 struct feed_follower
@@ -16,13 +16,13 @@
   struct feed_follower *prev;
   struct feed_follower *next;
   char host[RESOURCE_NAME_SIZE];
-  uint64_t held;    /* as it last said */
-  uint64_t sent;    /* changes sent up to here */
-  uint64_t nonce;   /* of its last ask */
-  bool asks;        /* waits for a read that began after its ask */
-  bool read_covers; /* the read under way did */
+  uint64_t held;    /* revision that it last reported */
+  uint64_t sent;    /* revision up to which changes were sent */
+  uint64_t nonce;   /* of its waiting request */
+  bool asks;        /* its request waits for a read that begins after it */
+  bool read_covers; /* the read in progress began after its request */
   int64_t heard_at;
-  int64_t copied_at; /* when it was last sent a whole copy, 0 never */
+  int64_t copied_at; /* when it was last sent a snapshot, 0 for never */
 };
 
 struct config_feed
@@ -92,10 +92,10 @@
   pack_array (&message, count);
   bytes_append (&message, events->data, events->length);
   bytes_clear (events);
-  config_link_send (feed->config.link, follower->host, &message); /* else it asks again */
+  config_link_send (feed->config.link, follower->host, &message); /* the follower retries */
 }
 
-/* Every object, in parts.  A part that gets lost makes the follower ask again. */
+/* Send every object, in parts.  The follower asks again when a part is lost. */
 static void
 send_copy (struct config_feed *feed, struct feed_follower *follower)
 {
@@ -131,7 +131,8 @@
   counter_add (feed->copies, 1);
 }
 
-/* The changes after what the follower was sent; a whole copy when they are no longer held. */
+/* Send the changes after the last one sent to the follower, or a snapshot when the history no
+ * longer holds them. */
 static void
 push (struct config_feed *feed, struct feed_follower *follower, int64_t now)
 {
@@ -202,8 +203,9 @@
   changed (listener, NULL);
 }
 
-/* One read serves every ask that came before it began.  An ask that comes during a read waits for
- * the next: the read may have been confirmed before the change that the follower must not miss. */
+/* One read serves every request that arrived before it began.  A request that arrives during a read
+ * waits for the next: the read may have been confirmed before a change that the follower must not
+ * miss. */
 static void
 begin_read (struct config_feed *feed, int64_t now)
 {
@@ -250,7 +252,7 @@
       if (!follower->read_covers)
         continue;
       follower->read_covers = false;
-      follower->asks = false; /* without a quorum it asks again, another voter perhaps */
+      follower->asks = false; /* without a quorum it retries, perhaps at another voter */
       if (status != STATUS_OK)
         continue;
       push (feed, follower, now);
@@ -281,8 +283,8 @@
   follower->held = held;
   follower->sent = held;
   follower->heard_at = now;
-  /* While an ask waits, its repeats do: the read under way may have begun before them, and asks
-   * that come faster than reads end must not put the answer off for good. */
+  /* A repeat does not replace a waiting request: the read in progress may have begun before the
+   * repeat, and repeats that arrive faster than reads end would postpone the answer for ever. */
   if (!follower->asks)
     {
       follower->nonce = nonce;
--- a/src/config_feed.h
+++ b/src/config_feed.h
@@ -1,4 +1,4 @@
-/* On a voter: sends the configuration's changes to the hosts that follow, revision by revision. */
+/* On a voter: sends the configuration's changes to followers, revision by revision. */
 #ifndef CONFIG_FEED_H
 #define CONFIG_FEED_H
 
@@ -12,7 +12,7 @@
 
 BEGIN_DECLS
 
-/* A follower not heard for this long is sent nothing more. */
+/* A follower that sent no request for this long is dropped and sent nothing more. */
 #define CONFIG_FEED_FORGET (15 * USEC_PER_SEC)
 
 struct config_feed;
--- a/src/config_follow.c
+++ b/src/config_follow.c
@@ -1,4 +1,4 @@
-/* Keeps the store of a host that does not vote up to a voter's. */
+/* Replicates a voter's store to a host that does not vote. */
 #include "config_follow.h"
 #include "container.h"
 #include "log.h"
@@ -7,8 +7,8 @@
 #include <xxhash.h>
 
 #define EVENTS_MAX 65536
-#define UNANSWERED_MAX 2 /* asks before the next voter is tried */
-#define ASKS_KEPT 16     /* an answer to an older ask comes too late to count */
+#define UNANSWERED_MAX 2 /* requests before the next voter is tried */
+#define ASKS_KEPT 16     /* an answer to an older request is ignored */
 
 struct config_follow
 {
@@ -18,12 +18,12 @@
   struct dump_source source;
   char voters[SETTINGS_VOTERS_MAX][RESOURCE_NAME_SIZE];
   uint32_t n_voters;
-  uint32_t voter; /* the one we ask */
+  uint32_t voter; /* index of the voter asked */
   uint32_t unanswered;
   uint64_t nonce;
-  int64_t asked_at[ASKS_KEPT]; /* by nonce */
-  uint64_t copy_revision;      /* of the whole copy that is arriving, */
-  uint32_t copy_next;          /* and its next part; 0 when none is */
+  int64_t asked_at[ASKS_KEPT]; /* by nonce modulo ASKS_KEPT */
+  uint64_t copy_revision;      /* of the snapshot being received */
+  uint32_t copy_next;          /* number of its next part; 0 when none is received */
   struct counter *asks;
 };
 
@@ -49,8 +49,8 @@
   counter_add (follow->asks, 1);
 }
 
-/* A voter that does not answer is down, cut off from us, or cut off from its quorum: the silence
- * is the only sign, and another voter may still confirm. */
+/* A voter that does not answer is down, unreachable, or without a quorum.  The missing answer is
+ * the only sign of all three, and another voter may still confirm. */
 static void
 due (struct timer *timer, int64_t now)
 {
@@ -68,7 +68,7 @@
              now + (settled ? CONFIG_CONFIRM_PERIOD : CONFIG_ASK_PERIOD));
 }
 
-/* A gap: a message was lost.  Ask again soon, with what we hold. */
+/* Handle a gap left by a lost message: send the next request early, with the revision held. */
 static void
 ask_soon (struct config_follow *follow, int64_t now)
 {
@@ -140,7 +140,7 @@
                status_message ());
 }
 
-/* What was confirmed is as new as the ask that the answer is to. */
+/* A confirmation counts from the time of the request that it answers. */
 static void
 take_current (struct config_follow *follow, struct pack_reader *body, int64_t now)
 {
@@ -176,7 +176,7 @@
 {
   struct config_follow *follow = CONTAINER_OF (handler, struct config_follow, handler);
 
-  /* Parts of two voters' copies must not mix, nor may another host hand out a configuration. */
+  /* Parts of two voters' snapshots must not mix, and only voters may send a configuration. */
   if (!is_voter (follow, from)
       || (type != CONFIG_CHANGES && strcmp (follow->voters[follow->voter], from) != 0))
     return;
--- a/src/config_follow.h
+++ b/src/config_follow.h
@@ -1,4 +1,4 @@
-/* On a host that does not vote: keeps its store up to a voter's, and has it confirmed. */
+/* On a host that does not vote: replicates a voter's store, and has a quorum confirm it. */
 #ifndef CONFIG_FOLLOW_H
 #define CONFIG_FOLLOW_H
 
@@ -22,15 +22,15 @@
   struct timer_service *timers;
   struct counters *counters;
   struct dump *dump;
-  const char *host; /* our name: spreads followers over the voters */
+  const char *host; /* this host's name; its hash spreads followers over voters */
 };
 
-/* Freed with `parent`.  NULL when memory is out. */
+/* Freed with `parent`.  NULL when out of memory. */
 struct config_follow *config_follow_new (void *parent,
                                          const struct config_follow_config *config,
                                          int64_t now);
 
-/* The voters to ask; at least one.  May be called again when they change. */
+/* Set the voters to ask; at least one.  May be called again when they change. */
 void config_follow_set_voters (struct config_follow *follow,
                                const struct settings_peer *voters,
                                uint32_t n_voters);
--- a/src/config_link.c
+++ b/src/config_link.c
@@ -9,8 +9,8 @@
   struct config_handler *handlers[CONFIG_MESSAGE_COUNT];
 };
 
-/* A message of another version or type is from another release: its sender repeats, or does
- * without. */
+/* A message of an unknown version or type comes from another release and is dropped; its sender
+ * repeats it or does without an answer. */
 static void
 received (
     struct peer_listener *listener, const char *from, const void *data, size_t length, int64_t now)
--- a/src/config_link.h
+++ b/src/config_link.h
@@ -1,4 +1,4 @@
-/* The messages of PEER_CHANNEL_CONFIG, sorted to the parts that handle them. */
+/* The messages of PEER_CHANNEL_CONFIG, and their dispatch to handlers. */
 #ifndef CONFIG_LINK_H
 #define CONFIG_LINK_H
 
@@ -16,7 +16,7 @@
   CONFIG_ASK = 0,     /* follower to voter: nonce, revision held */
   CONFIG_CHANGES = 1, /* voter to follower: events in order */
   CONFIG_PART = 2,    /* voter to follower: revision, part, last, events of all objects */
-  CONFIG_CURRENT = 3, /* voter to follower: nonce, the revision a quorum confirmed after the ask */
+  CONFIG_CURRENT = 3, /* voter to follower: nonce, revision confirmed after the request */
   CONFIG_AWAIT = 4,   /* any host to any: id, revision */
   CONFIG_REACHED = 5, /* its answer: id, revision in force */
   CONFIG_MESSAGE_COUNT
@@ -46,10 +46,10 @@
                          enum config_message type,
                          struct config_handler *handler);
 
-/* Begin a message; its body follows. */
+/* Write a message's header; the caller appends the body. */
 void config_link_begin (enum config_message type, struct bytes *out);
 
-/* Send and clear. */
+/* Send `message` and clear it. */
 enum status config_link_send (struct config_link *link, const char *host, struct bytes *message);
 
 END_DECLS
--- a/src/config_wait.c
+++ b/src/config_wait.c
@@ -1,4 +1,4 @@
-/* Waiting until a revision is in force on every reachable host, and answering those that wait. */
+/* Waits until a revision is in force on every reachable host, and answers hosts that wait. */
 #include "config_wait.h"
 #include "config_link.h"
 #include "container.h"
@@ -8,7 +8,7 @@
 #include <utlist.h>
 
 #define WAIT_REPEAT (USEC_PER_SEC / 4)
-#define WAIT_GRACE (USEC_PER_SEC / 2) /* for a host that liveness takes for gone */
+#define WAIT_GRACE (USEC_PER_SEC / 2) /* before an unreachable host is skipped */
 #define WAITS_MAX 256
 #define ASKERS_MAX 1024
 
@@ -20,7 +20,7 @@
   uint64_t revision;
 };
 
-/* One waiter of this host. */
+/* A wait started on this host. */
 struct wait_round
 {
   struct wait_round *prev;
@@ -34,7 +34,7 @@
   uint32_t n_hosts;
 };
 
-/* Another host that waits for ours. */
+/* Another host that waits for a revision on this one. */
 struct wait_asker
 {
   struct wait_asker *prev;
@@ -70,10 +70,10 @@
   config_link_begin (type, &message);
   pack_uint (&message, id);
   pack_uint (&message, revision);
-  config_link_send (wait->config.link, host, &message); /* repeated by who waits */
+  config_link_send (wait->config.link, host, &message); /* repeated by the waiting host */
 }
 
-/* Liveness as gossiped may be late; a host that answered is reachable whatever it says. */
+/* The gossiped state may be out of date; a host that answered is reachable whatever its state. */
 static bool
 gone (const struct config_wait *wait, const struct wait_host *host)
 {
@@ -175,7 +175,8 @@
   talloc_free (asker);
 }
 
-/* Answer at once, which says that we are reachable, and again when the revision is in force. */
+/* Answer at once, which shows that this host is reachable, and again when the revision is in
+ * force. */
 static void
 asked (struct config_wait *wait, const char *from, uint64_t id, uint64_t revision)
 {
@@ -188,7 +189,7 @@
     if (asker->id == id && strcmp (asker->host, from) == 0)
       return;
   if (wait->n_askers == ASKERS_MAX)
-    drop_asker (wait, wait->askers); /* it repeats */
+    drop_asker (wait, wait->askers); /* it asks again */
   asker = talloc_zero (wait, struct wait_asker);
   if (asker == NULL)
     return;
--- a/src/config_wait.h
+++ b/src/config_wait.h
@@ -1,7 +1,7 @@
-/* Waiting until a revision is in force on every reachable host.
+/* Waits until a revision is in force on every reachable host.
  *
- * The host that waits asks each host of the board directly and repeats until it answers, so that
- * the answer is as new as the message, whatever the gossip of revisions lags. */
+ * The waiting host asks each host of the board directly and repeats until it answers.  The answer
+ * is as new as the message and does not depend on gossiped revisions, which lag. */
 #ifndef CONFIG_WAIT_H
 #define CONFIG_WAIT_H
 
@@ -18,7 +18,7 @@
 
 struct config_wait_config
 {
-  struct config_link *link; /* NULL for a host on its own */
+  struct config_link *link; /* NULL for a single host */
   struct board *board;
   struct timer_service *timers;
 };
@@ -27,21 +27,21 @@
 {
   uint64_t revision;
   bool everywhere; /* in force on every reachable host */
-  uint32_t hosts;  /* that have it in force */
-  json_t *behind;  /* names of reachable hosts that have it not; borrowed */
+  uint32_t hosts;  /* number that have it in force */
+  json_t *behind;  /* names of reachable hosts that do not have it; borrowed */
   json_t *cut_off; /* names of hosts that are not reachable; borrowed */
 };
 
 struct config_waiter_ops
 {
-  /* Once, not during config_wait_start(). */
+  /* Called once, but not during config_wait_start(). */
   void (*done) (struct config_waiter *waiter, const struct config_wait_result *result, int64_t now);
 };
 
 struct config_waiter
 {
   const struct config_waiter_ops *ops;
-  void *owner; /* the waiting's own bookkeeping */
+  void *owner; /* private to config_wait.c */
 };
 
 struct config_wait *config_wait_new (void *parent, const struct config_wait_config *config);
