--- a/src/member.c
+++ b/src/member.c
@@ -1,4 +1,4 @@
-/* Membership: the view of all hosts, and what we say of ourselves. */
+/* Membership: the view of all hosts, and this host's own record. */
 #include "member.h"
 #include "log.h"
 #include "member_state.h"
@@ -10,24 +10,25 @@
 #define CHECK_SPAN (250 * USEC_PER_MSEC)
 #define TICK_SPAN (50 * USEC_PER_MSEC)
 
-/* A dead host, and one that left, stay in the view for this long: so long is their return a return,
- * and so long do the dead count when we ask whether we are the ones who are cut off. */
+/* Dead hosts and hosts that left stay in the view for this long.  Until then a host that returns is
+ * still known, and dead hosts count in the decision whether this host is cut off. */
 #define KEEP_DEAD (3600 * USEC_PER_SEC)
 
-/* A host behind the newest revision it heard of for this long says so (what is accepted must be in
- * force everywhere within 11 s). */
+/* A host that is behind the newest revision it heard of for this long sets its `behind` flag (an
+ * accepted change must be in force everywhere within 11 s). */
 #define BEHIND_AFTER (11 * USEC_PER_SEC)
 
-/* So does one whose revision no quorum confirmed for this long. */
+/* So does a host whose revision no quorum confirmed for this long. */
 #define UNCONFIRMED_AFTER (30 * USEC_PER_SEC)
 
-/* Load and revision are made news at most this often; probes carry the latest anyway. */
+/* Minimum interval between gossiped updates of load and revision: the larger of the fixed one and
+ * the one per known host.  Probes carry the latest values anyway. */
 #define VITALS_SPAN (5 * USEC_PER_SEC)
 #define VITALS_SPAN_PER_HOST (100 * USEC_PER_MSEC)
-#define LOAD_STEP 12 /* percent */
+#define LOAD_STEP 12 /* percentage points; a smaller change of load is not gossiped */
 
-/* A host that we suspect hears it from us this often, for its refutation must not hang on one
- * message: a suspicion that stays here reaches it in no other way. */
+/* A suspect is told of its suspicion this often, so that its refutation does not depend on one
+ * message.  A suspicion that is not gossiped reaches the suspect in no other way. */
 #define TELL_SUSPECT (1 * USEC_PER_SEC)
 
 static int
@@ -56,7 +57,7 @@
 
 /* ---- the view ---- */
 
-/* uthash's macros are long; the functions are not.
+/* uthash's macros expand to long code; the functions are short.
  * NOLINTBEGIN(readability-function-size) */
 struct member_host *
 member_find (const struct member *member, const char *name)
@@ -84,7 +85,8 @@
   text_copy_cut (host->name, sizeof host->name, name);
   text_copy_cut (entry->name, sizeof entry->name, name);
   host->state_at = now;
-  /* A place in the order of probes by chance, so that not all hosts probe a new one at once. */
+  /* The first probe comes at random in the next round, so that not all hosts probe a new one at
+   * once. */
   host->round = member->round;
   HASH_ADD_STR (member->hosts, name, host);
   return host;
@@ -125,8 +127,8 @@
   return count;
 }
 
-/* Time for a suspect to hear of it and to refute: news needs rounds that grow as the logarithm of
- * the hosts. */
+/* Time in us for a suspect to learn of its suspicion and refute it.  Gossip needs a number of
+ * rounds that grows with the logarithm of the number of hosts. */
 static int64_t
 suspicion_span (const struct member *member)
 {
@@ -170,7 +172,7 @@
     member_make_news (member, host, false);
 }
 
-/* ---- what we say of ourselves ---- */
+/* ---- this host's record ---- */
 
 static bool
 is_behind (struct member *member, int64_t now)
@@ -231,7 +233,7 @@
   member_make_vitals_news (member, member->self);
 }
 
-/* Our flags are our word about ourselves, and news at once. */
+/* Flags are part of this host's record; a change is gossiped at once. */
 static void
 tell_flags (struct member *member, int64_t now)
 {
@@ -247,7 +249,7 @@
   board_publish (member->board, BOARD_HOST_CHANGED, member->self->handle, now);
 }
 
-/* Less than half of the hosts that were here answer, so the fault is likely ours. */
+/* When fewer than half of the expected hosts answer, the fault is likely on this host's side. */
 static void
 look_around (struct member *member)
 {
--- a/src/member.h
+++ b/src/member.h
@@ -1,15 +1,17 @@
-/* Membership: which hosts there are, which of them live, and what each says of itself.
+/* Membership: which hosts exist, which of them are alive, and the record each publishes of itself.
  *
- * Each host probes one other a period and asks a few more to probe it before it suspects it, so
- * that one bad link condemns nobody; a suspect has time to refute; changes ride on the probes
- * (Das, Gupta, Motivala: SWIM, DSN 2002, with the self-targeted suspicion and the extra gossip of
- * Dadgar, Phillips, Currey: Lifeguard, DSN-W 2018).  Cost per host does not grow with the hosts.
+ * Each host probes one other host a period, and asks a few others to probe it before it suspects
+ * it, so that one bad link makes no host dead.  A suspect has time to refute.  Changes are
+ * piggybacked on probes (Das, Gupta, Motivala: SWIM, DSN 2002; sending a suspicion to the suspect
+ * itself and the extra gossip are of Dadgar, Phillips, Currey: Lifeguard, DSN-W 2018).  The cost
+ * per host does not grow with the number of hosts.
  *
- * A host is the only writer of its own record, ordered by (incarnation, sequence); others may only
- * add "suspect" and "dead" to the words they know.  Everything rests on answers to probes, never on
- * a socket's error, so a silent or one-way partition is noticed like a death.
+ * A host is the only writer of its own record, which is ordered by (incarnation, sequence); others
+ * may only mark the record they know "suspect" or "dead".  Liveness depends on answers to probes,
+ * never on socket errors, so a silent or one-way partition is detected like a crash.
  *
- * Pure over the board: time and the seed are passed in, messages go out through a vtable. */
+ * Membership acts on the board alone: time and the random seed are passed in, and messages are sent
+ * through a vtable. */
 #ifndef MEMBER_H
 #define MEMBER_H
 
@@ -23,7 +25,7 @@
 
 #define MEMBER_SEEDS_MAX 32
 
-/* A host to ask at the start. */
+/* A host to join through at the start. */
 struct member_seed
 {
   char name[RESOURCE_NAME_SIZE];
@@ -40,7 +42,7 @@
 {
   void (*send) (struct member_wire *wire, const char *host, const void *data, size_t length);
 
-  /* A host was learned, or says another address.  `public_key` is "" for none. */
+  /* Called when a host is learned or changes its address or key.  `public_key` is "" for none. */
   void (*set_address) (struct member_wire *wire,
                        const char *host,
                        const char *address,
@@ -50,10 +52,10 @@
 
 struct member_config
 {
-  struct board *board; /* our own entry is added; `self` is set */
+  struct board *board; /* this host's entry is added to it, and its `self` set */
   struct counters *counters;
   struct member_wire *wire;
-  struct board_host self; /* what we say of ourselves: names, addresses, key, voter, incarnation */
+  struct board_host self; /* this host's record: names, addresses, key, voter, incarnation */
   const struct member_seed *seeds;
   uint32_t n_seeds;
   uint64_t seed; /* of the random choices */
@@ -64,18 +66,19 @@
 
 struct member *member_new (void *parent, const struct member_config *config);
 
-/* A message of another host. */
+/* Handle a message from another host. */
 void member_receive (
     struct member *member, const char *from, const void *data, size_t length, int64_t now);
 
-/* Does what is due; when to call again. */
+/* Do what is due.  Return when to call again, in us. */
 int64_t member_tick (struct member *member, int64_t now);
 
-/* We are shutting down, or have ended; told to everyone at once and spread as news besides. */
+/* Announce that this host is shutting down, or has shut down: sent to every present host at once,
+ * and gossiped. */
 void member_leave (struct member *member, int64_t now);
 void member_left (struct member *member, int64_t now);
 
-/* We reach less than half of the hosts that should be there. */
+/* Whether this host reaches fewer than half of the hosts that it expects. */
 bool member_cut_off (const struct member *member);
 
 json_t *member_describe (const struct member *member, int64_t now);
--- a/src/member_control.c
+++ b/src/member_control.c
@@ -1,4 +1,4 @@
-/* Wires membership to PEER_CHANNEL_MEMBER, to the timers and to the peer port's addresses. */
+/* Connects membership to PEER_CHANNEL_MEMBER, the timers and the peer port's addresses. */
 #include "member_control.h"
 #include "container.h"
 #include <stddef.h>
@@ -20,7 +20,7 @@
 {
   struct member_control *control = (struct member_control *) wire;
 
-  /* A message that is not sent is as good as lost: the probe fails, the news goes again. */
+  /* An unsent message counts as lost: its probe fails, and its updates are sent again. */
   (void) control->port->ops->send (control->port, host, PEER_CHANNEL_MEMBER, data, length);
 }
 
--- a/src/member_news.c
+++ b/src/member_news.c
@@ -1,4 +1,4 @@
-/* What is sent: every message carries our vitals and as much news as it takes. */
+/* Sending: every message carries this host's vitals and as many updates as fit. */
 #include "member_state.h"
 #include "text.h"
 #include <math.h>
@@ -6,23 +6,23 @@
 #include <utlist.h>
 #include <xxhash.h>
 
-/* Of news in one message. */
+/* No update is added to a message once its items reach this size. */
 #define NEWS_BYTES 1200
 
-/* Of a view in one message. */
+/* A view is split into messages of about this size. */
 #define VIEW_BYTES (8u << 10)
 
-/* News of a state that is not spread yet goes out between probes too. */
+/* While state updates are queued, they are also sent between probes. */
 #define GOSSIP_SPAN (200 * USEC_PER_MSEC)
 #define GOSSIP_FANOUT 2
 
-#define STATE_COPIES 3  /* times the logarithm of the hosts */
-#define VITALS_COPIES 1 /* likewise; a lost one is made good by the next */
+#define STATE_COPIES 3  /* sent of an update, times the binary logarithm of the hosts */
+#define VITALS_COPIES 1 /* likewise; the next update replaces a lost one */
 
-/* Vitals of others in one message: their bytes stay the same however many hosts there are. */
+/* Vitals updates in one message; bounds their bytes whatever the number of hosts. */
 #define VITALS_ITEMS 4
 
-/* ---- the list of news ---- */
+/* ---- the queue of updates ---- */
 
 static uint32_t
 copies (const struct member *member, uint32_t factor)
@@ -42,7 +42,8 @@
 void
 member_make_news (struct member *member, struct member_host *host, bool record)
 {
-  /* A record that is still going round must not shrink to a state others cannot use. */
+  /* A record still being gossiped must not shrink to a state, which hosts that lack the record
+   * cannot use. */
   bool kept = host->state_news.waiting && host->state_news.record;
 
   host->state_news = (struct member_news){ .waiting = true, .record = record || kept, .sent = 0 };
@@ -81,7 +82,7 @@
   return host->state_news.waiting ? host->state_news.sent : host->vitals_news.sent;
 }
 
-/* News of a state first, and of these what was sent least. */
+/* State updates first, then those sent the fewest times. */
 static int
 by_need (const struct member_host *a, const struct member_host *b)
 {
@@ -90,7 +91,7 @@
   return (int) least_sent (a) - (int) least_sent (b);
 }
 
-/* utlist's macros are long; the function is not.
+/* utlist's macros expand to long code; the function is short.
  * NOLINTBEGIN(readability-function-size) */
 static void
 sort_news (struct member *member)
@@ -174,8 +175,8 @@
   bytes_clear (&out);
 }
 
-/* A host that we hold for suspect or dead hears it from us, so that it can refute (Lifeguard's
- * buddy system); without this a host that is back after a partition would not know. */
+/* Tell a host that is suspect or dead in this view of it, so that it can refute (Lifeguard's buddy
+ * system).  Otherwise a host that returns after a partition would not learn of it. */
 static uint32_t
 write_suspicion (const struct member *member, const char *name, struct bytes *out)
 {
@@ -203,7 +204,7 @@
         break;
       if (host->state_news.waiting)
         {
-          /* Nothing is told of a host on evidence that is ours alone. */
+          /* A suspicion on this host's evidence alone is not gossiped. */
           if (!host->local)
             write_state (member, host, host->state_news.record, out);
           count += host->local ? 0 : 1;
@@ -234,7 +235,7 @@
   text_copy_cut (head.about, sizeof head.about, about);
   bytes_init (&items, member);
   head.n_items = write_suspicion (member, host, &items);
-  /* Who joins has no view yet, and news that we have to tell is only ourselves. */
+  /* A joining host has no view yet; its only update is its own record. */
   if (kind == MEMBER_JOIN)
     {
       write_state (member, member->self, true, &items);
--- a/src/member_probe.c
+++ b/src/member_probe.c
@@ -1,4 +1,4 @@
-/* Who lives: probes, helpers, joining, and the way back after a partition. */
+/* Failure detection: probes, helpers, joining, and reconnecting after a partition. */
 #include "log.h"
 #include "member_state.h"
 #include "text.h"
@@ -7,16 +7,16 @@
 #define JOIN_SPAN_MIN (500 * USEC_PER_MSEC)
 #define JOIN_SPAN_MAX (10 * USEC_PER_SEC)
 
-/* One of the dead, or a seed that is not here, is tried this often; cut off, more often. */
+/* Interval between joins sent to a dead host and to an unknown seed; shorter while cut off. */
 #define REACH_SPAN (10 * USEC_PER_SEC)
 #define REACH_SPAN_CUT_OFF (1 * USEC_PER_SEC)
 
-/* News needs a moment: views that differ for this long have missed some. */
+/* Updates take time to spread; views that differ for this long have missed some. */
 #define DIFFERENT_FOR (10 * USEC_PER_SEC)
 #define SYNC_SPAN (30 * USEC_PER_SEC)
 #define SYNC_SPAN_CUT_OFF (1 * USEC_PER_SEC)
 
-/* ---- our own probe ---- */
+/* ---- probes of this host ---- */
 
 static struct member_host *
 pick_of_round (struct member *member)
@@ -33,8 +33,8 @@
   return picked;
 }
 
-/* Rounds in an order that is random and each host's own: each host is probed once a round, and
- * hosts do not all probe the same one at the same time. */
+/* Each host has its own random order in each round: every host is probed once a round, and hosts do
+ * not all probe the same one at the same time. */
 static struct member_host *
 next_host (struct member *member)
 {
@@ -70,7 +70,7 @@
   struct member_probe *probe = free_probe (member);
   struct member_host *host = probe != NULL ? next_host (member) : NULL;
 
-  /* A tenth either way, so that hosts do not probe in step. */
+  /* Jitter of a tenth either way, so that hosts do not probe in step. */
   member->next_probe =
       now + MEMBER_PERIOD * 9 / 10 + (int64_t) rng_below (&member->rng, MEMBER_PERIOD / 5);
   if (host == NULL)
@@ -108,7 +108,8 @@
   if (host == NULL)
     return;
   member_suspect (member, host, probe->helper_heard, now);
-  /* Nobody answered, not even a helper: likely we are cut off, and want to know soon. */
+  /* Not even a helper answered: this host is likely cut off, and probes again at once to find
+   * out. */
   if (!probe->helper_heard)
     member->next_probe = now;
 }
@@ -167,7 +168,7 @@
       relay_end (member, &member->relays[i], MEMBER_NACK);
 }
 
-/* ---- joining, and the way back ---- */
+/* ---- joining and reconnecting ---- */
 
 static void
 join_step (struct member *member, int64_t now)
@@ -210,8 +211,8 @@
   return NULL;
 }
 
-/* Two halves that took each other for dead find together again from any one message between them:
- * it carries the suspicion, its receiver refutes, and the views are compared. */
+/* Two sides of a partition that hold each other for dead merge after any one message between them:
+ * it carries the suspicion, its receiver refutes it, and the views are compared. */
 static void
 reach_step (struct member *member, int64_t now)
 {
@@ -221,7 +222,7 @@
     return;
   member->next_reach = now + (member->cut_off ? REACH_SPAN_CUT_OFF : REACH_SPAN) * 9 / 10
                        + (int64_t) rng_below (&member->rng, USEC_PER_SEC / 5);
-  /* Who started anew meanwhile may not know us, nor where to answer: the join carries that. */
+  /* A host that restarted meanwhile may not know this one or its address; a join carries both. */
   name = absent_host (member);
   if (name != NULL)
     member_send (member, name, MEMBER_JOIN, 0, "");
@@ -260,7 +261,7 @@
   member_send_view (member, from, MEMBER_SYNC, false);
 }
 
-/* The host answered, whichever message of ours: no probe of it may end in a suspicion now. */
+/* The host answered some message of this one, so no probe of it may end in a suspicion. */
 static void
 clear_probes (struct member *member, const char *host)
 {
@@ -275,7 +276,7 @@
   const struct member_probe *probe = find_probe (member, head->number);
 
   clear_probes (member, from);
-  /* From a helper that reached the host. */
+  /* Sent by a helper that reached the host. */
   if (probe != NULL && strcmp (head->about, probe->host) == 0)
     clear_probes (member, head->about);
   for (int i = 0; i < MEMBER_RELAYS; i++)
@@ -342,7 +343,7 @@
     }
 }
 
-/* With `apply` false only the reading is tried, so that a message that is cut changes nothing. */
+/* With `apply` false the items are only decoded, so that a truncated message changes nothing. */
 static bool
 read_items (struct member *member,
             const char *from,
--- a/src/member_said.c
+++ b/src/member_said.c
@@ -1,4 +1,4 @@
-/* What other hosts say of the members, taken into the view. */
+/* Applies what other hosts report about members to the view. */
 #include "log.h"
 #include "member_state.h"
 #include "text.h"
@@ -15,8 +15,8 @@
   return ranks[state];
 }
 
-/* Words about ourselves.  A suspicion is refuted with a higher sequence; words of a later
- * incarnation are of a process whose clock was ahead of ours, and we go past it. */
+/* Handle an item about this host.  A suspicion is refuted with a higher sequence.  A later
+ * incarnation is of a process whose clock was ahead of this one's; this host goes one past it. */
 static void
 apply_self (struct member *member, const char *from, const struct member_item *item, int64_t now)
 {
@@ -35,7 +35,7 @@
   if (said->incarnation < entry->incarnation || rank (said->state) == 0
       || rank (entry->state) >= rank (said->state))
     return;
-  /* Refuted already, but the news of it did not reach who says this, and has gone its round. */
+  /* Already refuted, but the refutation did not reach the sender and is no longer gossiped. */
   if (item->sequence < member->self->sequence)
     {
       member_send_record (member, from, member->self);
@@ -78,13 +78,13 @@
     return said->incarnation > entry->incarnation;
   if (item->sequence != host->sequence)
     return item->sequence > host->sequence;
-  /* What we alone held against the host gives way to anyone who reaches it. */
+  /* A suspicion on this host's evidence alone gives way to any report that the host is alive. */
   if (host->local && rank (said->state) == 0)
     return true;
   return rank (said->state) > rank (entry->state);
 }
 
-/* A record of a host that is new here. */
+/* Handle an item about an unknown host. */
 static void
 apply_unknown (struct member *member, const char *from, const struct member_item *item, int64_t now)
 {
@@ -130,15 +130,15 @@
   entry = member_board (member, host);
   if (!is_news (member, host, item))
     {
-      /* Who tells us what we know needs no copy from us (Demers et al., Epidemic algorithms, 1987:
-       * feedback). */
+      /* A sender that knows the state already needs no copy, so this counts as one sent (Demers et
+       * al., Epidemic algorithms, 1987: feedback). */
       if (item->sequence == host->sequence && item->host.state == entry->state)
         host->state_news.sent++;
       return;
     }
   if (item->host.incarnation != entry->incarnation)
     {
-      /* A restarted process may have other addresses. */
+      /* A restarted process may have other addresses, so its record is requested. */
       if (item->form != MEMBER_FORM_RECORD)
         {
           member_send (member, from, MEMBER_WANT, 0, host->name);
--- a/src/member_state.h
+++ b/src/member_state.h
@@ -1,6 +1,5 @@
-/* Membership's own structures, shared by its parts: member.c (the view),
- * member_said.c (what others say of it), member_news.c (what is sent on, and to whom),
- * member_probe.c (who lives). */
+/* Internal structures of membership, shared by member.c (the view), member_said.c (reports of other
+ * hosts), member_news.c (gossip) and member_probe.c (failure detection). */
 #ifndef MEMBER_STATE_H
 #define MEMBER_STATE_H
 
@@ -11,21 +10,22 @@
 
 #define MEMBER_PERIOD (500 * USEC_PER_MSEC)
 
-/* Of a direct probe, before others are asked to try.  Far above a round trip between regions. */
+/* Timeout of a direct probe, after which helpers are asked to probe.  Far above a round trip
+ * between regions. */
 #define MEMBER_DIRECT (300 * USEC_PER_MSEC)
 
-/* Of a probe in all, before the host is suspected. */
+/* Timeout of a whole probe, after which the host is suspected. */
 #define MEMBER_INDIRECT (900 * USEC_PER_MSEC)
 
 #define MEMBER_HELPERS 3
-#define MEMBER_PROBES 4 /* at one time */
+#define MEMBER_PROBES 4 /* concurrent */
 #define MEMBER_RELAYS 64
 
-/* News waiting to be sent on with a host's name.  `sent` counts the copies. */
+/* An update about a host that is queued to be gossiped.  `sent` counts the copies. */
 struct member_news
 {
   bool waiting;
-  bool record; /* the whole record, for who does not know the host */
+  bool record; /* the whole record, for receivers that do not know the host */
   uint32_t sent;
 };
 
@@ -36,23 +36,23 @@
   struct handle handle; /* on the board, where state and incarnation are */
   uint64_t sequence;
   uint64_t beat;
-  int64_t state_at;      /* when its state changed here */
-  int64_t suspect_until; /* a suspect is dead then */
-  int64_t tell_at;       /* tell a suspect of ours again that it is one */
-  uint64_t round;        /* of our probes, in which it had its turn or answered us */
-  bool local;            /* suspect or dead on our evidence alone, told to nobody */
-  bool accused;          /* by us, with a helper's evidence: its death is for us to tell */
+  int64_t state_at;      /* when its state changed in this view */
+  int64_t suspect_until; /* when a suspect becomes dead */
+  int64_t tell_at;       /* when to tell the suspect again that it is one */
+  uint64_t round;        /* probe round in which it was probed last, or added */
+  bool local;            /* suspect or dead on this host's evidence alone; not gossiped */
+  bool accused;          /* by this host with a helper's evidence, so this host gossips its death */
   struct member_news state_news;
   struct member_news vitals_news;
-  bool in_news; /* on the list of who has news */
+  bool in_news; /* in the list of hosts with queued updates */
   struct member_host *prev;
   struct member_host *next;
 };
 
-/* A probe that we make for another host. */
+/* A probe made for another host. */
 struct member_relay
 {
-  uint64_t number; /* of our own ping, 0 for a free place */
+  uint64_t number; /* of this host's ping, 0 for a free slot */
   uint64_t their_number;
   char asker[RESOURCE_NAME_SIZE];
   char about[RESOURCE_NAME_SIZE];
@@ -61,7 +61,7 @@
 
 struct member_probe
 {
-  uint64_t number; /* 0 for a free place */
+  uint64_t number; /* 0 for a free slot */
   char host[RESOURCE_NAME_SIZE];
   bool indirect;
   bool helper_heard;
@@ -75,14 +75,14 @@
   struct rng rng;
   struct member_host *hosts;
   struct member_host *self;
-  struct member_host *news; /* hosts with news */
+  struct member_host *news; /* hosts with queued updates */
   struct member_seed seeds[MEMBER_SEEDS_MAX];
   uint32_t n_seeds;
-  struct member_vitals vitals; /* ours, as last sent */
-  struct member_vitals told;   /* ours, as last made news */
+  struct member_vitals vitals; /* this host's, as sent in every message */
+  struct member_vitals told;   /* this host's, as last gossiped */
   int64_t told_at;
-  uint64_t newest_revision; /* any host has */
-  int64_t behind_since;     /* 0: we have the newest */
+  uint64_t newest_revision; /* of any host */
+  int64_t behind_since;     /* 0 while this host has the newest */
   uint64_t next_number;
   struct member_probe probes[MEMBER_PROBES];
   uint64_t round;
@@ -92,7 +92,7 @@
   int64_t next_check;
   int64_t next_join;
   int64_t join_span;
-  int64_t next_reach; /* to a dead host or a seed */
+  int64_t next_reach; /* join to a dead host or an unknown seed */
   int64_t differs_since;
   int64_t synced_at;
   bool cut_off;
@@ -115,11 +115,12 @@
                        enum host_state state,
                        int64_t now);
 
-/* A probe failed.  `told`: a helper lives and did not reach the host either, so it is told to
- * others; else the fault may be ours, and the suspicion stays here. */
+/* Suspect a host after a failed probe.  `told`: a helper answered and did not reach the host
+ * either, so the suspicion is gossiped; else the fault may be this host's, and the suspicion is
+ * kept local. */
 void member_suspect (struct member *member, struct member_host *host, bool told, int64_t now);
 
-/* Bring our own vitals up to date. */
+/* Update this host's vitals. */
 void member_refresh_vitals (struct member *member, int64_t now);
 
 /* member_said.c */
@@ -128,7 +129,7 @@
                    const struct member_item *item,
                    int64_t now);
 
-/* True when they were newer than what was known. */
+/* Return true when they were newer than the known ones. */
 bool member_take_vitals (struct member *member,
                          const char *name,
                          const struct member_vitals *vitals);
@@ -148,13 +149,13 @@
 void member_make_vitals_news (struct member *member, struct member_host *host);
 void member_forget_news (struct member *member, struct member_host *host);
 
-/* Our own state to everyone, once. */
+/* Send this host's state to every present host, once. */
 void member_tell_all (struct member *member);
 
-/* Equal for equal views: who is here, with which incarnation and flags. */
+/* Equal for equal views: the present hosts with their incarnations and flags. */
 uint32_t member_digest (const struct member *member);
 
-/* One of the hosts alive or leaving by chance, but not the one named; NULL when there is none. */
+/* A random host that is alive or leaving, other than this one and `not_this`; NULL for none. */
 const struct member_host *member_pick (struct member *member, const char *not_this);
 void member_gossip (struct member *member, int64_t now);
 
--- a/src/member_wire.h
+++ b/src/member_wire.h
@@ -1,4 +1,4 @@
-/* The messages of membership: typed, encoded and decoded with limits. */
+/* The messages of membership, encoded and decoded with limits. */
 #ifndef MEMBER_WIRE_H
 #define MEMBER_WIRE_H
 
@@ -16,11 +16,11 @@
   X (PING, "ping")                                                                                 \
   X (ACK, "ack")                                                                                   \
   X (PROBE_FOR, "probe-for") /* probe `about` for the sender */                                    \
-  X (NACK, "nack")           /* `about` did not answer in time; the helper lives */                \
-  X (GOSSIP, "gossip")       /* news alone */                                                      \
-  X (WANT, "want")           /* the whole record of `about` is asked for */                        \
-  X (JOIN, "join")           /* a host without a view asks for one */                              \
-  X (SYNC, "sync")           /* views differ: the receiver's is asked for */
+  X (NACK, "nack")           /* `about` did not answer in time; the helper is alive */             \
+  X (GOSSIP, "gossip")       /* updates only */                                                    \
+  X (WANT, "want")           /* requests the whole record of `about` */                            \
+  X (JOIN, "join")           /* requests a view; carries the sender's record */                    \
+  X (SYNC, "sync")           /* the views differ; requests the receiver's */
 
 enum member_kind
 {
@@ -30,7 +30,7 @@
       MEMBER_KIND_COUNT
 };
 
-/* What changes often and is only the latest word, never evidence of life. */
+/* Values that change often.  Only the latest count, and they are no evidence of liveness. */
 struct member_vitals
 {
   uint64_t incarnation;
@@ -42,9 +42,9 @@
 struct member_head
 {
   enum member_kind kind;
-  uint64_t number;                /* of a probe; comes back in ACK and NACK */
-  char about[RESOURCE_NAME_SIZE]; /* "" where there is none */
-  struct member_vitals vitals;    /* the sender's */
+  uint64_t number;                /* of a probe; echoed in ACK and NACK */
+  char about[RESOURCE_NAME_SIZE]; /* "" for none */
+  struct member_vitals vitals;    /* of the sender */
   uint32_t digest;                /* of the sender's view */
   uint32_t n_items;
 };
@@ -60,7 +60,7 @@
 struct member_item
 {
   enum member_form form;
-  uint64_t sequence; /* not of vitals */
+  uint64_t sequence; /* unused with vitals */
   struct board_host host;
   struct member_vitals vitals;
 };
