--- a/src/subscriber.c
+++ b/src/subscriber.c
@@ -1,4 +1,4 @@
-/* An entry host's view of the rest: the controllers it asks, and what others ask of it. */
+/* An entry host's view of the system: requests to controllers, and queries of other modules. */
 #include "container.h"
 #include "log.h"
 #include "subscriber_private.h"
@@ -10,8 +10,8 @@
 
 #define TICK_PERIOD (50 * USEC_PER_MSEC)
 
-/* A controller learned from another one is forgotten when neither it nor word of it came for so
- * long. */
+/* A controller learned from another one is removed when it was neither heard from nor named by
+ * another for this long. */
 #define FORGET_AFTER (30 * USEC_PER_SEC)
 
 /* ---- controllers ---- */
@@ -33,7 +33,7 @@
   if (controller != NULL || self->n_controllers == SYNC_CONTROLLERS_MAX)
     return controller;
   controller = &self->controllers[self->n_controllers++];
-  /* An answer to an ask of an earlier start of ours must match none of this one. */
+  /* An answer to a request of an earlier incarnation of this host must match none of this one. */
   *controller = (struct known_controller){
     .named_at = now,
     .last_nonce = self->self.incarnation,
@@ -186,7 +186,7 @@
     }
 }
 
-/* ---- what others ask ---- */
+/* ---- queries ---- */
 
 const struct routing *
 subscriber_routing (const struct subscriber *self)
@@ -255,8 +255,8 @@
   return false;
 }
 
-/* A view without some hosts is one that others do not share: owners would differ from host to host.
- */
+/* A view that lacks some hosts differs from those of other hosts, so hosts would compute different
+ * owners. */
 static void
 note_full (struct subscriber *self)
 {
@@ -271,8 +271,8 @@
              (int) self->view.n, "left_out", (int) self->view.left_out);
 }
 
-/* A host that is cut off from all controllers goes by what it heard last: the other entry hosts may
- * still be there, and hosts that each took themselves for the only one would collide at targets. */
+/* A host that is cut off from all controllers uses the last lists it received: the other entry
+ * hosts may still be up, and hosts that each counted only themselves would collide at targets. */
 static void
 merge_lists (struct subscriber *self)
 {
--- a/src/subscriber.h
+++ b/src/subscriber.h
@@ -1,5 +1,5 @@
-/* An entry host's view of the rest: the configuration in force, the targets, the other entry hosts,
- * and since when a quorum last confirmed all that. */
+/* An entry host's view of the system: the configuration in force, the targets, the other entry
+ * hosts, and the time of the last confirmation by a quorum. */
 #ifndef SUBSCRIBER_H
 #define SUBSCRIBER_H
 
@@ -15,14 +15,14 @@
 
 BEGIN_DECLS
 
-/* Each controller is asked this often: a change that a push did not bring is known within it, and
- * the right to serve keyed requests is renewed many times before it ends. */
+/* Interval between requests to each controller.  A change whose push was lost is known within it,
+ * and the right to serve keyed requests is renewed many times before it expires. */
 #define SYNC_ASK_PERIOD (500 * USEC_PER_MSEC)
 
-/* Until the first answer. */
+/* The interval until the first answer. */
 #define SYNC_FIRST_ASK_PERIOD (100 * USEC_PER_MSEC)
 
-/* A controller or entry host not heard for so long counts as not in touch. */
+/* A controller or entry host not heard from for this long counts as not in touch. */
 #define SYNC_TOUCH (2 * USEC_PER_SEC)
 
 struct subscriber;
@@ -34,7 +34,7 @@
 
 struct subscriber_listener_ops
 {
-  /* A newer routing came into force; the one before lives until the call ends. */
+  /* A newer routing came into force; the previous one is valid until the call returns. */
   void (*routing) (struct subscriber_listener *listener,
                    const struct routing *routing,
                    int64_t now);
@@ -53,15 +53,15 @@
   struct counters *counters;
   struct routing_codec *codec;
   struct subscriber_listener *listener;
-  int64_t target_lease; /* a target not heard for so long gets no new work */
-  int64_t ready_for;    /* after a confirmation this host counts as ready for so long */
+  int64_t target_lease; /* in us; a target not heard from for this long gets no new work */
+  int64_t ready_for;    /* in us; this host is ready for this long after a confirmation */
   int64_t (*boottime) (void);
 };
 
-/* Freed with `parent`.  NULL when memory is out. */
+/* Freed with `parent`.  NULL when out of memory. */
 struct subscriber *subscriber_new (void *parent, const struct subscriber_config *config);
 
-/* The seeds changed. */
+/* Replace the seeds. */
 void subscriber_set_seeds (struct subscriber *subscriber,
                            const char (*seeds)[ROUTING_NAME_SIZE],
                            uint32_t n_seeds);
@@ -70,26 +70,26 @@
 const struct routing *subscriber_routing (const struct subscriber *subscriber);
 struct registry *subscriber_registry (const struct subscriber *subscriber);
 
-/* How long ago the newest confirmed question was asked, on the clock that goes on in suspension;
+/* Time in us since the newest confirmed request was sent, on a clock that includes system suspend;
  * USEC_NEVER when none was confirmed since the start. */
 int64_t subscriber_age (const struct subscriber *subscriber);
 
-/* May clients be sent here? */
+/* Whether clients may be sent to this host. */
 bool subscriber_ready (const struct subscriber *subscriber);
 
 const char *subscriber_domain (const struct subscriber *subscriber);
 bool subscriber_is_self (const struct subscriber *subscriber, const struct sync_host *host);
 
-/* We are shutting down: tell the controllers now. */
+/* Mark this host as leaving and tell the controllers at once. */
 void subscriber_leave (struct subscriber *subscriber, int64_t now);
 
-/* The controllers in touch, by name; the count.  The names hold until the next message or timer is
- * handled. */
+/* Store the names of the controllers in touch in `out` and return their count.  The names are valid
+ * until the next message or timer is handled. */
 uint32_t subscriber_controllers (const struct subscriber *subscriber,
                                  const char *out[SYNC_HOSTS_MAX]);
 
-/* The entry hosts that may share work, ourselves among them unless we leave.  Holds until the next
- * message or timer is handled. */
+/* The entry hosts that may share work, including this one unless it is leaving.  Valid until the
+ * next message or timer is handled. */
 const struct host_view *subscriber_hosts (struct subscriber *subscriber);
 
 END_DECLS
--- a/src/subscriber_private.h
+++ b/src/subscriber_private.h
@@ -1,17 +1,17 @@
-/* What the files of an entry host's view of the rest share. */
+/* Declarations shared by subscriber.c and subscriber_state.c. */
 #ifndef SUBSCRIBER_PRIVATE_H
 #define SUBSCRIBER_PRIVATE_H
 
 #include "host_view.h"
 #include "subscriber.h"
 
-/* Asks that may still be answered: the next one goes out before a slow answer is here. */
+/* Requests whose answers still count; the next request is sent before a slow answer arrives. */
 #define ASKS_KEPT 8
 
 struct ask_record
 {
   uint64_t nonce;
-  int64_t at; /* on the clock that goes on in suspension */
+  int64_t at; /* on a clock that includes system suspend */
 };
 
 struct known_controller
@@ -22,13 +22,13 @@
   uint64_t targets; /* revisions held */
   uint64_t hosts;
   uint64_t last_nonce;
-  struct ask_record asks[ASKS_KEPT]; /* the last ones */
+  struct ask_record asks[ASKS_KEPT]; /* the latest, by nonce modulo ASKS_KEPT */
   int64_t next_ask;
   int64_t heard;    /* 0: never */
-  int64_t named_at; /* by another controller */
+  int64_t named_at; /* last named by another controller */
   bool in_touch;
   uint32_t n_list;
-  struct sync_host *list; /* entry hosts, as it names them */
+  struct sync_host *list; /* entry hosts that it listed last */
 };
 
 struct subscriber
@@ -44,7 +44,7 @@
   uint32_t n_controllers;
   struct sync_host self;
   struct host_view view;
-  bool view_stale; /* to be put together anew; its pointers may be to lists that are gone */
+  bool view_stale; /* must be merged again; its pointers may be to freed lists */
   bool view_was_full;
   bool confirmed;
   bool was_ready;
@@ -60,7 +60,7 @@
   struct counter *version_gauge;
 };
 
-/* subscriber.c: the controllers known */
+/* subscriber.c: known controllers */
 struct known_controller *subscriber_find_controller (struct subscriber *self, const char *name);
 struct known_controller *subscriber_add_controller (struct subscriber *self,
                                                     const char *name,
@@ -70,11 +70,11 @@
                             bool in_touch,
                             int64_t now);
 
-/* subscriber_state.c: what a controller's state brings */
+/* subscriber_state.c: handling of controllers' states */
 extern const struct peer_listener_ops subscriber_listener_ops;
 void subscriber_note_ready (struct subscriber *self);
 
-/* The targets whose record changed after that revision, to the listener. */
+/* Report the targets whose record changed after revision `since` to the listener. */
 void subscriber_tell_changed (struct subscriber *self, uint64_t since, int64_t now);
 
 #endif
--- a/src/subscriber_state.c
+++ b/src/subscriber_state.c
@@ -1,5 +1,5 @@
-/* The states that controllers send: targets, entry hosts, controllers, the document, and how new it
- * is. */
+/* Handles the states that controllers send: targets, entry hosts, controllers, the document, and
+ * its confirmation. */
 #include "container.h"
 #include "log.h"
 #include "subscriber_private.h"
@@ -22,7 +22,7 @@
   self->config.listener->ops->target (self->config.listener, target, now);
 }
 
-/* What a word of one target did to the others at its address shows in their revisions. */
+/* A record of one target may change others at its address; their revisions show which. */
 void
 subscriber_tell_changed (struct subscriber *self, uint64_t since, int64_t now)
 {
@@ -61,7 +61,7 @@
   struct registry_target *target = registry_find_short (self->registry, renewal->id_hash);
   struct registry_word word;
 
-  /* Its whole word, or that of this start, is not here yet. */
+  /* The target's full record, or that of this incarnation, has not arrived yet. */
   if (target == NULL || renewal->started > target->word.started)
     return;
   word = target->word;
@@ -123,7 +123,7 @@
     }
 }
 
-/* A confirmation counts from when its question was asked: one that was held up grants nothing. */
+/* A confirmation counts from when its request was sent, so a delayed one extends nothing. */
 static void
 take_confirmation (struct subscriber *self,
                    const struct known_controller *controller,
--- a/src/sync.h
+++ b/src/sync.h
@@ -1,8 +1,8 @@
 /* Messages between entry hosts and controllers, and among controllers.
  *
- * An entry host asks every controller again and again; each answer carries what the asker lacks
- * and, once a quorum has confirmed it, how new the configuration is.  What changes is pushed at
- * once in the same form. */
+ * An entry host polls every controller.  Each answer carries what the entry host lacks and, once a
+ * quorum has confirmed it, that the configuration is the newest.  Changes are pushed at once in the
+ * same format. */
 #ifndef SYNC_H
 #define SYNC_H
 
@@ -16,7 +16,7 @@
 
 BEGIN_DECLS
 
-/* What one fleet may have.  Twice 360 entry hosts are there while all are replaced. */
+/* Limits of one fleet.  While all of 360 entry hosts are replaced, twice as many exist. */
 #define SYNC_HOSTS_MAX 1024
 #define SYNC_CONTROLLERS_MAX 16
 #define SYNC_TARGETS_MAX 16384
@@ -25,9 +25,9 @@
 /* Written into messages: never renumbered. */
 enum sync_message
 {
-  SYNC_ASK = 0,    /* entry host to controller */
-  SYNC_STATE = 1,  /* controller to entry host */
-  SYNC_TARGET = 2, /* controller to controller: a target leaves, and must be known elsewhere too */
+  SYNC_ASK = 0,      /* entry host to controller */
+  SYNC_STATE = 1,    /* controller to entry host */
+  SYNC_TARGET = 2,   /* controller to controller: a leaving target, which others must know too */
   SYNC_RECEIVED = 3, /* its acknowledgement */
   SYNC_MESSAGE_COUNT
 };
@@ -48,19 +48,19 @@
 {
   uint64_t nonce;
   uint64_t document;   /* version held */
-  uint64_t controller; /* incarnation that the revisions below are of */
+  uint64_t controller; /* incarnation that numbered the revisions below */
   uint64_t targets;    /* revision of its registry held */
   uint64_t hosts;      /* revision of its list of entry hosts held */
   struct sync_host self;
 };
 
-/* The head of a state.  Behind it: the document where `has_document`, target words, renewals, entry
- * hosts where `has_hosts`, controllers. */
+/* The header of a state.  It is followed by the document if `has_document`, target records,
+ * renewals, entry hosts if `has_hosts`, and controllers. */
 struct sync_state
 {
   uint64_t controller;
-  uint64_t nonce;    /* of the ask it answers; 0: pushed */
-  bool confirmed;    /* a quorum said after the ask that `document` is the newest version */
+  uint64_t nonce;    /* of the request it answers; 0 when pushed */
+  bool confirmed;    /* a quorum confirmed after the request that `document` is the newest */
   uint64_t document; /* version that this controller holds */
   uint64_t targets;  /* revision after this message */
   uint64_t hosts;
@@ -68,13 +68,13 @@
   bool has_hosts;
 };
 
-/* A target renewed, in short: its identity's hash. */
+/* A renewal of a target in short form, with the hash of its id. */
 struct sync_renewal
 {
   uint64_t id_hash;
-  uint64_t started; /* the incarnation that the sequence is of */
+  uint64_t started; /* incarnation that the sequence belongs to */
   uint64_t sequence;
-  uint64_t age;
+  uint64_t age; /* in us */
 };
 
 void sync_begin (enum sync_message type, struct bytes *out);
