--- a/tests/sync_harness.h
+++ b/tests/sync_harness.h
@@ -1,4 +1,4 @@
-// The messages between controllers and entry hosts, with the peers played by the test.
+// The messages between controllers and entry hosts, with the peers simulated by the test.
 #ifndef SYNC_HARNESS_H
 #define SYNC_HARNESS_H
 
@@ -11,7 +11,7 @@
 #include <tuple>
 #include <vector>
 
-// A peer port that keeps what is sent and lets the test deliver messages.
+// A peer port that records what is sent and lets the test deliver messages.
 struct played_port
 {
   struct peer_port port;
@@ -54,14 +54,14 @@
   }
 };
 
-// What a controller would tell an entry host.
+// The content of a state that a controller sends to an entry host.
 struct told_state
 {
   struct sync_state head = {};
   std::string document;
-  std::vector<std::pair<struct registry_word, int64_t>> targets; // with their ages
+  std::vector<std::pair<struct registry_word, int64_t>> targets; // with their ages in us
   std::vector<std::string> hosts;                                // names of entry hosts
-  std::map<std::string, std::string> domains;                    // of hosts that are not in "a"
+  std::map<std::string, std::string> domains; // of hosts, "a" for those not listed
   std::vector<std::string> controllers;
 };
 
@@ -101,7 +101,7 @@
     pack_text (out, name.c_str ());
 }
 
-// The newest question that was sent to a controller.
+// The latest request that was sent to a controller.
 inline bool
 last_ask (const played_port &port, const std::string &controller, struct sync_ask *out)
 {
--- a/tests/unit_config.cc
+++ b/tests/unit_config.cc
@@ -1,4 +1,4 @@
-// The configuration in force: at start, on voters, on followers, cut off and back.
+// The configuration in force: at start, on voters, on followers, while cut off and afterwards.
 #include "unit_config_nodes.h"
 
 namespace
@@ -10,7 +10,7 @@
     "{\"deadlineMs\":900,\"stages\":[{\"name\":\"g\",\"kind\":\"generate\","
     "\"pool\":\"gen\"}]}";
 
-TEST_F (Config, AChangeComesIntoForceWithItsHandlesAndIsPublished)
+TEST_F (Config, ChangeSetsHandlesAndIsPublished)
 {
   struct node &v1 = add_node ("v1", true);
 
@@ -33,8 +33,8 @@
   EXPECT_EQ (board_find_pipeline (v1.board, "chat", nullptr), nullptr);
 }
 
-// A voter restarts and replays its log, while the others have gone on.  What it replays was in
-// force once and is so no longer: nothing may come into force before a quorum confirms.
+// A voter restarts and replays its log, while the others have gone on.  The replayed revisions are
+// no longer in force, so nothing may come into force before a quorum confirms.
 TEST_F (Config, ARestartedVoterServesNothingBeforeAQuorumConfirms)
 {
   struct node &v1 = add_node ("v1", true);
@@ -53,9 +53,8 @@
   EXPECT_EQ (v1.revisions, std::vector<uint64_t> ({ 2 }));
 }
 
-// All other voters are lost.  The host goes on serving what it has, and says that nobody confirms
-// it any more.
-TEST_F (Config, WithoutAQuorumItServesOnAndSaysSo)
+// All other voters are lost.  The host goes on serving what it has, and reports it as unconfirmed.
+TEST_F (Config, WithoutAQuorumItServesOnUnconfirmed)
 {
   struct node &v1 = add_node ("v1", true);
 
@@ -90,10 +89,10 @@
   EXPECT_EQ (v1.board->revision, 2u);
 }
 
-// A follower is cut off while an operator's changes go on, more than the voters' history holds.
-// It serves on meanwhile, marked; back again it takes a whole copy, deleted objects go, and at no
-// moment does its revision go back.
-TEST_F (Config, AFollowerCutOffServesOnMarkedAndCatchesUpWhenBack)
+// A follower is cut off during more changes than the voters' history holds.  It goes on serving as
+// unconfirmed; once reconnected it receives a snapshot, deleted objects are removed, and its
+// revision never decreases.
+TEST_F (Config, CutOffFollowerServesOnUnconfirmedAndCatchesUp)
 {
   add_node ("v1", true, 8);
   add_node ("v2", true, 8);
@@ -121,8 +120,8 @@
     EXPECT_GE (f.revisions[i], f.revisions[i - 1]);
 }
 
-// Some of the messages with changes are lost.  A gap must not be skipped over: the follower would
-// run a mix of revisions that was never accepted.
+// Some messages with changes are lost.  A follower that skipped the gap would run a mix of
+// revisions that was never accepted.
 TEST_F (Config, ALostMessageLeavesNoGap)
 {
   add_node ("v1", true);
@@ -144,8 +143,8 @@
 }
 
 // The follower's voter is cut off from the quorum but not from the follower.  It answers nothing
-// that it cannot confirm, and the follower turns to the other voter.
-TEST_F (Config, AFollowerLeavesAVoterThatHasNoQuorum)
+// that it cannot confirm, and the follower switches to the other voter.
+TEST_F (Config, FollowerSwitchesFromVoterWithoutQuorum)
 {
   struct node &v1 = add_node ("v1", true);
   struct node &v2 = add_node ("v2", true);
@@ -164,9 +163,9 @@
     }
 }
 
-// A follower restarts while its voter is cut off from the rest and behind.  What that voter holds
-// was never confirmed to this process, so it must not serve it.
-TEST_F (Config, ARestartedFollowerServesNothingThatWasNotConfirmed)
+// A follower restarts while the voters have no quorum.  What they hold was never confirmed to the
+// new process, so it must not serve it.
+TEST_F (Config, ARestartedFollowerServesNothingUnconfirmed)
 {
   struct node &v1 = add_node ("v1", true);
   struct node &v2 = add_node ("v2", true);
@@ -246,9 +245,9 @@
   EXPECT_EQ (waiting.hosts, 3u);
 }
 
-// An operator applies a change while one host is cut off.  The answer must come, and name it: as
-// unreachable once liveness says so, as behind before that.
-TEST_F (ConfigWait, NamesTheHostsThatDoNotHaveIt)
+// An operator applies a change while one host is cut off.  The wait must end and name the host: as
+// behind at first, as cut off once membership reports it dead.
+TEST_F (ConfigWait, NamesHostsThatLackTheRevision)
 {
   struct node &v1 = add_node ("v1", true);
   struct waiting first;
--- a/tests/unit_config_nodes.h
+++ b/tests/unit_config_nodes.h
@@ -128,7 +128,7 @@
     EXPECT_LT (answer.verdict, STORE_CONFLICT);
   }
 
-  // On both voters, as the log would.
+  // Applies a change on both voters, as the replicated log would.
   void
   put_all (const std::string &kind, const std::string &name, const std::string &spec)
   {
--- a/tests/unit_config_operator.cc
+++ b/tests/unit_config_operator.cc
@@ -1,4 +1,5 @@
-// The operators' interface over fake exchanges: changes, races, resends, lists, watches, waits.
+// The operator interface over fake HTTP exchanges: changes, conflicts, resends, lists, watches and
+// waits.
 #include "config_wait.h"
 #include "operator.h"
 #include "store_group.h"
@@ -11,7 +12,7 @@
 
 constexpr int64_t SEC = USEC_PER_SEC;
 
-// An exchange that keeps its answer.
+// An HTTP exchange that records its answer.
 struct exchange
 {
   struct http_exchange http = {}; // first member
@@ -118,7 +119,7 @@
   }
 };
 
-// A host with its operators' interface; two share a log and a store, as two voters would.
+// A host with its operator interface, store and log.
 class Operator : public testing::Test
 {
 protected:
@@ -168,7 +169,7 @@
     talloc_free (memory);
   }
 
-  // SIZE_MAX for no limit.
+  // Limits the interface to `more` bytes above its present size; SIZE_MAX for no limit.
   void
   limit_memory (size_t more)
   {
@@ -193,7 +194,7 @@
     best->ops->request (best, &exchange.http, clock.now);
   }
 
-  // Sent and answered.
+  // Sends a request and runs the clock until it is answered.
   struct exchange
   call (const std::string &method,
         const std::string &url,
@@ -212,7 +213,7 @@
 
 const char *const POOL = "{\"spec\":{\"kind\":\"generate\",\"slots\":4}}";
 
-TEST_F (Operator, BeforeAConfirmedConfigurationNothingIsAnswered)
+TEST_F (Operator, RefusesRequestsBeforeAConfirmedConfiguration)
 {
   struct exchange early ("GET", "/v1/pools");
 
@@ -262,8 +263,8 @@
                    .has ("none"));
 }
 
-// Two operators read revision 1 and change it with that number.
-TEST_F (Operator, TheLoserOfARaceGetsTheCurrentObject)
+// Two operators read revision 1, and both send a change conditional on it.
+TEST_F (Operator, ConflictingChangeGetsTheCurrentObject)
 {
   call ("PUT", "/v1/pools/gen", POOL);
   EXPECT_EQ (call ("PUT", "/v1/pools/gen",
@@ -283,7 +284,7 @@
              409);
 }
 
-// The answer is lost on its way; the operator's client sends the change again, with its id.
+// The answer is lost, and the operator's client sends the change again with the same id.
 TEST_F (Operator, AResentChangeGetsTheFirstAnswer)
 {
   const std::vector<std::string> id = { "x-change-id", "c1" };
@@ -299,8 +300,9 @@
 }
 
 // The log's answer is lost: the entry was applied, and the host sees a timeout.  With a change id
-// it asks again and finds the first answer; without one it must not apply it twice, and says so.
-TEST_F (Operator, AChangeWhoseFateIsOpenIsRepeatedOnlyUnderItsId)
+// the host proposes it again and gets the first answer.  Without one it must not apply the change
+// twice, and answers that the outcome is unknown.
+TEST_F (Operator, ChangeOfUnknownOutcomeIsRetriedOnlyWithChangeId)
 {
   struct exchange with ("PUT", "/v1/pools/gen", POOL, { "x-change-id", "c1" });
   struct exchange without ("PUT", "/v1/pools/b", POOL);
@@ -319,7 +321,7 @@
   EXPECT_EQ (store_revision (store), 2u);
 }
 
-TEST_F (Operator, WithoutALeaderAChangeIsNotAppliedAndSaysSo)
+TEST_F (Operator, ChangeWithoutALeaderIsRefused)
 {
   struct exchange put ("PUT", "/v1/pools/gen", POOL);
 
@@ -331,8 +333,8 @@
   EXPECT_EQ (put.ends, 1);
 }
 
-// The operator's connection closes while the change is under way.
-TEST_F (Operator, AnOperatorThatWentAwayIsNotAnswered)
+// The operator's connection closes while the change is in progress.
+TEST_F (Operator, DisconnectedOperatorIsNotAnswered)
 {
   struct exchange put ("PUT", "/v1/pools/gen", POOL);
 
@@ -356,9 +358,9 @@
   EXPECT_EQ (call ("PATCH", "/v1/pools/none", "{\"spec\":{\"slots\":1}}").code, 404);
 }
 
-// A PATCH is applied, its answer lost, and the object deleted by another operator.  The resend
-// must get the first answer though there is nothing left to merge into.
-TEST_F (Operator, AResentPatchGetsItsFirstAnswerThoughTheObjectIsGone)
+// A PATCH is applied, its answer is lost, and another operator deletes the object.  The resend must
+// get the first answer although there is no object left to merge into.
+TEST_F (Operator, ResentPatchOfADeletedObjectGetsTheFirstAnswer)
 {
   const std::vector<std::string> id = { "x-change-id", "p1" };
 
@@ -371,8 +373,8 @@
   EXPECT_EQ (again.sent, first.sent);
 }
 
-// An operator watches the pools through a host that shuts down.  The watch would hold the shutdown
-// up to its bound; it ends, with a bookmark from which it goes on at another host.
+// An operator watches the pools through a host that shuts down.  An open watch would delay the
+// shutdown until its timeout, so it ends, with a bookmark to resume from at another host.
 TEST_F (Operator, AWatchEndsWhenItsHostRefusesNewWork)
 {
   call ("PUT", "/v1/pools/a", POOL);
@@ -421,8 +423,8 @@
   EXPECT_EQ (watch.count ("\"DELETED\""), 1);
 }
 
-// A watcher was away for longer than the history; resumed silently it would miss changes.
-TEST_F (Operator, AWatchThatIsTooOldIsToldToListAgain)
+// A watcher was away for longer than the history covers; a resumed watch would miss changes.
+TEST_F (Operator, WatchOlderThanTheHistoryIsToldToListAgain)
 {
   struct exchange slow ("GET", "/v1/organisations?watch=1&resourceVersion=0");
 
@@ -439,9 +441,9 @@
   EXPECT_TRUE (slow.has ("\"code\":410"));
 }
 
-// No memory for the event of a change.  A watch that went on would lack the change, and its
-// bookmarks would say that it does not.
-TEST_F (Operator, AWatchThatLacksAChangeIsBrokenOff)
+// There is no memory for the event of a change.  A watch that went on would lack the change, while
+// its bookmarks would cover it.
+TEST_F (Operator, WatchThatLacksAChangeIsAborted)
 {
   struct exchange watch ("GET", "/v1/pools?watch=1&resourceVersion=0");
   struct exchange all ("GET", "/v1/pools?watch=1");
@@ -461,9 +463,9 @@
   EXPECT_EQ (watch.ends, 1);
 }
 
-// The pages of a list come from two hosts, and the second is behind.  What it does not know yet
-// would be missing from the list, and from a watch that goes on from the list's revision.
-TEST_F (Operator, AHostThatIsBehindAListDoesNotGoOnWithIt)
+// The pages of a list come from two hosts, and the second is behind.  Changes that it lacks would
+// be missing from the list, and from a watch that starts at the list's revision.
+TEST_F (Operator, HostBehindAListRefusesToContinueIt)
 {
   for (int i = 0; i < 3; i++)
     call ("PUT", "/v1/organisations/o" + std::to_string (i), "{\"spec\":{}}");
@@ -473,7 +475,7 @@
   EXPECT_FALSE (behind.has ("resourceVersion"));
 }
 
-TEST_F (Operator, AChangeThatWaitsTellsWhereItIsInForce)
+TEST_F (Operator, ChangeWithAWaitReportsWhereItIsInForce)
 {
   struct handle handle;
   struct board_host *self = static_cast<struct board_host *> (table_add (board->hosts, &handle));
--- a/tests/unit_config_peers.h
+++ b/tests/unit_config_peers.h
@@ -1,4 +1,4 @@
-// A network of fake peer ports on virtual time: messages take a millisecond, links can be cut.
+// A network of fake peer ports on virtual time: messages take a millisecond, hosts can be cut off.
 #pragma once
 #include "peer.h"
 #include "timer.h"
--- a/tests/unit_config_random.cc
+++ b/tests/unit_config_random.cc
@@ -1,8 +1,8 @@
-// A seeded explorer of the configuration: two voters and three followers, links cut, messages lost,
-// voters behind or without a quorum, processes restarted, changes all the while.
+// A seeded random test of the configuration: two voters and three followers, with links cut,
+// messages lost, voters behind or without a quorum, restarts, and changes throughout.
 //
-// What is in force on a host is always one accepted revision, whole; it never goes back, not across
-// a restart either; and when all is well again every host has the last one.
+// The configuration in force on a host is always exactly one accepted revision.  The revision never
+// decreases, even across a restart, and once all faults are over every host has the last one.
 #include "rng.h"
 #include "unit_config_nodes.h"
 
@@ -25,7 +25,7 @@
   std::vector<state> accepted = { state (NAMES, 0) }; // by revision
   std::vector<struct change> log;
   std::map<std::string, size_t> applied;
-  std::map<std::string, uint64_t> was_in_force; // of earlier lives, too
+  std::map<std::string, uint64_t> was_in_force; // also before restarts
 
   void
   catch_up (const std::string &voter, size_t upto)
@@ -35,7 +35,8 @@
     nodes[voter]->log->quorum = applied[voter] == log.size ();
   }
 
-  // Accepted by the voters that are not behind; the others lose the quorum until they catch up.
+  // Applies a random change on voters with a quorum, some of which miss it at random.  Voters that
+  // lack it have no quorum until they catch up.
   void
   accept ()
   {
@@ -151,7 +152,7 @@
   }
 };
 
-TEST_P (ConfigExplorer, OneAcceptedRevisionWholeAndNeverBack)
+TEST_P (ConfigExplorer, ServesOneAcceptedRevisionThatNeverDecreases)
 {
   rng_init (&rng, GetParam ());
   for (const auto &voter : voters)
--- a/tests/unit_member.cc
+++ b/tests/unit_member.cc
@@ -1,4 +1,4 @@
-// Membership: many instances on virtual time, with links that lose, fail one way or go silent.
+// Membership: many instances on virtual time, with lossy, one-way and silent links.
 #include "member_wire.h"
 #include "spread_member.h"
 #include "spread_net.h"
@@ -36,7 +36,7 @@
     spread_net_run (net, span);
   }
 
-  // How many of the others see `about` in that state.
+  // Counts the other hosts that see `about` in that state.
   unsigned
   see (uint32_t about, enum host_state state) const
   {
@@ -94,9 +94,9 @@
   EXPECT_TRUE (c.all_alive ());
 }
 
-// A host's process is killed.  Callers sent to it would wait for nothing; all others must know
-// within seconds, and when it starts again it is a new incarnation and is back.
-TEST (Member, ADeadHostIsSuspectedThenDeadAndItsRestartIsKnown)
+// A host's process is killed.  Callers sent to it would wait in vain, so all others must know
+// within seconds.  When it restarts with a new incarnation it must be alive again.
+TEST (Member, KilledHostIsSuspectedThenDeadAndAliveAfterItsRestart)
 {
   struct cluster c (9);
 
@@ -111,9 +111,9 @@
   EXPECT_TRUE (c.all_alive ());
 }
 
-// The link between two hosts fails in both directions; both reach everyone else.  Were either
-// taken for dead, callers and targets would lose a sound host for a bad cable.
-TEST (Member, OneBadLinkCondemnsNobody)
+// The link between two hosts fails in both directions; both reach all others.  If either became
+// dead, callers and targets would lose a healthy host to a bad cable.
+TEST (Member, OneBadLinkRaisesNoSuspicion)
 {
   struct cluster c (9);
 
@@ -126,8 +126,8 @@
 }
 
 // A host is stopped for a while (SIGSTOP, or a machine that swaps): its connections stay up and no
-// error shows anywhere.  It is taken for dead, and comes back by refuting when it goes on.
-TEST (Member, ASilentHostIsNoticedAndComesBack)
+// error is reported.  It must become dead, and refute that when it continues.
+TEST (Member, StoppedHostBecomesDeadAndRefutesWhenItContinues)
 {
   struct cluster c (9);
 
@@ -141,9 +141,9 @@
   EXPECT_GT (c.counted ("cherryarch_member_refutations_total"), 0);
 }
 
-// Nothing reaches one host any more, but what it sends arrives.  It takes everyone for dead; were
-// it believed, one broken network card would empty every host's list.
-TEST (Member, AHostThatHearsNothingCondemnsNobodyAndKnowsItIsCutOff)
+// One host receives nothing, but what it sends arrives.  It considers all others dead; if that
+// spread, one broken network card would empty every host's list.
+TEST (Member, HostThatReceivesNothingMakesNoOtherDeadAndKnowsItIsCutOff)
 {
   struct cluster c (9);
 
@@ -170,9 +170,9 @@
   EXPECT_FALSE (member_cut_off (c.hosts[6]->member));
 }
 
-// The other direction: what one host sends is lost.  It hears that it is suspected, its refutation
-// arrives nowhere, and it must know by itself that nobody answers it.
-TEST (Member, AHostThatIsNotHeardIsTakenForDeadAndKnowsItIsCutOff)
+// The other direction: what one host sends is lost.  It receives suspicions of itself, its
+// refutations are lost, and it must detect by itself that no host answers it.
+TEST (Member, HostWhoseMessagesAreLostBecomesDeadAndKnowsItIsCutOff)
 {
   struct cluster c (9);
 
@@ -186,9 +186,9 @@
     EXPECT_EQ (member_cut_off (c.hosts[i]->member), i == 6) << i;
 }
 
-// A silent partition parts three hosts from six for ten minutes.  Each side takes the other for
-// dead, the three know that they are cut off, and all find together again afterwards.
-TEST (Member, TwoSidesOfALongPartitionFindTogetherAgain)
+// A silent partition separates three hosts from six for ten minutes.  Each side considers the other
+// dead, the three know that they are cut off, and the views merge afterwards.
+TEST (Member, SidesOfALongPartitionMergeAfterwards)
 {
   struct cluster c (9);
 
@@ -208,9 +208,9 @@
   EXPECT_TRUE (c.all_alive ());
 }
 
-// A host says that it leaves, and the messages that say so to three others are lost.  They must
-// learn it from the rest, or they would go on naming it to callers.
-TEST (Member, ALostLeaveMessageIsMadeGoodByTheOthers)
+// A host announces that it leaves, and the messages to three others are lost.  These must learn it
+// from the rest, or they would go on naming the host to callers.
+TEST (Member, LostLeaveMessageIsReplacedByGossip)
 {
   struct cluster c (9);
 
@@ -228,9 +228,9 @@
   EXPECT_EQ (c.counted ("cherryarch_member_deaths_total"), 0);
 }
 
-// A host restarts with a clock that was set back, so that its incarnation is below the one the
-// others know.  They would take all its words for old and it would never be back.
-TEST (Member, ARestartWithAnOlderClockIsBackAllTheSame)
+// A host restarts with a clock that was set back, so its incarnation is below the one that others
+// know.  They would ignore its records as old, and it would stay dead.
+TEST (Member, HostRestartedWithAnOlderClockBecomesAlive)
 {
   struct cluster c (5);
 
@@ -244,7 +244,7 @@
   EXPECT_TRUE (c.all_alive ());
 }
 
-TEST (Member, OneInAHundredMessagesLostRaisesNoFalseDeath)
+TEST (Member, OnePercentMessageLossMakesNoHostDead)
 {
   struct cluster c (9);
 
@@ -254,9 +254,9 @@
   EXPECT_EQ (c.counted ("cherryarch_member_deaths_total"), 0);
 }
 
-// Of two hosts, one does not hear the other for a while and suspects it; the other hears of that
-// and refutes, but its refutation is lost as often as news is sent.  When the link is back the
-// suspect must be told again, and must answer again, or it is taken for dead while both are well.
+// One of two hosts receives nothing from the other for a while and suspects it.  The other refutes,
+// but every copy of its refutation is lost.  When the link is back the suspect must be told again
+// and must refute again, or it becomes dead while both hosts are healthy.
 TEST (Member, ASuspectIsToldUntilItRefutes)
 {
   struct cluster c (3);
@@ -272,9 +272,9 @@
   EXPECT_EQ (spread_member_sees (c.hosts[0], 1), HOST_ALIVE);
 }
 
-// A host does not get the newest configuration while it reaches its peers.  Callers would be
-// served by an old one; it must say so, and the others must know.
-TEST (Member, AHostBehindInConfigurationSaysSo)
+// A host reaches its peers but does not receive the newest configuration.  Callers would be served
+// by an old one, so it must flag that it is behind, and the others must see the flag.
+TEST (Member, HostWithOldConfigurationIsFlaggedBehind)
 {
   struct cluster c (9);
 
@@ -293,9 +293,9 @@
     EXPECT_FALSE (board_find_host (c.hosts[i]->board, "host-008", nullptr)->behind) << i;
 }
 
-// What a host at rest spends is bounded by the probes, whatever the number of hosts; the budget is
-// 2 KB a second for all of control.
-TEST (Member, AnIdleHostSpendsLittleAtAnySize)
+// The traffic of an idle host is bounded by its probes, whatever the number of hosts; the budget is
+// 2 KB a second for the whole control plane.
+TEST (Member, IdleTrafficIsBoundedAtAnyNumberOfHosts)
 {
   for (uint32_t n : { 9u, 60u })
     {
@@ -314,9 +314,9 @@
     }
 }
 
-// A peer with a fault, or someone who reached the port, sends bytes that are cut or altered.  They
-// must be refused whole or mean something; nothing may be read beyond them.
-TEST (Member, CutAndAlteredMessagesAreSurvived)
+// A faulty peer, or anyone who can reach the port, sends truncated or altered bytes.  Each message
+// must be refused as a whole or be valid, and nothing may be read beyond its end.
+TEST (Member, TruncatedAndAlteredMessagesDoNoHarm)
 {
   struct cluster c (3);
   struct bytes whole;
--- a/tests/unit_member_pack.cc
+++ b/tests/unit_member_pack.cc
@@ -1,4 +1,4 @@
-// Messages between hosts: what was written is read, and what is cut or wrong is refused.
+// Messages between hosts: what was written is read back, and truncated or wrong input is refused.
 #include "pack.h"
 #include <gtest/gtest.h>
 #include <string>
@@ -33,10 +33,10 @@
   bytes_clear (&out);
 }
 
-// A peer with a fault, or someone who reached the port, sends a message that is cut anywhere or
+// A faulty peer, or anyone who can reach the port, sends a message that is truncated anywhere or
 // states lengths beyond its end.  No byte outside the message may be read, and the decoder must
-// see the failure at its end.
-TEST (Pack, RefusesEveryCutAndEveryLimit)
+// report the failure at its end.
+TEST (Pack, RefusesTruncatedMessagesAndExceededLimits)
 {
   struct bytes out;
   char text[8];
