--- a/src/consensus.h
+++ b/src/consensus.h
@@ -1,8 +1,8 @@
-/* The replicated log as its users see it: propose an entry, read after a barrier.
+/* Interface of the replicated log: propose entries, and read after a barrier.
  *
- * Behind the vtable stands a voter (consensus_voter.c over raft.c, journal.c and a disk), a host
- * that is not a voter and forwards to one (consensus_remote.c), or, in tests, something that
- * applies at once. */
+ * Implemented by a voter (consensus_voter.c on top of raft.c, journal.c and a disk), by a host
+ * without a data folder that forwards to a voter (consensus_remote.c), by a group of one in memory
+ * (consensus_local.c), and by test doubles. */
 #ifndef CONSENSUS_H
 #define CONSENSUS_H
 
@@ -17,8 +17,8 @@
 
 BEGIN_DECLS
 
-/* The replicated state machine.  Deterministic: what apply() does depends on the entry and on the
- * state alone, never on a clock, an address or a hash order. */
+/* The replicated state machine.  It must be deterministic: apply() depends only on the entry and
+ * the state, never on a clock, an address or hash order. */
 struct machine
 {
   const struct machine_ops *ops;
@@ -26,7 +26,7 @@
 
 struct machine_ops
 {
-  /* Apply a committed entry; `result` goes back to who proposed it. */
+  /* Apply a committed entry.  `result` is returned to the proposer. */
   void (*apply) (struct machine *machine,
                  uint64_t index,
                  const void *entry,
@@ -36,18 +36,19 @@
   enum status (*load) (struct machine *machine, uint64_t index, const void *data, size_t length);
 };
 
-/* Embedded by who waits for a proposal or a read.  done() comes exactly once unless withdrawn. */
+/* Embedded by the caller that waits for a proposal or a read. done() is called exactly once unless
+ * the proposal is withdrawn. */
 struct proposal
 {
   const struct proposal_ops *ops;
-  void *owner; /* the consensus's own bookkeeping */
+  void *owner; /* private to the implementation */
 };
 
 struct proposal_ops
 {
-  /* OK: applied, `result` is the machine's answer (for a read: empty).  STATUS_TIMEOUT and
-   * STATUS_UNAVAILABLE leave it open whether the entry was or will be applied, so entries carry
-   * an id by which the machine recognises a resend. */
+  /* STATUS_OK: applied; `result` is the result of apply() (empty for a read).  With STATUS_TIMEOUT
+   * and STATUS_UNAVAILABLE the entry may or may not be applied, now or later, so entries carry an
+   * id by which the state machine recognises a retry. */
   void (*done) (struct proposal *proposal,
                 enum status status,
                 const void *result,
@@ -62,7 +63,7 @@
 
 struct consensus_ops
 {
-  /* A failure returned here means nothing was proposed and done() will not come. */
+  /* On failure nothing was proposed and done() is not called. */
   enum status (*propose) (struct consensus *consensus,
                           const void *entry,
                           size_t length,
@@ -70,9 +71,10 @@
                           int64_t deadline,
                           int64_t now);
 
-  /* A barrier: done(OK) when this host's machine holds everything committed before the call, as
-   * confirmed by a quorum; STATUS_UNAVAILABLE or a timeout on a host whose machine takes in nothing
-   * any more, or not yet; STATUS_UNSUPPORTED at once on one without a machine. */
+  /* Read barrier: done(STATUS_OK) once the state machine of this host has applied everything
+   * committed before the call, as confirmed by a quorum.  STATUS_UNAVAILABLE or STATUS_TIMEOUT when
+   * the state machine of this host no longer applies entries, or has not caught up in time; returns
+   * STATUS_UNSUPPORTED on a host without a state machine. */
   enum status (*read) (struct consensus *consensus,
                        struct proposal *proposal,
                        int64_t deadline,
@@ -80,12 +82,12 @@
   void (*withdraw) (struct consensus *consensus, struct proposal *proposal);
   bool (*is_leader) (const struct consensus *consensus);
 
-  /* "" while unknown. */
+  /* Name of the leader's host; "" while unknown. */
   const char *(*leader) (const struct consensus *consensus);
   json_t *(*describe) (const struct consensus *consensus);
 
-  /* What an answer given now rests on, for a log line: group, role, leader, term, and the indices
-   * committed and applied here. */
+  /* The log position that answers are based on, for log lines: group, role, leader, term, and the
+   * indices committed and applied on this host. */
   json_t *(*position) (const struct consensus *consensus);
 };
 
--- a/src/consensus_client.c
+++ b/src/consensus_client.c
@@ -1,4 +1,4 @@
-/* Requests forwarded to a voter. */
+/* Client side of requests forwarded to a voter. */
 #include "consensus_client.h"
 #include "pack.h"
 #include "raft_message.h"
@@ -27,7 +27,7 @@
   for (uint32_t i = 0; i < n_hosts && client->n_hosts < CLIENT_HOSTS_MAX; i++)
     if (strcmp (hosts[i], self) != 0)
       text_copy_cut (client->hosts[client->n_hosts++], RESOURCE_NAME_SIZE, hosts[i]);
-  /* Many hosts start at once and must not all ask the same voter. */
+  /* Random, so that hosts that start together do not all ask the same voter. */
   if (client->n_hosts > 0)
     client->next_host = (uint32_t) rng_below (&client->rng, client->n_hosts);
 }
@@ -53,7 +53,8 @@
   return client->hosts[client->next_host];
 }
 
-/* Sending again may have an entry applied twice; the machine knows a resend by the id in it. */
+/* A retry may apply an entry twice; the state machine detects the duplicate by the id in the
+ * entry. */
 void
 client_send (struct client *client, struct request *request, int64_t now)
 {
@@ -62,7 +63,7 @@
   enum status status = STATUS_UNAVAILABLE;
 
   request->place = REQUEST_FORWARDED;
-  /* Silence of a host: it is gone, cut off, or no longer what we take it for. */
+  /* No answer from the presumed leader: it failed, is partitioned, or no longer leads. */
   if (request->asked[0] != '\0' && strcmp (request->asked, client->leader) == 0)
     client->leader[0] = '\0';
   host = choose_host (client);
@@ -80,7 +81,7 @@
   request_arm (request, now + (status == STATUS_OK ? CLIENT_SILENCE : CLIENT_BACKOFF));
 }
 
-/* Not taken by the host asked: go on to the leader it names, or wait a little. */
+/* The host did not accept the request: retry at the leader that it names, or after a backoff. */
 static void
 send_on (struct client *client,
          struct request *request,
@@ -116,7 +117,7 @@
     case STATUS_NOT_LEADER:
     case STATUS_AGAIN:
     case STATUS_UNAVAILABLE:
-      /* Not from a host that was left for another, nor twice from one. */
+      /* Ignore duplicate answers and those of a host that is no longer being asked. */
       if (strcmp (request->asked, from) == 0)
         send_on (client, request, answer, from, now);
       return NULL;
@@ -163,8 +164,10 @@
   else if (type == MESSAGE_ANSWER)
     read_answer (&in, answer);
   else
-    return status_fail (STATUS_MALFORMED, "type of a proposal's message");
-  return pack_read_end (&in) ? STATUS_OK : status_fail (STATUS_MALFORMED, "a proposal's message");
+    return status_fail (STATUS_MALFORMED, "unknown type of message on the proposal channel");
+  return pack_read_end (&in)
+             ? STATUS_OK
+             : status_fail (STATUS_MALFORMED, "malformed message on the proposal channel");
 }
 
 void
--- a/src/consensus_client.h
+++ b/src/consensus_client.h
@@ -1,4 +1,4 @@
-/* Requests forwarded to a voter: which host to ask, when to ask another, what came back. */
+/* Client side of requests forwarded to a voter: choice of the host, retries, and answers. */
 #ifndef CONSENSUS_CLIENT_H
 #define CONSENSUS_CLIENT_H
 
@@ -9,36 +9,36 @@
 
 BEGIN_DECLS
 
-/* XXX: the hosts asked are those of the settings.  Once all of the first voters have been replaced
- * by other hosts, the settings must name the new ones. */
+/* XXX: only the hosts named in the settings are asked.  Once all of the initial voters have been
+ * replaced by other hosts, the settings must name the new ones. */
 #define CLIENT_HOSTS_MAX 16
-#define CLIENT_SILENCE (1000 * USEC_PER_MSEC) /* then the next host is asked */
-#define CLIENT_BACKOFF (100 * USEC_PER_MSEC)  /* after a host that knows no leader */
+#define CLIENT_SILENCE (1000 * USEC_PER_MSEC) /* before the next host is asked */
+#define CLIENT_BACKOFF (100 * USEC_PER_MSEC)  /* after an answer that names no leader */
 
 struct client
 {
   struct requests *requests;
   struct peer_port *port;
   struct rng rng;
-  char self[RESOURCE_NAME_SIZE]; /* never asked */
+  char self[RESOURCE_NAME_SIZE]; /* name of this host; never asked */
   char hosts[CLIENT_HOSTS_MAX][RESOURCE_NAME_SIZE];
   uint32_t n_hosts;
   uint32_t next_host;
   char leader[RESOURCE_NAME_SIZE]; /* "" while unknown */
 };
 
-/* An answer to a request of ours. */
+/* The answer to a forwarded request. */
 struct client_answer
 {
   uint64_t number;
   enum status status;
-  uint64_t index;                  /* of a confirmed read */
-  char leader[RESOURCE_NAME_SIZE]; /* as the voter knows it */
+  uint64_t index;                  /* read index, for a confirmed read */
+  char leader[RESOURCE_NAME_SIZE]; /* as known to the answering voter */
   const void *result;
   size_t length;
 };
 
-/* A request as it arrives at a voter. */
+/* A request as received by a voter. */
 struct client_ask
 {
   uint64_t number;
@@ -56,17 +56,19 @@
                   uint32_t n_hosts,
                   uint64_t seed);
 
-/* Ask the leader, or the next host when none is known; arms the resend. */
+/* Send the request to the leader, or to the next host when none is known, and arm the retry
+ * timer. */
 void client_send (struct client *client, struct request *request, int64_t now);
 
-/* Take an answer in: NULL when the request is gone or was sent on; else the request, to be
- * finished with the answer. */
+/* Process an answer.  Returns the request, which the caller must finish with the answer; NULL when
+ * the request no longer exists or was sent to another host. */
 struct request *client_answered (struct client *client,
                                  const struct client_answer *answer,
                                  const char *from,
                                  int64_t now);
 
-/* Messages on PEER_CHANNEL_PROPOSAL.  `is_ask` tells which of the two was read. */
+/* Decode a message on PEER_CHANNEL_PROPOSAL: `ask` is filled in when `is_ask` is set, else
+ * `answer`.  STATUS_MALFORMED. */
 enum status client_read_message (const void *data,
                                  size_t length,
                                  bool *is_ask,
--- a/src/consensus_local.c
+++ b/src/consensus_local.c
@@ -1,11 +1,11 @@
-/* A group of one, in memory. */
+/* A consensus group of one host, in memory. */
 #include "consensus_local.h"
 #include "resource.h"
 #include "text.h"
 #include <talloc.h>
 #include <utlist.h>
 
-/* A proposal whose entry is applied and whose done() has not come. */
+/* A proposal whose entry is applied but whose done() has not been called. */
 struct local_pending
 {
   struct local_pending *prev;
@@ -87,7 +87,8 @@
   const struct local_pending *each;
   uint32_t count;
 
-  /* What done() proposes waits for the next turn, so that it cannot hold the loop. */
+  /* Proposals made by done() wait for the next iteration, so that they cannot block the event
+   * loop. */
   DL_COUNT (local->pending, each, count);
   while (count-- > 0 && local->pending != NULL)
     {
--- a/src/consensus_local.h
+++ b/src/consensus_local.h
@@ -1,7 +1,7 @@
-/* The log of a host that has no voters configured: a group of one, in memory.
+/* The replicated log of a host without configured voters: a group of one, in memory.
  *
- * Entries are applied from the loop, not during propose(), as with the other implementations.
- * Nothing survives the process: for trying the product and for tests. */
+ * Entries are applied from the event loop, not during propose(), as in the other implementations.
+ * Nothing survives the process: for trials of the product and for tests. */
 #ifndef CONSENSUS_LOCAL_H
 #define CONSENSUS_LOCAL_H
 
--- a/src/consensus_open.c
+++ b/src/consensus_open.c
@@ -1,4 +1,5 @@
-/* Opening a data folder: its identity, the snapshot into the machine, the journal into raft. */
+/* Opening a data folder: reads its identity, loads the snapshot into the state machine, and
+ * restores raft from the journal. */
 #include "consensus_voter_private.h"
 #include "log.h"
 #include "snapshot.h"
@@ -20,8 +21,9 @@
   return id;
 }
 
-/* The folder's identity; made in an empty folder.  The count of starts grows on disk before
- * anything is sent, so that of two copies of a folder the one started last shows. */
+/* Read the identity of the folder; create it in an empty folder.  The start counter is incremented
+ * on disk before anything is sent, so that of two copies of a folder the one started last is
+ * recognised. */
 static enum status
 open_identity (struct consensus_voter *self)
 {
@@ -119,8 +121,8 @@
     return status;
   if (found.fresh && self->identity.group != 0)
     return status_fail (STATUS_CORRUPT, "the journal of a voter is missing");
-  /* Taken into a group, or about to form one, and stopped before anything was stored: nothing was
-   * sent either, since that comes after. */
+  /* Stopped after storing the group id but before storing anything else: nothing was sent either,
+   * since sending comes after storing. */
   if (found.state.term == 0 && found.log.count == 0 && snapshot.index == 0)
     self->identity.group = 0;
   if (found.torn_bytes > 0)
