--- a/src/consensus_flush.c
+++ b/src/consensus_flush.c
@@ -1,4 +1,5 @@
-/* Once a turn of the loop: store what is new, send, apply, answer. */
+/* The flush, once per event loop iteration: store new state, send messages, apply committed
+ * entries, answer requests. */
 #include "consensus_voter_private.h"
 #include "log.h"
 #include "snapshot.h"
@@ -8,7 +9,8 @@
 #define FLUSH_ROUNDS 8
 #define SNAPSHOT_RETRY (60 * USEC_PER_SEC)
 
-/* A snapshot from the leader: stored before it is loaded, loaded before it is acknowledged. */
+/* Install a snapshot from the leader.  It is stored before it is loaded, and loaded before it is
+ * acknowledged. */
 static enum status
 install (struct consensus_voter *self, const struct raft_install *in)
 {
@@ -41,8 +43,8 @@
   return journal_commit (self->journal);
 }
 
-/* Without room the entries are given back as a restart would forget them; a vote is small, and the
- * reserve leaves room for it as a rule.  STATUS_DISK_FULL where it does not. */
+/* When the disk is full the entries are discarded, as a restart would.  The vote is small, and the
+ * reserved space normally leaves room for it; STATUS_DISK_FULL when it does not. */
 static enum status
 store (struct consensus_voter *self, const struct raft_ready *ready, int64_t now)
 {
@@ -84,8 +86,8 @@
   self->stalled = stalled;
 }
 
-/* The leader's appends leave before its own sync, since the two may go on at once; but not while
- * its term is not stored, which it must not outlive. */
+/* The leader sends appends before its own sync, so that both proceed in parallel; but not before a
+ * new term is stored, since the leader must not lose that term in a crash. */
 static bool
 store_and_send (struct consensus_voter *self, const struct raft_ready *ready, int64_t now)
 {
@@ -94,9 +96,9 @@
   if (!ready->state_changed)
     send_all (self, ready->early, ready->n_early);
   status = store (self, ready, now);
-  /* Failure: a disk that was full for seconds took a voter out until its process was started again,
-   * and the next loss left the group without a quorum.  While it cannot store its vote it is as
-   * silent as a host that is cut off, and the next message finds out whether there is room. */
+  /* A voter that stopped for good when its disk was full for some seconds left the group without a
+   * quorum at the next loss, until its process was restarted.  So while it cannot store its vote it
+   * only stays silent, like a partitioned host, and the next message retries the write. */
   if (status == STATUS_DISK_FULL)
     {
       set_stalled (self, true);
@@ -117,7 +119,8 @@
   return true;
 }
 
-/* Who proposed the entry at `index`, if it was one of ours and still is. */
+/* Returns the request that proposed the entry at `index` on this host, NULL if there is none or it
+ * no longer exists.  Drops pending proposals up to `index`. */
 static struct request *
 take_pending (struct consensus_voter *self, uint64_t index, uint64_t term)
 {
@@ -195,8 +198,9 @@
          && (request->proposal == NULL || request->index <= raft_applied (self->raft));
 }
 
-/* Answer reads whose index the machine has reached; one that another host asked for waits there.
- * They are looked up anew one by one, since an answer may withdraw or propose others. */
+/* Finish reads whose index the state machine has applied.  For a read from another host the index
+ * itself is the answer, and that host waits for its own state machine.  Requests are looked up
+ * again one by one, since a callback may withdraw or propose others. */
 static void
 finish_reads (struct consensus_voter *self, int64_t now)
 {
@@ -223,8 +227,8 @@
   talloc_free (numbers);
 }
 
-/* XXX: saves, writes and syncs the whole state in one turn of the loop.  A state of 100 MB holds
- * the host up for long enough to lose the lead; it should be written in steps between turns. */
+/* XXX: saves, writes and syncs the whole state in one event loop iteration.  A state of 100 MB
+ * blocks the host long enough to lose leadership; it should be written in steps. */
 static enum status
 take_snapshot (struct consensus_voter *self)
 {
@@ -259,9 +263,9 @@
   return journal_drop (self->journal, keep_from);
 }
 
-/* Not before the log has grown to the size of the last snapshot, so that writing snapshots at most
- * doubles what is written.  One that finds no room is tried again later; any other failure of the
- * disk stops us. */
+/* Not before the log has grown to the size of the last snapshot, so that snapshots at most double
+ * the bytes written.  An I/O error stops the voter; after any other failure, such as a full disk,
+ * the snapshot is retried after SNAPSHOT_RETRY. */
 static void
 snapshot_if_due (struct consensus_voter *self, int64_t now)
 {
@@ -297,7 +301,7 @@
   json_decref (list);
 }
 
-/* Who leads and who belongs to the group, when it changes: what later answers rest on. */
+/* Log changes of the leader and of the members, which later answers depend on. */
 static void
 tell_changes (struct consensus_voter *self)
 {
--- a/src/consensus_form.c
+++ b/src/consensus_form.c
@@ -1,17 +1,17 @@
-/* Forming a group from the first voters' names, and being taken into one.
+/* Forming a group from the initial voters, and joining an existing one.
  *
- * The first voter named in the settings forms the group, once, after it has heard from every other
- * and none of them belongs to a group: the identities it heard become the first members.  Everyone
- * else takes the group of the first message of raft that is addressed to its identity; only who
- * heard that identity from it can send one.  A host that lost its disk has a new identity and no
- * group.  It forms none while any of the others remembers one, and waits to be taken in. */
+ * The first voter named in the settings forms the group, once, after it has heard from all others
+ * and none of them belongs to a group; the server ids it received become the initial members.  Any
+ * other host joins the group of the first raft message addressed to its id, which only a server
+ * that received that id from it can send.  A host that lost its disk has a new id and no group.  It
+ * does not form a group while any of the others belongs to one, and waits to be added. */
 #include "consensus_voter_private.h"
 #include "log.h"
 #include "text.h"
 #include <inttypes.h>
 #include <string.h>
 
-#define FORM_FRESH (2 * USEC_PER_SEC) /* how new what was heard must be */
+#define FORM_FRESH (2 * USEC_PER_SEC) /* maximum age of a hello used to form a group */
 
 enum status
 voter_join_group (struct consensus_voter *self, uint64_t group)
@@ -21,7 +21,7 @@
   if (self->identity.group == group)
     return STATUS_OK;
   if (self->identity.group != 0)
-    return status_fail (STATUS_CONFLICT, "a message of another group");
+    return status_fail (STATUS_CONFLICT, "message from another group");
   self->identity.group = group;
   status = journal_identity_write (self->config.disk, &self->identity);
   if (status != STATUS_OK)
@@ -41,7 +41,8 @@
   return newest;
 }
 
-/* The members of a new group; false while not all were heard, or when one has a group. */
+/* Collect the members of a new group.  False while a voter has not been heard recently, or when one
+ * already belongs to a group. */
 static bool
 gather (const struct consensus_voter *self, struct raft_members *members, int64_t now)
 {
@@ -66,7 +67,7 @@
   return true;
 }
 
-/* The journal holds the first entry before anyone hears of the group. */
+/* The first entry is stored in the journal before any message of the group is sent. */
 static void
 form_group (struct consensus_voter *self, const struct raft_members *members, int64_t now)
 {
@@ -86,9 +87,9 @@
   voter_flush (self, now);
 }
 
-/* Having a group is not enough: a learner whose addition was never committed, because its leader
- * lost a race, has taken the group and is a member for nobody else.  A member that is only cut off
- * says hello too, and the leader, to whom it is a member, takes no notice. */
+/* A host with a group id may still be waiting: a learner whose addition was never committed,
+ * because its leader was deposed, has stored the id but is not a member for anybody else.  A
+ * partitioned member also sends hellos; the leader ignores them, since it already is a member. */
 bool
 voter_is_waiting (const struct consensus_voter *self, int64_t now)
 {
--- a/src/consensus_peer.c
+++ b/src/consensus_peer.c
@@ -1,4 +1,5 @@
-/* Messages between voters: their envelope, and who they are from. */
+/* Messages between the hosts of a group: encoding of the header, identification of the sender, and
+ * dispatch. */
 #include "consensus_voter_private.h"
 #include "log.h"
 #include "pack.h"
@@ -7,10 +8,10 @@
 #include <string.h>
 #include <talloc.h>
 
-/* Each message starts with its type, the group, and the sender's count of starts. */
+/* Each message starts with a header: the type, the group, and the sender's start counter. */
 #define MESSAGE_RAFT 1
-#define MESSAGE_HELLO 2      /* id, wants a reply, waits to be taken in, leader */
-#define MESSAGE_OLD_FOLDER 3 /* id, starts: a later start of that voter was heard */
+#define MESSAGE_HELLO 2      /* id, wants a reply, waits to be added, leader */
+#define MESSAGE_OLD_FOLDER 3 /* id, starts: a later start of that server was seen */
 #define MESSAGE_TYPE_MAX 3
 
 struct head
@@ -74,7 +75,7 @@
   return NULL;
 }
 
-/* The record of a server heard from; a new one takes the place of the one not heard for longest. */
+/* The contact record of a server.  A new one replaces the record not updated for longest. */
 static struct voter_contact *
 contact_of (struct consensus_voter *self, uint64_t id)
 {
@@ -93,9 +94,9 @@
   return oldest;
 }
 
-/* Note who sent this; false for a message of an earlier start than one heard already.  Either it
- * was under way for long, or an older copy of the folder was put back and started: tell the sender,
- * who knows which. */
+/* Record the sender.  False for a message of an earlier start than one already seen: either the
+ * message was delayed, or an older copy of the data folder was restored and started.  The sender is
+ * told, since it can tell which. */
 static bool
 note_contact (struct consensus_voter *self,
               uint64_t id,
@@ -136,7 +137,8 @@
     contact_of (self, id)->hello_at = now;
   if (wants_reply)
     voter_send_hello (self, from, false, now);
-  /* Whoever waits to be taken in has to reach the leader, which may be none of the first voters. */
+  /* A host that waits to be added must reach the leader, which need not be one of the initial
+   * voters. */
   else if (leader[0] != '\0' && strcmp (leader, from) != 0 && voter_is_waiting (self, now))
     voter_send_hello (self, leader, false, now);
 }
@@ -202,7 +204,8 @@
     got_raft (self, &head, &in, from, now);
 }
 
-/* A request from another host: taken when we lead, else the leader is named. */
+/* A request from another host: accepted when this host leads, else answered with the leader's
+ * name. */
 static void
 got_ask (struct consensus_voter *self, const struct client_ask *ask, const char *from, int64_t now)
 {
--- a/src/consensus_remote.c
+++ b/src/consensus_remote.c
@@ -1,4 +1,4 @@
-/* A host without a data folder. */
+/* The replicated log on a host without a data folder. */
 #include "consensus_remote.h"
 #include "consensus_client.h"
 #include <talloc.h>
@@ -43,7 +43,8 @@
   return status;
 }
 
-/* A quorum could tell how far the log goes, but there is no machine here that would get there. */
+/* A quorum could confirm the read index, but this host has no state machine that applies up to
+ * it. */
 static enum status
 remote_read (struct consensus *consensus, struct proposal *proposal, int64_t deadline, int64_t now)
 {
--- a/src/consensus_remote.h
+++ b/src/consensus_remote.h
@@ -1,4 +1,5 @@
-/* A host without a data folder: sends its proposals and reads to a voter. */
+/* The replicated log on a host without a data folder: forwards proposals to a voter.  Reads fail
+ * with STATUS_UNSUPPORTED. */
 #ifndef CONSENSUS_REMOTE_H
 #define CONSENSUS_REMOTE_H
 
@@ -11,7 +12,7 @@
 
 struct consensus_remote_config
 {
-  const char *const *voters; /* hosts to ask; the leader is learned from them */
+  const char *const *voters; /* hosts to ask; they name the leader */
   uint32_t n_voters;
   struct peer_port *port;
   struct timer_service *timers;
--- a/src/consensus_repair.c
+++ b/src/consensus_repair.c
@@ -1,22 +1,22 @@
-/* Who follows the log, and who replaces a voter that is gone: decided by the leader.
+/* Repair of the group by the leader: adds learners and replaces failed voters.
  *
- * Every host with a data folder that waits becomes a learner, so that it holds what it answers from
- * (the configuration) and can take a voter's place at once.  A learner has no part in a commit, so
- * one that is slow delays nobody.
+ * Every host with a data folder that waits to be added becomes a learner, so that it holds the
+ * configuration that it serves and can replace a voter at once.  A learner does not count in the
+ * quorum, so a slow one delays no commit.
  *
- * When a voter is gone it is removed as soon as a learner holds everything, and the learner takes
- * its place.  While the old one is gone, removing it first costs nothing: with one of three silent
- * both others are needed before and after; promoting first would need three of four.  Each step is
- * one entry in the log and looks only at the state, so the next leader goes on where this one
+ * A failed voter is removed as soon as a learner has caught up, and the learner is then promoted.
+ * Removing first costs nothing while the failed voter is silent: with one of three silent, both
+ * others are needed before and after; promoting first would need three of four.  Each step is one
+ * log entry and depends only on the current state, so the next leader continues where this one
  * stopped. */
 #include "consensus_voter_private.h"
 #include "log.h"
 #include <string.h>
 
-/* A waiting host must have been heard so lately. */
+/* Maximum age of the last hello of a host that waits to be added. */
 #define WAITING_FRESH (6 * USEC_PER_SEC)
 
-/* For how long a member has been silent. */
+/* Time since the member was last heard, in microseconds. */
 static int64_t
 silence (const struct consensus_voter *self, const struct raft_member *member, int64_t now)
 {
@@ -38,8 +38,7 @@
          && raft_members_find (raft_member_set (self->raft), contact->id) == NULL;
 }
 
-/* The host of this name waits with a new identity: its old folder is gone, and the member with it.
- */
+/* A host of the same name waits to be added with a new id: the member's data folder is lost. */
 static bool
 came_back_empty (const struct consensus_voter *self, const struct raft_member *member, int64_t now)
 {
@@ -50,7 +49,7 @@
   return false;
 }
 
-/* A later member has the name: this one's folder is gone. */
+/* A later member has the same name: this member's data folder is lost. */
 static bool
 is_superseded (const struct raft_members *members, const struct raft_member *member)
 {
@@ -94,8 +93,7 @@
          && silence (self, learner, now) < self->config.timing.election_max;
 }
 
-/* The learner that can take the place of who is gone: the one with the same name before any other.
- */
+/* Find a caught-up learner to replace `gone`; one with the same name is preferred. */
 static const struct raft_member *
 find_successor (const struct consensus_voter *self, const struct raft_member *gone, int64_t now)
 {
@@ -114,7 +112,7 @@
   return found;
 }
 
-/* The host that waits: the one with the name of who is gone before any other. */
+/* Find a host that waits to be added; one with the name of `gone` is preferred. */
 static const struct voter_contact *
 find_waiting (const struct consensus_voter *self, const struct raft_member *gone, int64_t now)
 {
@@ -132,7 +130,8 @@
   return found;
 }
 
-/* A voter is gone or wanting, and a learner can take its place: its removal, then the promotion. */
+/* A voter has failed or is missing, and a learner can replace it: remove the failed voter first,
+ * else promote the learner. */
 static bool
 voter_change (const struct consensus_voter *self,
               const struct raft_member *gone,
@@ -148,7 +147,7 @@
   return true;
 }
 
-/* A learner that is gone leaves, one host that waits becomes one. */
+/* Remove a failed learner, else add a waiting host as a learner. */
 static bool
 learner_change (const struct consensus_voter *self,
                 const struct raft_member *gone_voter,
@@ -174,7 +173,7 @@
   return true;
 }
 
-/* The next change of the members; false when none is due. */
+/* The next membership change; false when none is due. */
 static bool
 next_change (const struct consensus_voter *self, struct raft_change *change, int64_t now)
 {
--- a/src/consensus_request.c
+++ b/src/consensus_request.c
@@ -1,4 +1,4 @@
-/* A proposal or a read on its way. */
+/* Table of proposals and reads in progress. */
 #include "consensus_request.h"
 #include "raft_message.h"
 #include <talloc.h>
@@ -130,7 +130,7 @@
   talloc_free (request);
 }
 
-/* Freed first: done() may propose again at once. */
+/* The request is freed first, since done() may propose again. */
 void
 request_finish (
     struct request *request, enum status status, const void *result, size_t length, int64_t now)
--- a/src/consensus_request.h
+++ b/src/consensus_request.h
@@ -1,4 +1,4 @@
-/* A proposal or a read on its way, from whoever made it to its answer. */
+/* Proposals and reads in progress, from the call until the answer. */
 #ifndef CONSENSUS_REQUEST_H
 #define CONSENSUS_REQUEST_H
 
@@ -10,7 +10,7 @@
 
 BEGIN_DECLS
 
-#define REQUESTS_MAX 16384 /* at once on one host */
+#define REQUESTS_MAX 16384 /* in progress at once on one host */
 
 enum request_kind
 {
@@ -19,23 +19,23 @@
   REQUEST_KIND_COUNT
 };
 
-/* Where a request is. */
+/* The stage of a request. */
 enum request_place
 {
-  REQUEST_FORWARDED, /* with another host, or waiting for one to send it to */
-  REQUEST_PENDING,   /* in our log at `index`, `term` */
-  REQUEST_READING,   /* the quorum is asked */
-  REQUEST_APPLYING,  /* a read, until the machine holds `index` */
+  REQUEST_FORWARDED, /* sent to another host, or waiting for a host to send it to */
+  REQUEST_PENDING,   /* in the leader's log at `index`, `term` */
+  REQUEST_READING,   /* a quorum confirms leadership */
+  REQUEST_APPLYING,  /* a read that waits until `index` is applied */
 };
 
 struct request
 {
-  struct timer timer; /* the next resend or the deadline */
+  struct timer timer; /* fires at the next retry or the deadline */
   struct requests *requests;
   uint64_t number;
   enum request_kind kind;
   enum request_place place;
-  struct proposal *proposal; /* NULL: it came from the host `origin` */
+  struct proposal *proposal; /* NULL for a request from host `origin` */
   char origin[RESOURCE_NAME_SIZE];
   uint64_t origin_number;
   char asked[RESOURCE_NAME_SIZE]; /* the host it was last sent to */
@@ -70,20 +70,20 @@
   uint64_t last_number;
 };
 
-/* `first_number` is random: with numbers that begin anew at each start, a late answer to a request
- * of the process before could pass for the answer to one of this. */
+/* `first_number` must be random: if numbers restarted at the same value, a late answer to a request
+ * of the previous process could be taken for the answer to one of this process. */
 void requests_init (struct requests *requests,
                     const struct requests_ops *ops,
                     void *parent,
                     struct timer_service *timers,
                     uint64_t first_number);
 
-/* Disarm every timer; the requests go with their parent.  Proposals are not touched: whoever made
- * them may be gone already. */
+/* Disarm every timer; the requests are freed with their parent.  Proposals are not touched, since
+ * their owners may already be freed. */
 void requests_clear (struct requests *requests);
 
-/* A request of this host, which `proposal` waits for.  NULL with the reason in `status`, then also
- * STATUS_TOO_LARGE. */
+/* A request made on this host, whose outcome is given to `proposal`.  NULL with the reason in
+ * `status`: as request_new(), and STATUS_TOO_LARGE. */
 struct request *request_new_own (struct requests *requests,
                                  enum request_kind kind,
                                  const void *entry,
@@ -92,7 +92,7 @@
                                  int64_t deadline,
                                  enum status *status);
 
-/* A copy of `data` is kept.  NULL with STATUS_NO_MEMORY or STATUS_LIMIT in `status`. */
+/* Copies `data`.  NULL with STATUS_NO_MEMORY or STATUS_LIMIT in `status`. */
 struct request *request_new (struct requests *requests,
                              enum request_kind kind,
                              const void *data,
@@ -101,14 +101,14 @@
                              enum status *status);
 struct request *request_find (const struct requests *requests, uint64_t number);
 
-/* Fire at `due`, or at the deadline when that is earlier. */
+/* Set the timer to `due`, or to the deadline when that is earlier. */
 void request_arm (struct request *request, int64_t due);
 
-/* Give the outcome to who asked, and free the request. */
+/* Report the outcome to the requester and free the request. */
 void request_finish (
     struct request *request, enum status status, const void *result, size_t length, int64_t now);
 
-/* Free without an outcome. */
+/* Free without reporting an outcome. */
 void request_free (struct request *request);
 void requests_withdraw (struct requests *requests, struct proposal *proposal);
 
--- a/src/consensus_route.c
+++ b/src/consensus_route.c
@@ -1,4 +1,4 @@
-/* The way of proposals and reads: into our log, to the leader, or back to who asked. */
+/* Routing of proposals and reads: into the local log, to the leader, or back to the requester. */
 #include "consensus_voter_private.h"
 #include "text.h"
 #include <string.h>
@@ -58,8 +58,8 @@
   return status;
 }
 
-/* Send a request of this host to where it may be answered.  A voter that cannot store its vote
- * follows no leader, and asks like a host outside the group. */
+/* Forward a local request to the leader.  A voter that cannot store its vote follows no leader, and
+ * asks the configured hosts like a host outside the group. */
 static void
 forward (struct consensus_voter *self, struct request *request, int64_t now)
 {
@@ -99,9 +99,9 @@
     request_finish (request, status, NULL, 0, now);
 }
 
-/* After losing leadership: what is in the log may be committed by the next leader or not, so those
- * who asked propose again; the machine knows a resend.  After gaining it: what waited for a leader
- * is ours. */
+/* After losing leadership, entries of this host may or may not be committed by the next leader, so
+ * local requests are proposed again; the state machine detects duplicates.  After gaining it, local
+ * requests that waited for a leader are submitted here. */
 void
 voter_role_changed (struct consensus_voter *self, int64_t now)
 {
--- a/src/consensus_voter.h
+++ b/src/consensus_voter.h
@@ -1,8 +1,9 @@
-/* A host with a data folder: a voter, a learner on the way to be one, or waiting to be taken in.
+/* The replicated log on a host with a data folder: a voter, a learner that may become one, or a
+ * host that waits to be added.
  *
- * Ties raft.h, journal.h and a disk to the peer channels, the timers and the machine.  Entries
- * proposed within one turn of the loop share one sync.  The sync blocks the loop; docs/CONSENSUS.md
- * has the measured cost. */
+ * Connects raft.h, journal.h and a disk to the peer channels, the timers and the state machine.
+ * Entries proposed within one event loop iteration share one sync.  The sync blocks the event loop;
+ * for its cost see docs/CONSENSUS.md. */
 #ifndef CONSENSUS_VOTER_H
 #define CONSENSUS_VOTER_H
 
@@ -21,15 +22,15 @@
   int64_t heartbeat;
   int64_t election_min;
   int64_t election_max;
-  int64_t replace_after; /* a voter not heard for so long is replaced; USEC_NEVER: not by itself */
-  int64_t repair_period; /* between looks at who is missing, and at the room on the disk */
-  int64_t hello_period;  /* how often a host that waits to be taken in says so */
-  int64_t hello_silence; /* a member that hears no leader for so long says so too */
+  int64_t replace_after; /* silence after which a voter is replaced; USEC_NEVER: never */
+  int64_t repair_period; /* between checks of the members and of the free space */
+  int64_t hello_period;  /* between hellos of a host that waits to be added */
+  int64_t hello_silence; /* a member that hears no leader for this long sends hellos too */
   uint32_t drift_ppm;
 };
 
-/* What is taken for a zero field.  The heartbeat is the idle cost of a leader, in bytes; two and a
- * half of them fit into the shortest election time, so that one lost or late does no harm. */
+/* Defaults for zero fields.  The heartbeat determines the idle traffic of a leader.  2.5 heartbeats
+ * fit into the shortest election timeout, so one lost or late heartbeat starts no election. */
 #define CONSENSUS_HEARTBEAT (500 * USEC_PER_MSEC)
 #define CONSENSUS_ELECTION_MIN (1250 * USEC_PER_MSEC)
 #define CONSENSUS_ELECTION_MAX (2500 * USEC_PER_MSEC)
@@ -41,54 +42,55 @@
 
 struct consensus_voter_config
 {
-  const char *name; /* ours */
+  const char *name; /* of this host */
   struct disk *disk;
 
-  /* Names of the first voters, the same on every host.  The first of them forms the group once it
+  /* Names of the initial voters, the same on every host.  The first of them forms the group once it
    * has heard from all; see docs/CONSENSUS.md. */
   const char *const *voters;
   uint32_t n_voters;
-  uint32_t wanted_voters; /* of the group; 0: as many as the first ones */
-  bool join_only;         /* never form a group: this folder may be a lost one's successor */
+  uint32_t wanted_voters; /* number of voters in the group; 0: as many as the initial ones */
+  bool join_only;         /* never form a group, since this folder may replace a lost one */
   struct peer_port *port; /* NULL for a group of one */
   struct timer_service *timers;
   struct machine *machine;
   struct counters *counters; /* NULL: none */
-  uint64_t seed;             /* random and new at each start: identities come from it */
+  uint64_t seed;             /* random at each start: ids are derived from it */
   struct consensus_timing timing;
-  bool no_lease;             /* every read asks a quorum */
+  bool no_lease;             /* every read is confirmed by a quorum */
   uint32_t snapshot_entries; /* between snapshots; 0: the default */
   uint32_t segment_bytes;    /* of the journal; 0: the default */
-  uint64_t reserve_bytes;    /* with less room left no entries are taken; 0: the default */
+  uint64_t reserve_bytes;    /* proposals are refused when less is free; 0: the default */
 };
 
 #define CONSENSUS_SNAPSHOT_ENTRIES 8192
-#define CONSENSUS_SNAPSHOT_BYTES (8u << 20) /* or as many bytes of entries */
-#define CONSENSUS_KEEP_ENTRIES 1024         /* behind a snapshot, for followers a little late */
+#define CONSENSUS_SNAPSHOT_BYTES (8u << 20) /* or this many bytes of entries */
+#define CONSENSUS_KEEP_ENTRIES 1024         /* entries kept before a snapshot, for slow followers */
 #define CONSENSUS_RESERVE_BYTES (16u << 20)
 
-/* NULL with status_message() and `status` when the folder cannot be used: STATUS_CORRUPT means that
- * this voter must not start from it (docs/CONSENSUS.md says what an operator does). */
+/* NULL with status_message() and `status` when the folder cannot be used.  STATUS_CORRUPT means
+ * that this voter must not start from it (docs/CONSENSUS.md describes the recovery). */
 struct consensus *consensus_voter_new (void *parent,
                                        const struct consensus_voter_config *config,
                                        enum status *status,
                                        int64_t now);
 
-/* Change the members; only on the leader.  The outcome shows in the members. */
+/* Change the members; only on the leader.  STATUS_OK means proposed; the change is visible in the
+ * members once it is in the log. */
 enum status consensus_voter_change (struct consensus *consensus,
                                     const struct raft_change *change,
                                     int64_t now);
 
-/* Before a shutdown: hand leadership over.  STATUS_NOT_LEADER when there is nothing to do. */
+/* Transfer leadership before a shutdown.  STATUS_NOT_LEADER when this host does not lead. */
 enum status consensus_voter_transfer (struct consensus *consensus, int64_t now);
 
 /* STATUS_OK, or why this voter stopped for good. */
 enum status consensus_voter_health (const struct consensus *consensus);
 
-/* The state beneath, to be looked at only. */
+/* The underlying raft server, read-only. */
 const struct raft *consensus_voter_raft (const struct consensus *consensus);
 
-/* 0 until a group was formed or took this folder in. */
+/* 0 until this folder belongs to a group. */
 uint64_t consensus_voter_group (const struct consensus *consensus);
 
 END_DECLS
--- a/src/consensus_voter_private.h
+++ b/src/consensus_voter_private.h
@@ -1,4 +1,4 @@
-/* What the files of the voter share. */
+/* Declarations shared by the files of the voter. */
 #ifndef CONSENSUS_VOTER_PRIVATE_H
 #define CONSENSUS_VOTER_PRIVATE_H
 
@@ -11,18 +11,18 @@
 #define VOTER_CONTACTS_MAX 32
 #define VOTER_HEALTH_SIZE 256
 
-/* A server heard from: how to reach it, and its newest start. */
+/* A server that has sent a message: its host, and its latest start. */
 struct voter_contact
 {
   uint64_t id;
   uint64_t group;
   uint64_t starts;
   int64_t heard_at;
-  int64_t hello_at; /* when it last said that it hears no leader; 0: never */
+  int64_t hello_at; /* when it last sent a hello as waiting to be added; 0: never */
   char name[RESOURCE_NAME_SIZE];
 };
 
-/* A proposal of ours in the log. */
+/* A proposal of this host in the log. */
 struct voter_pending
 {
   uint64_t index;
@@ -36,9 +36,9 @@
   struct consensus_voter_config config;
   struct peer_listener consensus_listener;
   struct peer_listener proposal_listener;
-  struct timer flush_timer; /* once a turn of the loop */
-  struct timer tick_timer;  /* when raft wants it */
-  struct timer slow_timer;  /* forming, room on the disk, repair */
+  struct timer flush_timer; /* runs the flush once per event loop iteration */
+  struct timer tick_timer;  /* at raft_next() */
+  struct timer slow_timer;  /* group formation, free space, repair */
   struct rng rng;
   char name[RESOURCE_NAME_SIZE];
   char first_voters[CLIENT_HOSTS_MAX][RESOURCE_NAME_SIZE];
@@ -50,21 +50,21 @@
   enum status health;
   char health_message[VOTER_HEALTH_SIZE];
   bool low_space; /* proposals are refused */
-  bool stalled;   /* not even a vote found room on the disk */
-  bool led;       /* at the end of the last flush */
+  bool stalled;   /* the vote could not be stored: disk full */
+  bool led;       /* was leader at the end of the last flush */
   int64_t led_at;
   int64_t snapshot_retry_at;
-  int64_t hello_at; /* while waiting to be taken into a group */
+  int64_t hello_at; /* when to send the next hello, while waiting to be added to a group */
 
-  /* As last told in the log. */
+  /* As last logged. */
   uint64_t told_leader;
   uint64_t told_term;
   uint64_t told_members; /* a hash */
 
-  bool reads_waiting; /* some reads wait for the machine */
+  bool reads_waiting; /* some reads wait until their index is applied */
   struct requests requests;
   struct client client;
-  struct voter_pending *pending; /* from pending_first; indices grow */
+  struct voter_pending *pending; /* starts at pending_first; ordered by index */
   uint32_t pending_first;
   uint32_t n_pending;
 
@@ -84,7 +84,7 @@
 bool voter_leads (const struct consensus_voter *self);
 void voter_wake (struct consensus_voter *self, int64_t now);
 
-/* Reads may be answered from the machine here: it takes in what is committed. */
+/* The local state machine may answer reads: it applies what is committed. */
 bool voter_may_read (const struct consensus_voter *self);
 const char *voter_leader_name (const struct consensus_voter *self);
 
@@ -112,7 +112,7 @@
 enum status voter_join_group (struct consensus_voter *self, uint64_t group);
 void voter_form (struct consensus_voter *self, int64_t now);
 
-/* No leader sends to this host: it may have to be taken in. */
+/* No leader sends to this host: it may have to be added to the group. */
 bool voter_is_waiting (const struct consensus_voter *self, int64_t now);
 
 /* consensus_repair.c */
--- a/src/disk.c
+++ b/src/disk.c
@@ -1,4 +1,4 @@
-/* What any disk can do with its operations. */
+/* Operations common to all disks. */
 #include "disk.h"
 
 enum status
--- a/src/disk.h
+++ b/src/disk.h
@@ -1,8 +1,8 @@
-/* One folder of files, as the journal and snapshots need it.
+/* A folder of files, as used by the journal and the snapshots.
  *
- * What was written lasts only after sync(); what was created, renamed or removed only after
- * sync_folder().  The product's disk is disk_posix_new(); tests put one in its place that loses,
- * tears and refuses. */
+ * Data is durable only after sync(); files created, renamed or removed are durable only after
+ * sync_folder().  disk_posix_new() is the implementation used in production; tests use one that
+ * loses, tears and refuses writes. */
 #ifndef DISK_H
 #define DISK_H
 
@@ -23,7 +23,7 @@
 
 struct disk_ops
 {
-  /* Open to append; an empty file is made when there is none.  STATUS_DISK_FULL, STATUS_IO. */
+  /* Open for appending; the file is created when missing.  STATUS_DISK_FULL, STATUS_IO. */
   enum status (*open) (struct disk *disk, const char *name, int *file);
   void (*close) (struct disk *disk, int file);
 
@@ -31,11 +31,12 @@
   enum status (*append) (struct disk *disk, int file, const void *data, size_t length);
   enum status (*truncate) (struct disk *disk, int file, uint64_t length);
 
-  /* After a failure nothing is known of what was written since the last success, and a second call
-   * may succeed without having written it: never repeat it. */
+  /* After a failure the state of everything written since the last successful sync is unknown, and
+   * a second call may succeed without having written it: do not retry. */
   enum status (*sync) (struct disk *disk, int file);
 
-  /* Append at most `length` bytes at `offset` to `out`; fewer at the end.  STATUS_NOT_FOUND. */
+  /* Append up to `length` bytes from `offset` to `out`; fewer at the end of the file.
+   * STATUS_NOT_FOUND. */
   enum status (*read) (
       struct disk *disk, const char *name, uint64_t offset, size_t length, struct bytes *out);
   enum status (*size) (struct disk *disk, const char *name, uint64_t *out);
@@ -46,16 +47,16 @@
                        void (*each) (void *context, const char *name),
                        void *context);
 
-  /* Room left, as far as the system tells. */
+  /* Free space in bytes; UINT64_MAX when unknown. */
   uint64_t (*free_bytes) (struct disk *disk);
 };
 
-/* The folder is made when missing and locked against a second process: STATUS_CONFLICT.  NULL with
- * the outcome in `status`.  Freeing it unlocks. */
+/* Create the folder when missing, and lock it against other processes (STATUS_CONFLICT when
+ * locked).  NULL with the reason in `status`.  Freeing the disk unlocks the folder. */
 struct disk *disk_posix_new (void *parent, const char *folder, enum status *status);
 
-/* Write a whole file so that after a crash it is there wholly or not at all: a temporary file,
- * synced, renamed over `name`, and the folder synced. */
+/* Replace a whole file atomically: after a crash it is there completely or not at all.  Writes and
+ * syncs a temporary file, renames it to `name` and syncs the folder. */
 enum status disk_replace (struct disk *disk, const char *name, const void *data, size_t length);
 
 #define DISK_TEMPORARY "temporary"
--- a/src/disk_posix.c
+++ b/src/disk_posix.c
@@ -1,4 +1,4 @@
-/* A folder through ordinary file calls. */
+/* Disk on a POSIX file system. */
 #include "disk.h"
 #include <dirent.h>
 #include <errno.h>
@@ -218,7 +218,7 @@
   return 0;
 }
 
-/* The folder's own entry in its parent lasts only when the parent is synced. */
+/* A created folder is durable only after its parent is synced. */
 static enum status
 make_folder (const char *folder)
 {
@@ -241,8 +241,8 @@
   return STATUS_OK;
 }
 
-/* Two processes that append to one journal would destroy it.  The lock is the open file's, so the
- * system frees it when the process ends, however it ends. */
+/* Two processes that append to one journal would corrupt it.  flock() locks belong to the open
+ * file, so the system releases the lock when the process ends, however it ends. */
 static enum status
 lock_folder (struct disk_posix *self, const char *folder)
 {
