--- a/src/consensus_voter.c
+++ b/src/consensus_voter.c
@@ -1,4 +1,4 @@
-/* A host with a data folder: its making, its timers, and what its users see. */
+/* The replicated log on a host with a data folder: setup, timers, and the consensus interface. */
 #include "consensus_voter.h"
 #include "consensus_voter_private.h"
 #include "log.h"
@@ -9,7 +9,7 @@
 
 #define FORM_PERIOD (200 * USEC_PER_MSEC)
 
-/* Have the flush run in this turn of the loop or the next. */
+/* Schedule the flush for this event loop iteration or the next. */
 void
 voter_wake (struct consensus_voter *self, int64_t now)
 {
@@ -32,16 +32,17 @@
   return self->health == STATUS_OK && raft_role (self->raft) == RAFT_LEADER;
 }
 
-/* Failure: a voter that had stopped had its reads confirmed by the leader and answered them from
- * its machine, with a configuration that others had replaced seconds before; its host confirmed it
- * to entry hosts as the newest.  A leader confirms how far the log goes, not that we follow it. */
+/* A voter that has stopped no longer applies entries.  When such a voter still had its reads
+ * confirmed by the leader, it answered them with a configuration that had been replaced seconds
+ * before, and confirmed it to entry hosts as the newest: the leader confirms the read index, not
+ * that this host follows the log. */
 bool
 voter_may_read (const struct consensus_voter *self)
 {
   return self->health == STATUS_OK;
 }
 
-/* Have the reads of this host that are under way looked at again. */
+/* Reschedule the local reads in progress. */
 static void
 recall_reads (struct consensus_voter *self, int64_t now)
 {
@@ -57,8 +58,8 @@
     }
 }
 
-/* Stop taking part, for good: what this voter stored can no longer be relied on.  Proposals go to
- * other voters from here on, reads are refused. */
+/* Stop this voter for good: its stored state can no longer be relied on.  From here on proposals
+ * are forwarded to other voters, and reads are refused. */
 void
 voter_fail (struct consensus_voter *self, enum status status, const char *what, int64_t now)
 {
@@ -95,7 +96,8 @@
   request = request_new_own (&self->requests, kind, entry, length, proposal, deadline, &status);
   if (request == NULL)
     return status;
-  /* Not at once: done() must not come before this returns. */
+  /* Forwarded proposals and reads are submitted from the timer, since done() must not be called
+   * before this returns. */
   request->place = REQUEST_FORWARDED;
   if (voter_leads (self) && kind == REQUEST_PROPOSE)
     voter_submit (self, request, now);
@@ -224,7 +226,7 @@
   voter_flush (self, now);
 }
 
-/* Refuse proposals early enough that votes, and entries under way, still find room. */
+/* Refuse proposals early enough that votes, and entries in flight, still fit on the disk. */
 static void
 watch_room (struct consensus_voter *self, int64_t now)
 {
@@ -238,9 +240,9 @@
                (json_int_t) (room > INT64_MAX ? INT64_MAX : room), "leads", voter_leads (self));
   self->low_space = low;
   raft_hold (self->raft, holds);
-  /* Failure: for as long as the leader's disk was full every change was refused, though a quorum
-   * had room.  Not before we hold ourselves: then we are no choice for the next leader, and two
-   * that are both short of room do not hand the lead to and fro. */
+  /* A leader with a full disk refused every change although a quorum had space.  It transfers
+   * leadership only once it refuses entries itself: then it is not a candidate for the next
+   * transfer, and two hosts that are both short of space do not pass leadership back and forth. */
   if (holds && raft_can_spare_leader (self->raft, now))
     (void) consensus_voter_transfer (&self->consensus, now);
 }
--- a/src/raft.c
+++ b/src/raft.c
@@ -1,4 +1,5 @@
-/* Raft: making a server, taking messages in, and handing out what to store and send. */
+/* Raft: construction of a server, dispatch of messages, and the ready with what to store and
+ * send. */
 #include "raft.h"
 #include "raft_private.h"
 #include <string.h>
@@ -46,9 +47,10 @@
   raft->applied = snapshot->index;
   raft_configs_add (raft, snapshot->index, &snapshot->members);
   bytes_init (&raft->incoming.data, raft);
-  /* A restart forgets when the leader was last heard, and that leader may count on our promise not
-   * to vote so soon after: hold to it from the start.  A server that never had a term made none,
-   * nor one in a group without leases. */
+  /* A restart loses the time when the leader was last heard, and that leader may hold a lease based
+   * on this server not voting for election_min: refuse votes for that long from the start.  A
+   * server that never had a term acknowledged nothing, and in a group without leases nothing
+   * depends on it. */
   raft->heard_at = state->term > 0 && options->lease_reads ? now : now - options->election_min;
   raft_set_first_election_time (raft, now);
   return raft;
@@ -132,8 +134,8 @@
     raft_campaign (raft, true, false, now);
 }
 
-/* A message of an older term.  Its sender may be a leader that does not know yet, or a server
- * whose pre-vote cannot succeed: tell it our term. */
+/* A message of an older term.  Reply with the current term, since the sender may be a deposed
+ * leader that does not know yet, or a server whose pre-vote cannot succeed. */
 static void
 answer_old_term (struct raft *raft, const struct raft_message *m)
 {
@@ -143,7 +145,7 @@
     raft_send (raft, RAFT_PRE_VOTE_REPLY, m->from);
 }
 
-/* Take over a higher term; false when the message is not to be acted on. */
+/* Adopt a higher term.  False when the message is to be ignored. */
 static bool
 take_term (struct raft *raft, const struct raft_message *m, int64_t now)
 {
@@ -228,7 +230,7 @@
 {
   struct raft_message *m = talloc_zero (raft, struct raft_message);
 
-  /* A message that cannot be made is one that was lost. */
+  /* Out of memory is treated like a lost message. */
   if (m == NULL)
     return raft->spare;
   if ((*n & (*n - 1)) == 0)
@@ -321,7 +323,8 @@
     raft_advance_commit (raft);
 }
 
-/* The acknowledgements of what could not be stored must not leave; they look like lost messages. */
+/* Acknowledgements of entries that were not stored must not be sent; to the leader they look like
+ * lost messages. */
 void
 raft_drop_unstored (struct raft *raft, int64_t now)
 {
@@ -347,9 +350,9 @@
     raft_become_follower (raft, raft->state.term, 0, now);
 }
 
-/* A term or vote that nobody was told of binds nobody: with the state as it was stored this server
- * looks to the others like one whose messages were lost, and takes the term up again with the next
- * message. */
+/* A term or vote that was not sent to anybody binds nobody.  With the state as last stored this
+ * server looks to the others like one whose messages were lost, and it adopts the term again with
+ * the next message. */
 void
 raft_give_back (struct raft *raft, int64_t now)
 {
--- a/src/raft_change.c
+++ b/src/raft_change.c
@@ -1,10 +1,10 @@
-/* Changes of members in the log.  A set of members is in force from when its entry is in the log,
- * committed or not, and is taken back when the entry is. */
+/* Membership changes.  A set of members takes effect when its entry is appended to the log,
+ * committed or not, and is reverted when the entry is truncated. */
 #include "raft_private.h"
 #include <string.h>
 
-/* When there is no more room the oldest set goes.  No truncation reaches back so far, since at most
- * one change is uncommitted at a time. */
+/* When the table is full the oldest set is dropped.  No truncation reaches back that far, since at
+ * most one change is uncommitted at a time. */
 void
 raft_configs_add (struct raft *raft, uint64_t index, const struct raft_members *members)
 {
@@ -25,7 +25,7 @@
     raft->n_configs--;
 }
 
-/* Forget sets that a later one at or before `index` replaces. */
+/* Discard sets that are superseded by a later one at or before `index`. */
 void
 raft_configs_compact (struct raft *raft, uint64_t index)
 {
@@ -56,7 +56,8 @@
 
   if (raft->role != RAFT_LEADER || raft->transfer_to != 0)
     return status_fail (STATUS_NOT_LEADER, "not the leader");
-  /* Ongaro's correction of 2015: a change before the term's first commit can overlap another. */
+  /* Ongaro's correction of 2015: a change made before the leader commits an entry of its term could
+   * overlap with one of another leader. */
   if (raft->commit < raft->first_index)
     return status_fail (STATUS_AGAIN, "this leader has not committed an entry yet");
   if (raft->configs[raft->n_configs - 1].index > raft->commit)
--- a/src/raft_config.h
+++ b/src/raft_config.h
@@ -1,4 +1,4 @@
-/* The members of a group, and changes to them one at a time. */
+/* The members of a group, and single-server changes to them. */
 #ifndef RAFT_CONFIG_H
 #define RAFT_CONFIG_H
 
@@ -13,20 +13,20 @@
 
 #define RAFT_MEMBERS_MAX 16
 
-/* A server is its id: random, made with its data folder.  One that comes back with an empty folder
- * has the same name and another id, so that no vote or acknowledgement of it can pass for one of
- * the server that was lost. */
+/* A server is identified by its id, which is random and created with its data folder.  A host that
+ * returns with an empty folder has the same name but another id, so no vote or acknowledgement of
+ * the new server can be taken for one of the lost server. */
 struct raft_member
 {
   uint64_t id;
   char name[RESOURCE_NAME_SIZE];
-  bool voter; /* else a learner: takes entries, does not count */
+  bool voter; /* else a learner: receives entries, does not count in the quorum */
 };
 
 struct raft_members
 {
   uint32_t n;
-  uint32_t wanted; /* voters there should be; repair works towards it */
+  uint32_t wanted; /* desired number of voters, which repair works towards */
   struct raft_member members[RAFT_MEMBERS_MAX];
 };
 
@@ -61,14 +61,15 @@
 uint32_t raft_members_quorum (const struct raft_members *members);
 bool raft_members_is_voter (const struct raft_members *members, uint64_t id);
 
-/* The members after `change`.  STATUS_CONFLICT when it does not fit, STATUS_LIMIT when full. */
+/* The members after `change`.  STATUS_CONFLICT when it does not fit the members, STATUS_LIMIT when
+ * the set is full. */
 enum status raft_members_changed (const struct raft_members *members,
                                   const struct raft_change *change,
                                   struct raft_members *out);
 
 void raft_members_write (const struct raft_members *members, struct bytes *out);
 
-/* STATUS_MALFORMED. */
+/* Decode members.  STATUS_MALFORMED. */
 enum status raft_members_read (const void *data, size_t length, struct raft_members *out);
 
 END_DECLS
--- a/src/raft_election.c
+++ b/src/raft_election.c
@@ -1,4 +1,4 @@
-/* Elections: pre-vote, votes, and the promise that makes leases safe. */
+/* Elections: pre-votes, votes, and the refusal of votes that leases depend on. */
 #include "raft_private.h"
 
 void
@@ -10,11 +10,11 @@
       now + raft->options.election_min + (int64_t) rng_below (&raft->rng, (uint64_t) spread + 1);
 }
 
-/* After power was lost everywhere nobody serves until there is a leader, so where no lease forbids
- * it a server stands after half of the usual time.  That disturbs no living leader: the others
- * heard it lately, and refuse the vote before the vote.  With elections after 350 to 700 ms three
- * voters that all start have a leader within 0.4 s in 20 of 20 seeds, in 7 before.  Mean worth of
- * the days' worst windows +0.03 (25 days) and +0.02 (25 others). */
+/* After all hosts lost power no request is served until a leader is elected.  Where no lease
+ * depends on it, a server therefore starts its first election after half of the usual timeout.
+ * This does not disturb a live leader: the others have heard it recently and refuse the pre-vote.
+ * With timeouts of 350 to 700 ms three voters that start together elect a leader within 0.4 s in 20
+ * of 20 seeds; with the full timeout in 7. */
 void
 raft_set_first_election_time (struct raft *raft, int64_t now)
 {
@@ -45,11 +45,11 @@
   raft->leader = leader;
 }
 
-/* A leader may still count on a lease from us: we acknowledged it so short a time ago that it may
- * answer reads without asking.  To vote now could elect another that changes what those reads
- * should see.  A vote that the leader itself asked for by a transfer is exempt, since it gives its
- * lease up before it asks.  Staying silent also keeps a server that was cut off from disturbing a
- * group that has a leader (check-quorum's other half). */
+/* The leader may hold a lease granted by this server's last acknowledgement and answer reads
+ * without asking a quorum.  A vote now could elect another leader, whose commits those reads would
+ * miss.  A vote requested through a leadership transfer is exempt, since the leader gives up its
+ * lease first.  The refusal also keeps a server that was partitioned from disturbing a group with a
+ * leader (the counterpart of check-quorum). */
 bool
 raft_votes_refused (const struct raft *raft, const struct raft_message *m, int64_t now)
 {
@@ -111,7 +111,7 @@
   raft->role = RAFT_CANDIDATE;
   raft->state = (struct raft_state){ .term = raft->state.term + 1, .vote = raft->options.id };
   raft->state_changed = true;
-  raft->n_granted = 0; /* our own counts when it is stored */
+  raft->n_granted = 0; /* the own vote counts once it is stored */
   ask_votes (raft, RAFT_VOTE, raft->state.term);
 }
 
--- a/src/raft_follow.c
+++ b/src/raft_follow.c
@@ -1,7 +1,7 @@
 /* The follower's side of replication. */
 #include "raft_private.h"
 
-/* Member sets in the message must be readable before anything of it is taken. */
+/* The member sets in a message are validated before any of its entries is appended. */
 static bool
 members_readable (const struct raft_message *m)
 {
@@ -39,8 +39,8 @@
   return STATUS_OK;
 }
 
-/* The entry before the first of the message is in our log.  What is committed is the same in every
- * log, and its terms may be gone from memory. */
+/* The entry before the first one of the message is in the log.  Committed entries are the same in
+ * every log, and their terms may no longer be in memory. */
 static bool
 matches (const struct raft *raft, const struct raft_message *m)
 {
@@ -51,8 +51,8 @@
   return raft_log_term (&raft->log, m->index, &term) && term == m->log_term;
 }
 
-/* Where the leader had better try next: before the whole run of entries of the term that differs,
- * so that it does not walk back one entry a message. */
+/* The index at which the leader should retry: before all entries of the conflicting term, so that
+ * it does not step back one entry per message. */
 static uint64_t
 hint (const struct raft *raft, const struct raft_message *m)
 {
@@ -96,9 +96,9 @@
     raft->commit = m->commit < reply->index ? m->commit : reply->index;
 }
 
-/* Our leader proved that we acknowledged an entry in this term that we no longer hold.  The folder
- * was put back from an older copy, or its disk lost what it said was synced: any vote or
- * acknowledgement of ours may be forgotten too, so taking part further could lose what others count
+/* The leader proved that this server acknowledged an entry in this term that it no longer holds.
+ * The data folder was restored from an older copy, or the disk lost synced data.  Any vote or
+ * acknowledgement may be lost too, so taking part any longer could lose entries that others count
  * as committed. */
 void
 raft_on_lost (struct raft *raft, const struct raft_message *m)
--- a/src/raft_log.c
+++ b/src/raft_log.c
@@ -80,7 +80,7 @@
   return STATUS_OK;
 }
 
-/* Free the data of entries at positions from..to-1. */
+/* Free the data of the entries at positions from..to-1. */
 static void
 drop (struct raft_log *log, uint32_t from, uint32_t to)
 {
--- a/src/raft_log.h
+++ b/src/raft_log.h
@@ -1,4 +1,5 @@
-/* The part of the log held in memory: entries after a base, some of them not stored yet. */
+/* The part of the log held in memory: the entries after a base index.  The last ones may not be
+ * stored yet. */
 #ifndef RAFT_LOG_H
 #define RAFT_LOG_H
 
@@ -11,12 +12,12 @@
 
 struct raft_log
 {
-  struct raft_entry *entries; /* of base_index + 1 and on; data owned by the array */
+  struct raft_entry *entries; /* from base_index + 1; data owned by the array */
   uint32_t count;
   uint32_t capacity;
   uint64_t base_index;
   uint64_t base_term;
-  uint64_t stored; /* durable up to here */
+  uint64_t stored; /* last durable index */
   uint64_t bytes;  /* of the entries' data */
 };
 
@@ -28,14 +29,14 @@
   return log->base_index + log->count;
 }
 
-/* NULL outside of what is held. */
+/* NULL when the entry is not in memory. */
 const struct raft_entry *raft_log_at (const struct raft_log *log, uint64_t index);
 
-/* The term of an entry or of the base; false when it is not known. */
+/* The term of an entry or of the base; false when it is not in memory. */
 bool raft_log_term (const struct raft_log *log, uint64_t index, uint64_t *term);
 uint64_t raft_log_last_term (const struct raft_log *log);
 
-/* Append a copy with the next index.  STATUS_NO_MEMORY. */
+/* Append a copy of `data` at the next index.  STATUS_NO_MEMORY. */
 enum status raft_log_append (void *parent,
                              struct raft_log *log,
                              uint64_t term,
@@ -43,16 +44,16 @@
                              const void *data,
                              uint32_t length);
 
-/* Forget entries from `from` on. */
+/* Discard the entries from `from` on. */
 void raft_log_truncate (struct raft_log *log, uint64_t from);
 
-/* Forget entries up to `index`, which becomes the base. */
+/* Discard the entries up to `index`, which becomes the base. */
 void raft_log_compact (struct raft_log *log, uint64_t index);
 
-/* Forget all; the log continues after a snapshot. */
+/* Discard all entries; the log continues after a snapshot. */
 void raft_log_reset (struct raft_log *log, uint64_t base_index, uint64_t base_term);
 
-/* The first index of the run of entries with the term that `index` has. */
+/* The first index of the consecutive entries with the same term as `index`. */
 uint64_t raft_log_term_start (const struct raft_log *log, uint64_t index);
 
 END_DECLS
--- a/src/raft_message.c
+++ b/src/raft_message.c
@@ -1,4 +1,5 @@
-/* The encoding of messages between servers: one array of fields, entries and chunks behind. */
+/* Encoding of messages between servers: the fields of the kind, followed by entries or a snapshot
+ * chunk. */
 #include "raft_message.h"
 #include "pack.h"
 #include <string.h>
@@ -7,7 +8,7 @@
 #define CHUNK_MAX (2u << 20)
 #define MEMBERS_BYTES_MAX 4096
 
-/* Which fields a kind carries, so that a heartbeat stays small. */
+/* The fields that each kind carries; other fields are omitted to keep heartbeats small. */
 #define HAS_INDEX 1u
 #define HAS_COMMIT 2u
 #define HAS_ROUND 4u
--- a/src/raft_message.h
+++ b/src/raft_message.h
@@ -17,9 +17,9 @@
 
 /* name, text */
 #define RAFT_ENTRY_KIND_LIST(X)                                                                    \
-  X (ENTRY_NOOP, "no-op")      /* a new leader's first, so that older entries commit */            \
-  X (ENTRY_DATA, "data")       /* for the machine */                                               \
-  X (ENTRY_MEMBERS, "members") /* the group's members from here on */
+  X (ENTRY_NOOP, "no-op")      /* first entry of a new leader, which commits the older ones */     \
+  X (ENTRY_DATA, "data")       /* for the state machine */                                         \
+  X (ENTRY_MEMBERS, "members") /* the members of the group from this index on */
 
 enum raft_entry_kind
 {
@@ -44,12 +44,12 @@
   X (PRE_VOTE_REPLY, "pre-vote-reply")                                                             \
   X (VOTE, "vote")                                                                                 \
   X (VOTE_REPLY, "vote-reply")                                                                     \
-  X (APPEND, "append") /* a heartbeat when without entries */                                      \
+  X (APPEND, "append") /* a heartbeat when it has no entries */                                    \
   X (APPEND_REPLY, "append-reply")                                                                 \
   X (SNAPSHOT, "snapshot")                                                                         \
   X (SNAPSHOT_REPLY, "snapshot-reply")                                                             \
   X (TIMEOUT_NOW, "timeout-now")                                                                   \
-  X (LOST, "lost") /* the receiver no longer holds what it acknowledged */
+  X (LOST, "lost") /* the receiver no longer holds entries it acknowledged */
 
 enum raft_message_kind
 {
@@ -65,22 +65,22 @@
   enum raft_message_kind kind;
   uint64_t from;
   uint64_t to;
-  uint64_t term;     /* the sender's; for a pre-vote the term it would stand in */
-  uint64_t index;    /* append: entry before the first; votes: last entry; replies: see each */
+  uint64_t term;     /* of the sender; for a pre-vote the term it would campaign in */
+  uint64_t index;    /* append: entry before the first; votes: last entry; replies: by kind */
   uint64_t log_term; /* of `index` */
   uint64_t commit;
-  uint64_t round;  /* of the leader's heartbeats; a reply gives it back */
-  uint64_t last;   /* append-reply: last entry the follower holds */
-  bool ok;         /* replies: granted, matched, or taken */
-  bool hold;       /* append-reply: no room, wait */
-  bool transfer;   /* vote: the leader itself asked for it, so leases do not stand against it */
-  uint64_t offset; /* snapshot: of the chunk; its reply: bytes held so far */
-  uint64_t total;  /* snapshot: length of the whole */
+  uint64_t round;  /* heartbeat round of the leader, echoed in replies */
+  uint64_t last;   /* append-reply: last entry in the follower's log */
+  bool ok;         /* replies: vote granted, log matched, or snapshot accepted */
+  bool hold;       /* append-reply, snapshot-reply: disk full, the leader should wait */
+  bool transfer;   /* vote: part of a leadership transfer, so no lease forbids it */
+  uint64_t offset; /* snapshot: offset of the chunk; snapshot-reply: bytes received */
+  uint64_t total;  /* snapshot: total length */
 
   /* snapshot: the members as of `index`, with the first chunk only */
   struct raft_members members;
 
-  /* snapshot: the chunk.  On the way out the driver fills `data` in from the stored snapshot. */
+  /* snapshot: the chunk.  When sending, the driver fills in `data` from the stored snapshot. */
   const void *data;
   uint32_t length;
 
@@ -92,8 +92,8 @@
 
 void raft_message_write (const struct raft_message *message, struct bytes *out);
 
-/* `entries` and `data` of `out` point into the input; the entries' array is a child of `parent`.
- * STATUS_MALFORMED, STATUS_NO_MEMORY. */
+/* Decode a message.  `entries[].data` and `data` of `out` point into the input; the array `entries`
+ * is a child of `parent`.  STATUS_MALFORMED, STATUS_NO_MEMORY. */
 enum status raft_message_read (void *parent,
                                const void *data,
                                size_t length,
--- a/src/raft_private.h
+++ b/src/raft_private.h
@@ -1,4 +1,4 @@
-/* What the files of raft share. */
+/* Declarations shared by the files of raft. */
 #ifndef RAFT_PRIVATE_H
 #define RAFT_PRIVATE_H
 
@@ -6,35 +6,35 @@
 #include "raft_log.h"
 #include "rng.h"
 
-#define RAFT_ROUNDS 64        /* send times of the latest rounds, for the lease */
-#define RAFT_IN_FLIGHT_MAX 64 /* bound of max_in_flight */
-#define RAFT_READS_MAX 65536  /* waiting at once */
-#define RAFT_CONFIGS_MAX 64   /* member sets held: in the log's memory and before */
+#define RAFT_ROUNDS 64        /* rounds whose send time is kept, for the lease */
+#define RAFT_IN_FLIGHT_MAX 64 /* upper bound of max_in_flight */
+#define RAFT_READS_MAX 65536  /* waiting reads */
+#define RAFT_CONFIGS_MAX 64   /* member sets kept, of entries in memory and before */
 
 enum raft_peer_state
 {
-  PEER_PROBE,     /* where the logs part is not known: one message at a time */
-  PEER_REPLICATE, /* entries stream, up to max_in_flight messages */
-  PEER_SNAPSHOT,  /* the entries it needs are gone: chunks, one at a time */
+  PEER_PROBE,     /* the matching index is unknown: one message at a time */
+  PEER_REPLICATE, /* entries are pipelined, up to max_in_flight messages */
+  PEER_SNAPSHOT,  /* the entries it needs were discarded: chunks, one at a time */
 };
 
-/* What a leader knows of another member. */
+/* Replication state of another member, on the leader. */
 struct raft_peer
 {
   uint64_t id;
   enum raft_peer_state state;
-  uint64_t match;                         /* acknowledged as stored */
-  uint64_t match_round;                   /* our round when that became known */
-  uint64_t next;                          /* entry to send next */
-  uint64_t in_flight[RAFT_IN_FLIGHT_MAX]; /* last entry of each message not acknowledged */
+  uint64_t match;                         /* last index acknowledged as stored */
+  uint64_t match_round;                   /* round at which `match` was acknowledged */
+  uint64_t next;                          /* next index to send */
+  uint64_t in_flight[RAFT_IN_FLIGHT_MAX]; /* last index of each unacknowledged message */
   uint32_t in_flight_first;
   uint32_t n_in_flight;
   uint64_t commit_sent;
-  uint64_t round;    /* highest round given back */
-  int64_t heard_at;  /* 0: not since the election */
-  bool probing;      /* the one probe is out */
-  bool heartbeat;    /* send something at the next ready, entries or not */
-  bool hold;         /* it has no room; wait for the next heartbeat */
+  uint64_t round;    /* highest round echoed */
+  int64_t heard_at;  /* last message received; 0: none since the election */
+  bool probing;      /* a probe is unanswered */
+  bool heartbeat;    /* send a message in the next ready, even without entries */
+  bool hold;         /* its disk is full: send no entries until the next heartbeat */
   uint64_t offset;   /* of the snapshot chunk to send */
   uint64_t snapshot; /* index of the snapshot being sent */
   bool chunk_out;
@@ -46,7 +46,7 @@
   int64_t sent_at;
 };
 
-/* The members from `index` on. */
+/* The members of the group from `index` on. */
 struct raft_members_from
 {
   uint64_t index;
@@ -57,7 +57,7 @@
 {
   uint64_t token;
   uint64_t index;
-  uint64_t round; /* confirmed once a quorum gave this round back */
+  uint64_t round; /* confirmed once a quorum echoed this round */
 };
 
 struct raft_incoming
@@ -76,37 +76,37 @@
   struct rng rng;
   enum raft_role role;
   struct raft_state state;
-  struct raft_state stored_state; /* as last synced */
+  struct raft_state stored_state; /* last state synced to disk */
   bool state_changed;
   uint64_t leader;
   struct raft_log log;
   uint64_t commit;
   uint64_t applied;
-  struct raft_snapshot snapshot; /* the last stored one */
+  struct raft_snapshot snapshot; /* last stored snapshot */
   struct raft_members_from configs[RAFT_CONFIGS_MAX];
   uint32_t n_configs;
   bool hold;
   bool lost;
 
-  int64_t heard_at;    /* from a leader; no vote before heard_at + election_min */
-  int64_t election_at; /* when to stand, unless a leader is heard */
+  int64_t heard_at;    /* last message from a leader; no vote before heard_at + election_min */
+  int64_t election_at; /* start of the next election, unless a leader is heard first */
 
-  /* as a candidate */
+  /* candidate */
   uint64_t granted[RAFT_MEMBERS_MAX];
   uint32_t n_granted;
   bool by_transfer;
 
-  /* as a leader */
+  /* leader */
   struct raft_peer peers[RAFT_MEMBERS_MAX];
   uint32_t n_peers;
   uint64_t round;
   struct raft_round rounds[RAFT_ROUNDS];
   int64_t heartbeat_at;
-  int64_t quorum_at;     /* send time of the latest round a quorum gave back */
-  uint64_t quorum_round; /* that round */
+  int64_t quorum_at;     /* send time of quorum_round */
+  uint64_t quorum_round; /* latest round echoed by a quorum */
   int64_t elected_at;
-  uint64_t first_index; /* our no-op: reads and changes wait until it is committed */
-  bool lease_given_up;  /* a transfer was begun in this term */
+  uint64_t first_index; /* no-op of this term: reads and changes wait for its commit */
+  bool lease_given_up;  /* a transfer was started in this term */
   uint64_t transfer_to;
   int64_t transfer_until;
   bool transfer_sent;
@@ -116,21 +116,21 @@
   struct raft_read *reads_done;
   uint32_t n_reads_done;
   uint32_t reads_taken;
-  bool reads_new; /* some wait for a round that was not sent yet */
+  bool reads_new; /* some reads wait for a round that was not sent yet */
 
   struct raft_incoming incoming;
-  struct raft_install install; /* whole, to be stored */
+  struct raft_install install; /* the complete snapshot, to be stored */
   bool install_ready;
 
-  /* the ready that is out */
+  /* the ready returned by raft_poll() */
   bool ready_out;
   uint64_t ready_last;
   uint64_t ready_term;
-  struct raft_message **out; /* replies and votes, leave after the sync */
+  struct raft_message **out; /* replies and votes, sent after the sync */
   uint32_t n_out;
-  struct raft_message **early; /* appends of a leader */
+  struct raft_message **early; /* the leader's messages to its followers, sent before the sync */
   uint32_t n_early;
-  struct raft_message *spare; /* written to when memory is out, never sent */
+  struct raft_message *spare; /* stands in for a message when out of memory; never sent */
 };
 
 /* raft.c */
@@ -152,7 +152,7 @@
 void raft_count_own_vote (struct raft *raft, int64_t now);
 bool raft_votes_refused (const struct raft *raft, const struct raft_message *m, int64_t now);
 
-/* raft_replicate.c: the leader's side */
+/* raft_replicate.c: leader */
 void raft_lead (struct raft *raft, int64_t now);
 void raft_tick_leader (struct raft *raft, int64_t now);
 void raft_on_append_reply (struct raft *raft, const struct raft_message *m, int64_t now);
@@ -164,7 +164,7 @@
 void raft_new_round (struct raft *raft, int64_t now);
 void raft_drive_transfer (struct raft *raft);
 
-/* raft_follow.c: the follower's side */
+/* raft_follow.c: follower */
 void raft_on_append (struct raft *raft, const struct raft_message *m, int64_t now);
 void raft_on_lost (struct raft *raft, const struct raft_message *m);
 
--- a/src/raft_read.c
+++ b/src/raft_read.c
@@ -1,10 +1,11 @@
-/* Reads without a journal write: by lease, or by asking a quorum whether we still lead. */
+/* Linearizable reads without a log entry: by lease, or by confirming leadership with a quorum. */
 #include "raft_private.h"
 #include <string.h>
 #include <talloc.h>
 
-/* The followers who gave the round back vote for nobody for election_min after they got it, which
- * is after we sent it.  Their clocks may run faster and ours slower by drift_ppm each. */
+/* The followers that echoed the round vote for nobody for election_min after they received it,
+ * which is after the leader sent it.  Their clocks may run faster and the leader's slower, by up to
+ * drift_ppm each. */
 bool
 raft_lease_valid (const struct raft *raft, int64_t now)
 {
@@ -46,7 +47,8 @@
   grown = talloc_realloc (raft, raft->reads, struct raft_read_wait, raft->n_reads + 1);
   if (grown == NULL)
     return status_fail (STATUS_NO_MEMORY, "read");
-  /* What earlier leaders committed is known to be so once our own first entry is. */
+  /* Entries committed by earlier leaders are known to be committed only once the first entry of
+   * this term is. */
   index = raft->commit > raft->first_index ? raft->commit : raft->first_index;
   raft->reads = grown;
   raft->reads[raft->n_reads++] =
@@ -55,7 +57,7 @@
   return STATUS_OK;
 }
 
-/* Rounds grow along the list, so what is confirmed is at its front. */
+/* The list is ordered by round, so confirmed reads are at its front. */
 void
 raft_confirm_reads (struct raft *raft)
 {
--- a/src/raft_replicate.c
+++ b/src/raft_replicate.c
@@ -1,4 +1,4 @@
-/* The leader's side of replication: heartbeats, entries, acknowledgements, commit. */
+/* Replication on the leader: heartbeats, entries, acknowledgements, commit. */
 #include "raft_private.h"
 #include <string.h>
 #include <talloc.h>
@@ -12,7 +12,7 @@
   return NULL;
 }
 
-/* Have a record of each other member, keeping what is known of those that stay. */
+/* Rebuild the peer records from the current members; members that stay keep their state. */
 void
 raft_sync_peers (struct raft *raft)
 {
@@ -62,7 +62,8 @@
   raft_new_round (raft, now);
 }
 
-/* The `n`th largest of the voters' values, n the quorum: what a quorum has reached. */
+/* The highest value reached by a quorum: the nth largest of the voters' values, where n is the
+ * quorum. */
 static uint64_t
 quorum_value (const struct raft *raft, uint64_t own, uint64_t (*value) (const struct raft_peer *))
 {
@@ -98,7 +99,8 @@
   return peer->round;
 }
 
-/* An entry of an earlier term counts only with one of ours behind it (Raft, figure 8). */
+/* An entry of an earlier term is committed only through a later entry of the current term (Raft,
+ * figure 8). */
 void
 raft_advance_commit (struct raft *raft)
 {
@@ -124,8 +126,8 @@
   raft_confirm_reads (raft);
 }
 
-/* Number the heartbeats that go out now, so that what a quorum gives back dates its consent by the
- * time we sent, never by the time it arrived. */
+/* Start a heartbeat round.  Its number dates a quorum's acknowledgement by the time the round was
+ * sent, never by the time the replies arrived. */
 void
 raft_new_round (struct raft *raft, int64_t now)
 {
@@ -149,9 +151,9 @@
   advance_quorum_round (raft);
 }
 
-/* Without the consent of a quorum for the longest election time another leader may be at work, and
- * callers are better served by finding it: step down (check-quorum).  It also ends the rule of a
- * leader that can send but not hear. */
+/* Check-quorum: a leader not acknowledged by a quorum for the longest election timeout steps down,
+ * since another leader may have been elected and callers should look for it.  This also deposes a
+ * leader that can send but not receive. */
 void
 raft_tick_leader (struct raft *raft, int64_t now)
 {
@@ -189,7 +191,8 @@
   m->n_entries = m->entries == NULL ? 0 : n;
 }
 
-/* One append; false when the entries it needs are gone and a snapshot has to go first. */
+/* Send one append.  False when the entries before it are no longer in memory and a snapshot must be
+ * sent first. */
 static bool
 send_append (struct raft *raft, struct raft_peer *peer, bool entries)
 {
@@ -244,8 +247,8 @@
   return now - heard_at > raft->options.election_min;
 }
 
-/* A heartbeat to a member that may be gone, whatever it needs.  Entries or chunks to it would be
- * sent again with each heartbeat, and wait in the queue of its connection until memory is full. */
+/* Send a bare heartbeat to a silent member, whatever its state.  Entries or chunks would be sent
+ * again with each heartbeat and fill up the queue of its connection until memory runs out. */
 static void
 send_sign_of_life (struct raft *raft, struct raft_peer *peer)
 {
@@ -328,8 +331,8 @@
     }
 }
 
-/* The follower answers a message that we sent after we knew that it held `match`, and holds less
- * now: it lost what it said was stored. */
+/* The follower replies to a message sent after the leader knew that it held `match`, but now holds
+ * less: it lost entries that it had reported as stored. */
 static bool
 entries_lost (const struct raft_peer *peer, const struct raft_message *m)
 {
@@ -378,8 +381,8 @@
     }
 }
 
-/* Send the order to stand once the receiver holds everything.  The lease is given up first, for the
- * whole term: a delayed order could elect another at any later moment. */
+/* Send TimeoutNow once the receiver holds the whole log.  The lease is given up first, for the rest
+ * of the term, since a delayed TimeoutNow could elect another leader at any later time. */
 void
 raft_drive_transfer (struct raft *raft)
 {
@@ -394,10 +397,10 @@
   raft_send (raft, RAFT_TIMEOUT_NOW, raft->transfer_to);
 }
 
-/* Failure: two hosts shut down one after the other.  The second, the leader, offers its place to
- * the first, which holds everything and was heard a moment ago, and waits in vain.  Of two that
- * hold the same, the one heard last is the likelier to be there.  One without room for entries is
- * the last choice: it could not store its own first. */
+/* When two hosts shut down one after the other, the second one, the leader, could transfer to the
+ * first, which held the whole log and was heard a moment ago, and wait in vain.  Among voters with
+ * equal logs the one heard last is the most likely to be alive.  One with a full disk is the last
+ * choice, since it could not store its first entry. */
 static bool
 takes_over_better (const struct raft_peer *peer, const struct raft_peer *best)
 {
--- a/src/raft_snapshot.c
+++ b/src/raft_snapshot.c
@@ -1,4 +1,5 @@
-/* Snapshots to followers whose next entries are gone: chunk by chunk, one in flight. */
+/* Snapshot transfer to followers whose next entries are no longer in the log: chunk by chunk, one
+ * in flight. */
 #include "raft_private.h"
 
 #define SNAPSHOT_MAX (256u << 20)
@@ -14,7 +15,7 @@
   peer->n_in_flight = 0;
 }
 
-/* The driver fills `data` in when it sends. */
+/* The driver fills in `data` when it sends the message. */
 void
 raft_generate_chunk (struct raft *raft, struct raft_peer *peer)
 {
@@ -120,8 +121,8 @@
     }
 }
 
-/* The snapshot is stored and loaded: the log continues after it.  Entries that follow it and match
- * are kept, since some of them may have been acknowledged. */
+/* The snapshot is stored and loaded; the log continues after it.  Matching entries after it are
+ * kept, since some of them may have been acknowledged. */
 void
 raft_finish_install (struct raft *raft)
 {
