--- a/tests/group_harness.h
+++ b/tests/group_harness.h
@@ -1,4 +1,4 @@
-// A group of voters on virtual time, for stories told in steps.
+// Fixture with a simulated group of voters on virtual time.
 #ifndef GROUP_HARNESS_H
 #define GROUP_HARNESS_H
 
@@ -36,7 +36,7 @@
     talloc_free (group);
   }
 
-  // Propose `n` entries through `host`, one after the other; how many were committed.
+  // Proposes `n` entries through `host`, one after the other, and returns how many were committed.
   uint64_t
   propose (uint32_t host, int n)
   {
--- a/tests/unit_consensus.cc
+++ b/tests/unit_consensus.cc
@@ -1,4 +1,4 @@
-// Groups of voters through partitions, lost hosts, restarts and repair.
+// Groups of voters under partitions, lost hosts, restarts and repair.
 #include "group_harness.h"
 
 namespace
@@ -18,10 +18,10 @@
   EXPECT_TRUE (fake_group_await_equal (group, second));
 }
 
-// A switch fails without a sign and cuts the leader off for an hour.  Callers on its side must get
-// an end of their requests, callers on the other side a new leader within seconds, and what the old
-// one took in alone must not come back when the switch is mended.
-TEST_F (Group, LeaderCutOffForLongIsReplacedAndComesBackClean)
+// A partition isolates the leader for an hour.  Requests on its side must time out, requests on the
+// other side must reach a new leader within seconds, and entries that the old leader appended alone
+// must not reappear once the partition heals.
+TEST_F (Group, IsolatedLeaderIsReplacedAndRejoinsWithoutItsUncommittedEntries)
 {
   start (voters (3));
   uint32_t old = static_cast<uint32_t> (leader);
@@ -37,8 +37,8 @@
   EXPECT_EQ (propose (old, 5), 5u);
 }
 
-// A voter is cut off for an hour.  Nobody may notice when it comes back: no election, no pause.
-TEST_F (Group, VoterCutOffForLongComesBackWithoutAnElection)
+// A voter that was partitioned for an hour must rejoin without an election or a pause.
+TEST_F (Group, IsolatedVoterRejoinsWithoutAnElection)
 {
   struct fake_group_count before;
   struct fake_group_count after;
@@ -56,9 +56,9 @@
   EXPECT_EQ (after.elections, before.elections);
 }
 
-// The leader's messages arrive but what it is sent does not.  Its followers hear heartbeats and
-// would follow for ever, while nothing commits: it has to step down by itself.
-TEST_F (Group, LeaderThatCannotHearIsReplaced)
+// The leader can send but not receive.  Its followers still get heartbeats and would follow it for
+// ever while nothing commits, so it has to step down by itself.
+TEST_F (Group, LeaderThatCannotReceiveIsReplaced)
 {
   start (voters (3));
   uint32_t deaf = static_cast<uint32_t> (leader);
@@ -70,8 +70,8 @@
   EXPECT_TRUE (fake_group_await_equal (group, 5 * second));
 }
 
-// A disk dies, its host comes back with an empty one and is repaired; right after that a second
-// host is lost for good.  Everything committed has to be there still, and the group must go on.
+// A host returns with an empty disk and is repaired; right after that a second host is lost for
+// good.  Everything committed must survive, and the group must go on.
 TEST_F (Group, SecondHostLostRightAfterRepairLosesNothing)
 {
   start (voters (3));
@@ -90,9 +90,9 @@
   EXPECT_EQ (propose (first, 5), 5u);
 }
 
-// A host dies and stays dead.  Another host with a data folder waits; after the set time it takes
-// the place, without an operator, and the loss of one more voter is survived.
-TEST_F (Group, VoterGoneForTheSetTimeIsReplacedByAHostThatWaits)
+// A voter is lost for good.  After replace_after another host with a data folder must replace it
+// without an operator, and the group must then survive the loss of one more voter.
+TEST_F (Group, VoterSilentForReplaceAfterIsReplacedByAWaitingHost)
 {
   struct fake_group_config config = voters (3);
 
@@ -110,9 +110,9 @@
   EXPECT_EQ (propose (3, 5), 5u);
 }
 
-// More controllers are started than the group wants voters.  The spare ones answer targets,
-// operators and callers too, so each has to hold what was committed, and one that starts later as
-// well; and a voter that dies is replaced at once, as nothing has to be copied first.
+// More controllers run than the group wants voters.  The spare ones serve targets, operators and
+// callers too, so each must apply what was committed, also one that starts later; and a lost voter
+// is replaced at once, since nothing has to be copied first.
 TEST_F (Group, SpareHostsFollowTheLogWithoutAVote)
 {
   struct fake_group_config config = voters (3);
@@ -129,9 +129,9 @@
   EXPECT_TRUE (fake_group_whole (group));
 }
 
-// A spare host restarts with its folder, and another one with an empty one.  Both must follow again
-// within seconds, or the targets and callers that reach them get nothing.
-TEST_F (Group, SpareHostsThatRestartFollowAgain)
+// One spare host restarts with its folder, another one with an empty folder.  Both must follow the
+// log again within seconds, since the targets and callers that reach them get nothing until then.
+TEST_F (Group, RestartedSpareHostsFollowTheLogAgain)
 {
   struct fake_group_config config = voters (3);
 
@@ -150,10 +150,10 @@
   EXPECT_TRUE (fake_group_whole (group));
 }
 
-// Power is lost everywhere and comes back.  Until there is a leader no request is served; a voter
-// that keeps to a lease which nobody has would refuse its vote for a third of a second, and whoever
-// asked it too early would wait for a whole election time again.
-TEST_F (Group, StartOfAllFindsALeaderSoonWithoutLeases)
+// All hosts lose power and restart.  No request is served until a leader is elected.  A voter that
+// honours a lease although leases are off would refuse its vote for 350 ms, and a candidate that
+// asked too early would wait for another whole election timeout.
+TEST_F (Group, RestartOfAllElectsALeaderWithin400MsWithoutLeases)
 {
   for (uint64_t seed = 1; seed <= 20; seed++)
     {
@@ -176,9 +176,9 @@
     }
 }
 
-// A host was down while 500 changes piled up, and more than the snapshot keeps.  It must serve the
-// newest configuration within seconds of its start, by snapshot and by entries.
-TEST_F (Group, RestartAfterFiveHundredChangesPiledUp)
+// A host was down for 500 changes, more than the log keeps behind a snapshot.  It must serve the
+// newest configuration within seconds of its start, restored from a snapshot and entries.
+TEST_F (Group, HostRestartedAfterFiveHundredChangesCatchesUp)
 {
   struct fake_group_config config = voters (3);
 
@@ -191,8 +191,9 @@
   EXPECT_TRUE (fake_group_await_equal (group, 3 * second));
 }
 
-// All hosts lose power at once, in the middle of changes.  Whatever was answered as done is there.
-TEST_F (Group, PowerLossOfAllHostsLosesNothingThatWasAnswered)
+// All hosts lose power at once while entries are proposed.  Everything that was acknowledged must
+// survive.
+TEST_F (Group, PowerLossOfAllHostsKeepsAcknowledgedEntries)
 {
   start (voters (3));
   EXPECT_EQ (propose (0, 30), 30u);
@@ -207,9 +208,9 @@
   EXPECT_GE (fake_group_applied (group, 0), before);
 }
 
-// A graceful shutdown of the leader: another leads within a fraction of the time that an election
-// after a silence takes.
-TEST_F (Group, LeadershipIsHandedOverBeforeAShutdown)
+// Before a graceful shutdown of the leader another voter must lead within a fraction of an election
+// timeout.
+TEST_F (Group, LeadershipIsTransferredBeforeAShutdown)
 {
   start (voters (3));
   uint32_t old = static_cast<uint32_t> (leader);
@@ -223,10 +224,10 @@
   EXPECT_GE (fake_group_await_leader (group, second / 10), 0);
 }
 
-// A voter's host dies while the others have much to tell it.  What it needs must not be sent again
-// and again: it would fill the queue of its connection, and the link that every host may use for
-// control, until it is replaced.
-TEST_F (Group, DeadVoterCostsNoMoreThanHeartbeats)
+// A voter is down while the others have a backlog for it.  The backlog must not be sent again and
+// again until the voter is replaced: it would fill the queue of its connection, and the link that
+// hosts may use for control traffic.
+TEST_F (Group, LostVoterIsSentOnlyHeartbeats)
 {
   struct fake_group_count before;
   struct fake_group_count after;
@@ -235,13 +236,13 @@
   config.snapshot_entries = 50;
   config.entry_bytes = 4000;
   config.state_bytes = 100000;
-  for (int piled : { 20, 200 }) // held in memory still, and only in a snapshot
+  for (int piled : { 20, 200 }) // in the log, and only in a snapshot
     {
       talloc_free (group);
       start (config);
       uint32_t dead = other (static_cast<uint32_t> (leader));
       fake_group_stop (group, dead, true);
-      // The next leader never heard of it and does not know what it holds.
+      // The next leader has never heard from it and does not know its match index.
       ASSERT_EQ (
           consensus_voter_transfer (fake_group_consensus (group, static_cast<uint32_t> (leader)),
                                     fake_group_local (group, static_cast<uint32_t> (leader))),
--- a/tests/unit_consensus_disk.cc
+++ b/tests/unit_consensus_disk.cc
@@ -1,11 +1,11 @@
-// Groups of voters through disks that fill up, fail, or are put back.
+// Groups of voters with disks that fill up, fail, or are restored from older copies.
 #include "group_harness.h"
 
 namespace
 {
 
-// All data folders fill up.  Changes are refused with the reason, reads still work, and once there
-// is room changes are taken again; nothing that was answered is lost.
+// All disks fill up.  Changes must be refused with the reason while reads still work; once there is
+// space changes must be accepted again, and no acknowledged change may be lost.
 TEST_F (Group, FullDiskRefusesChangesAndStillReads)
 {
   struct fake_group_count counts;
@@ -29,9 +29,10 @@
   EXPECT_EQ (counts.reads_ok, 1u);
 }
 
-// Another process takes the last bytes between two looks at the free room, so that the write itself
-// fails.  The leader must not number other entries alike: it steps down and another takes over.
-TEST_F (Group, WriteWithoutRoomHandsTheLeadOver)
+// Another process uses the last free bytes between two checks of the free space, so that the write
+// itself fails.  The leader must not assign the same indices to other entries: it steps down and
+// another voter takes over.
+TEST_F (Group, FailedWriteOnAFullDiskMovesLeadership)
 {
   start (voters (3));
   uint32_t full = static_cast<uint32_t> (leader);
@@ -46,12 +47,11 @@
   EXPECT_TRUE (fake_group_await_equal (group, 5 * second));
 }
 
-// An operator reads version 36 at one controller, two seconds after another acknowledged 43, and
-// the one that tells 36 has itself acknowledged 48 a moment ago.  Its disk filled up under a
-// change: it gave the lead away, found no room for its vote either and stopped following.  It still
-// sent reads on to the leader and answered them, once confirmed there, with what it held itself.
-// "version 43 had been acked over 2000 ms before a read was sent; version 36 is read".
-TEST_F (Group, VoterWithoutRoomAnswersNoReadItDoesNotFollow)
+// The leader's disk filled up during a change: it lost leadership, could not store its vote either
+// and stopped following.  It still sent reads to the new leader for confirmation and then answered
+// them from its own stale state: version 36 was read two seconds after version 43 had been
+// acknowledged.
+TEST_F (Group, VoterWithAFullDiskAnswersNoStaleRead)
 {
   struct fake_group_config config = voters (3);
   config.no_lease = true;
@@ -72,11 +72,10 @@
   EXPECT_NE (fake_group_last_status (group), STATUS_OK);
 }
 
-// A disk is full for some seconds and nothing is wrong with it after.  Its voter found no room for
-// a vote in that time and stopped for good, so the next loss of a host would have left the group
-// without a quorum until somebody started the process again.
-// "voter stopped for good", status "disk full", what "storing".
-TEST_F (Group, VoterWithoutRoomForItsVoteGoesOnOnceThereIsRoom)
+// A disk is full for some seconds.  The voter could not store its vote in that time and stopped for
+// good, so the next loss of a host would have left the group without a quorum until an operator
+// restarted the process.  Seen as: "voter stopped for good", status "disk full", what "storing".
+TEST_F (Group, VoterThatCouldNotStoreItsVoteResumesOnceThereIsSpace)
 {
   start (voters (3));
   uint32_t full = static_cast<uint32_t> (leader);
@@ -86,7 +85,7 @@
   propose (full, 5);
   fake_group_run (group, 10 * second);
   EXPECT_EQ (propose (other (full), 5), 5u);
-  EXPECT_EQ (propose (full, 5), 5u); // taken here, stored by the others
+  EXPECT_EQ (propose (full, 5), 5u); // accepted here, stored by the others
   disk_fake_set_capacity (fake_group_disk (group, full), UINT64_MAX);
   disk_fake_set_reported (fake_group_disk (group, full), UINT64_MAX);
   EXPECT_TRUE (fake_group_await_equal (group, 5 * second));
@@ -95,10 +94,10 @@
   EXPECT_EQ (propose (full, 5), 5u);
 }
 
-// The leader's disk fills up and the leader sees it in time.  It refused every change for as long
-// as that lasted, five seconds, though both others had room. "configuration-replaced", outcome
-// "disk full", by all three controllers.
-TEST_F (Group, LeaderWithoutRoomHandsTheLeadToOneThatHasIt)
+// The leader's disk fills up and the leader notices in time.  It refused every change until space
+// was freed five seconds later, though both others had space.  Seen as: "configuration-replaced",
+// outcome "disk full", from all three controllers.
+TEST_F (Group, LeaderWithAFullDiskTransfersLeadershipToAVoterWithSpace)
 {
   start (voters (3));
   uint32_t full = static_cast<uint32_t> (leader);
@@ -109,9 +108,9 @@
   EXPECT_EQ (propose (other (full), 5), 5u);
 }
 
-// With one of three hosts lost, a leader without room is still needed: a vote from it may find no
-// room, and without any leader not even reads are answered.
-TEST_F (Group, LeaderWithoutRoomStaysWhereTheOthersAreNoQuorum)
+// With one of three hosts lost, a leader with a full disk must keep leading: it may be unable to
+// store a vote for the other one, and without a leader not even reads are answered.
+TEST_F (Group, LeaderWithAFullDiskKeepsLeadingWhenTheOthersAreNoQuorum)
 {
   struct fake_group_count before;
   struct fake_group_count after;
@@ -130,8 +129,8 @@
   EXPECT_EQ (after.elections, before.elections);
 }
 
-// A disk reports an error of a sync.  The system may have dropped the data and report success the
-// next time, so the voter stops for good; the others go on, and its callers are served by them.
+// A sync fails.  The system may have dropped the data and report success the next time, so the
+// voter must stop for good; the other voters go on and serve its callers.
 TEST_F (Group, FailedSyncStopsTheVoterForGood)
 {
   start (voters (3));
@@ -145,9 +144,9 @@
   EXPECT_TRUE (fake_group_await_equal (group, 5 * second));
 }
 
-// Someone restores a voter's folder from last night's backup.  Its entries and its vote are older
-// than what it told the others; it must not take part with them.
-TEST_F (Group, OlderFolderPutBackIsRefusedByTheRunningLeader)
+// A voter's data folder is restored from an older backup.  Its entries and its vote are older than
+// what the others know of, so it must not take part.
+TEST_F (Group, RestoredOlderFolderIsRefusedByTheRunningLeader)
 {
   start (voters (3));
   uint32_t host = other (static_cast<uint32_t> (leader));
@@ -162,8 +161,8 @@
   EXPECT_EQ (propose (other (host), 5), 5u);
 }
 
-// The same with several starts since the backup: others have heard of a later start of that folder.
-TEST_F (Group, OlderFolderIsRefusedByItsCountOfStarts)
+// The same after several starts since the backup: the others know a later start of that folder.
+TEST_F (Group, RestoredOlderFolderIsRefusedByItsStartCounter)
 {
   start (voters (3));
   uint32_t host = other (static_cast<uint32_t> (leader));
@@ -181,10 +180,10 @@
   EXPECT_EQ (consensus_voter_health (fake_group_consensus (group, host)), STATUS_CORRUPT);
 }
 
-// Power fails between any two operations on files, again and again, while snapshots are written and
-// the journal is cut behind them.  After each the voter starts again from its folder and holds
-// everything that was answered as done.
-TEST_F (Group, CrashBetweenAnyTwoFileOperationsOfASnapshot)
+// Power fails between any two file operations while snapshots are written and the journal is
+// truncated behind them.  After each crash the voter must start from its folder and hold every
+// acknowledged entry.
+TEST_F (Group, CrashBetweenFileOperationsOfASnapshotLosesNothing)
 {
   struct fake_group_config config = voters (1);
 
@@ -207,8 +206,8 @@
     }
 }
 
-// The same for a follower that gets snapshots from its leader.
-TEST_F (Group, CrashBetweenAnyTwoFileOperationsOfAReceivedSnapshot)
+// The same for a follower that receives snapshots from its leader.
+TEST_F (Group, CrashBetweenFileOperationsOfAReceivedSnapshotLosesNothing)
 {
   struct fake_group_config config = voters (3);
 
--- a/tests/unit_consensus_remote.cc
+++ b/tests/unit_consensus_remote.cc
@@ -1,4 +1,4 @@
-// A host without a disk, and the voters it asks: hints, silence, deadlines.
+// A host without a data folder and the voters it asks: leader hints, silent voters, deadlines.
 #include "consensus_client.h"
 #include "consensus_remote.h"
 #include <gtest/gtest.h>
@@ -134,7 +134,7 @@
   int64_t now = 1000000 * ms;
 };
 
-TEST_F (Remote, FollowsTheHintToTheLeader)
+TEST_F (Remote, RequestFollowsTheLeaderHint)
 {
   propose (5000 * ms);
   std::string first = port.sent[0].host;
@@ -145,14 +145,14 @@
   answer (leader, STATUS_OK, leader.c_str (), "done");
   EXPECT_EQ (caller.status, STATUS_OK);
   EXPECT_EQ (caller.result, "done");
-  // The next goes there at once.
+  // The next request goes to the leader directly.
   propose (5000 * ms);
   EXPECT_EQ (port.sent[2].host, leader);
 }
 
-// The voter asked dies, or a switch swallows what goes to it.  The request must not wait for it
-// until its deadline: another voter is asked, and no answer of either is lost or counted twice.
-TEST_F (Remote, SilentVoterIsLeftForAnother)
+// The voter asked fails or is unreachable.  The request must not wait for it until the deadline:
+// another voter is asked, and when both answer only one answer counts.
+TEST_F (Remote, RequestIsRetriedAtAnotherVoterAfterSilence)
 {
   propose (5000 * ms);
   std::string first = port.sent[0].host;
@@ -164,9 +164,9 @@
   EXPECT_EQ (caller.calls, 1);
 }
 
-// Two voters each take the other for the leader for a moment.  The request must not go to and fro
-// without a pause.
-TEST_F (Remote, VotersThatNameEachOtherDoNotKeepARequestCircling)
+// Two voters each take the other for the leader.  The request must not bounce between them without
+// a backoff.
+TEST_F (Remote, RequestBacksOffWhenVotersNameEachOtherAsLeader)
 {
   propose (5000 * ms);
   for (int i = 0; i < 100; i++)
@@ -175,7 +175,7 @@
   EXPECT_LT (port.sent.size (), 10u);
 }
 
-TEST_F (Remote, EndsAtTheDeadline)
+TEST_F (Remote, RequestTimesOutAtTheDeadline)
 {
   propose (300 * ms);
   wait (301 * ms);
@@ -185,7 +185,7 @@
   EXPECT_EQ (caller.calls, 1);
 }
 
-TEST_F (Remote, WithdrawnMeansNoAnswer)
+TEST_F (Remote, WithdrawnProposalIsNotAnswered)
 {
   propose (300 * ms);
   consensus->ops->withdraw (consensus, &caller.proposal);
@@ -194,10 +194,9 @@
   EXPECT_EQ (caller.calls, 0);
 }
 
-// A host without a data folder was told how far the log goes, and whoever took that for "read"
-// would have answered from a machine that is not there.  It is refused at once, and nobody is
-// asked.
-TEST_F (Remote, ReadsAreRefusedForWantOfAMachine)
+// A host without a data folder could be given a confirmed read index but has no state machine to
+// read from.  Reads must be refused at once, and no voter is asked.
+TEST_F (Remote, ReadsAreRefusedWithoutAStateMachine)
 {
   EXPECT_EQ (consensus->ops->read (consensus, &caller.proposal, now + 300 * ms, now),
              STATUS_UNSUPPORTED);
--- a/tests/unit_raft.cc
+++ b/tests/unit_raft.cc
@@ -1,4 +1,4 @@
-// Rules of the log that random walks seldom reach, step by step.
+// Rules of raft that the random walks of unit_raft_explore.cc seldom reach, step by step.
 #include "raft.h"
 #include <gtest/gtest.h>
 #include <talloc.h>
@@ -31,7 +31,7 @@
     talloc_free (raft);
   }
 
-  // Server 1, with a term and entries as a restart finds them.
+  // Creates server 1 with a term and entries, as after a restart.
   void
   restore (uint64_t term, const std::vector<uint64_t> &terms)
   {
@@ -57,7 +57,7 @@
       }
   }
 
-  // Store what is to be stored; the messages that left, by kind.
+  // Stores and sends everything pending; returns the kinds of the messages sent.
   std::vector<enum raft_message_kind>
   flush ()
   {
@@ -124,10 +124,10 @@
   int64_t now = 1000000 * ms;
 };
 
-// A setting that an operator was told is in force reverts.  A leader counts copies of an entry of
-// an earlier term as committed, dies, and a leader elected without that entry overwrites it (figure
-// 8 of the paper).  It may count only with an entry of its own term behind it.
-TEST_F (Raft, EntryOfAnEarlierTermIsNotCommittedByCountingCopies)
+// A leader counts copies of an entry of an earlier term as committed and fails, and a leader
+// elected without that entry overwrites it (figure 8 of the Raft paper): an acknowledged setting is
+// lost.  Such an entry commits only through a later entry of the current term.
+TEST_F (Raft, EntryOfAnEarlierTermIsNotCommittedByCountingReplicas)
 {
   restore (2, { 1, 2 });
   lead ();
@@ -137,8 +137,8 @@
   EXPECT_EQ (raft_committed (raft), 3u);
 }
 
-// Two changes of members by two leaders in a row, neither committed, can leave two majorities that
-// do not overlap.  A leader that has committed nothing in its term must not begin one.
+// Uncommitted membership changes by two successive leaders can lead to two majorities that do not
+// overlap.  A leader that has committed nothing in its term must not start one.
 TEST_F (Raft, MembersDoNotChangeBeforeTheLeaderHasCommitted)
 {
   struct raft_change change = {};
@@ -154,9 +154,9 @@
   EXPECT_EQ (raft_change_members (raft, &change), STATUS_AGAIN);
 }
 
-// A second host is lost right after a repair.  Had the new voter counted before it held everything,
-// what only the lost host and the old one held would be gone.
-TEST_F (Raft, LearnerIsNotPromotedBeforeItHoldsEverything)
+// A second host is lost right after a repair.  If a new voter counted before it had caught up,
+// entries held only by the lost host and the replaced one would be lost.
+TEST_F (Raft, LearnerIsNotPromotedBeforeItHasCaughtUp)
 {
   struct raft_change change = {};
 
@@ -174,9 +174,9 @@
   EXPECT_EQ (raft_change_members (raft, &change), STATUS_OK);
 }
 
-// A host that was cut off for an hour comes back and has itself elected again and again, and every
-// time requests stall.  Its pre-vote must not move the term of servers that hear a leader.
-TEST_F (Raft, PreVoteOfAServerThatWasCutOffDisturbsNobody)
+// A host that was partitioned for an hour returns and forces elections, and requests stall each
+// time.  Its pre-vote must not change the term of servers that hear a leader.
+TEST_F (Raft, PreVoteOfAPartitionedServerKeepsTermAndLeader)
 {
   restore (2, { 1, 2 });
   struct raft_message m = from (2, RAFT_APPEND);
@@ -194,8 +194,8 @@
   EXPECT_EQ (raft_leader (raft), 2u);
 }
 
-// A leader whose answers never arrive stays leader for its followers and for nobody else: it hears
-// no acknowledgements.  It steps down, so that one that is heard both ways can be elected.
+// A leader that receives no acknowledgements is still followed by the others.  It must step down,
+// so that a reachable server can be elected.
 TEST_F (Raft, LeaderThatHearsNoQuorumStepsDown)
 {
   restore (2, { 1, 2 });
@@ -210,7 +210,7 @@
   EXPECT_EQ (raft_role (raft), RAFT_FOLLOWER);
 }
 
-// A read by lease is answered without a message while a quorum was heard of late, and not after.
+// A lease read is answered without a message while a quorum was heard recently, and not later.
 TEST_F (Raft, LeaseEndsBeforeAnotherLeaderCanBeElected)
 {
   restore (2, { 1, 2 });
@@ -222,9 +222,9 @@
   EXPECT_FALSE (raft_lease_valid (raft, now));
 }
 
-// Two hosts shut down one after the other.  The second is the leader and offers its place to the
-// first, which held everything and was heard half a second ago; nobody stands, and the shutdown
-// sits out its bound.  The voter heard last is asked.
+// Two hosts shut down one after the other.  The second one, the leader, transfers to the first,
+// which had caught up and was heard half a second ago; no election follows, and the shutdown waits
+// for its timeout.  The voter heard last must be selected.
 TEST_F (Raft, LeadershipGoesToTheVoterHeardLast)
 {
   struct raft_ready ready;
@@ -250,8 +250,8 @@
   EXPECT_EQ (asked, 3u);
 }
 
-// An operator reads through a leader that has just been replaced and does not know.  An answer to a
-// heartbeat from before the read says nothing of whether it leads now.
+// An operator reads through a deposed leader.  A reply to a heartbeat sent before the read does not
+// prove that it still leads.
 TEST_F (Raft, ReadIsNotConfirmedByARoundSentBeforeIt)
 {
   struct raft_read read;
@@ -274,10 +274,10 @@
   EXPECT_TRUE (read.ok);
 }
 
-// An older copy of a data folder is put back and started while the leader stays the same.  The
-// voter answers with fewer entries than it had acknowledged; the leader tells it so and it stops
+// An older copy of a data folder is restored and started while the leader stays the same.  The
+// voter replies with fewer entries than it had acknowledged; the leader tells it so, and it stops
 // for good.
-TEST_F (Raft, FollowerThatLostWhatItAcknowledgedIsToldSo)
+TEST_F (Raft, FollowerThatLostAcknowledgedEntriesIsTold)
 {
   restore (2, { 1, 2 });
   lead ();
@@ -289,7 +289,7 @@
   m.index = 3;
   m.log_term = 2;
   m.last = 1;
-  m.round = 1; // an answer from before: proves nothing
+  m.round = 1; // a reply to an earlier message: proves nothing
   raft_step (raft, &m, now);
   EXPECT_TRUE (flush ().empty ());
   m.round = 2;
@@ -297,9 +297,9 @@
   EXPECT_EQ (flush (), (std::vector<enum raft_message_kind>{ RAFT_LOST }));
 }
 
-// A peer of another version, or damage on the way, must not reach the log: every cut of a message
-// is refused.
-TEST (RaftMessage, CutMessagesAreRefused)
+// Messages of another version or damaged in transit must not reach the log: every truncated message
+// is rejected.
+TEST (RaftMessage, TruncatedMessagesAreRejected)
 {
   struct raft_entry entries[2] = { { 6, 3, RAFT_ENTRY_DATA, 3, "abc" },
                                    { 7, 3, RAFT_ENTRY_NOOP, 0, nullptr } };
--- a/tests/unit_raft_explore.cc
+++ b/tests/unit_raft_explore.cc
@@ -1,11 +1,11 @@
-// Random walks through failures, the same seeds every time.
+// Random walks through failures, with fixed seeds.
 //
-// A walk proposes and reads while messages are dropped, delayed, doubled and reordered, links cut
-// one way or both, processes crash between any two file operations and lose what was not synced,
-// disks are lost and replaced, disks are slow and clocks part.  After each event: one leader a
-// term, every machine the same at the same entry, no read older than what was applied before it,
-// nobody under an identity that was lost.  At the end all is mended, and the group must become
-// whole.
+// A walk proposes and reads while messages are dropped, delayed, duplicated and reordered, links
+// fail in one or both directions, processes crash between any two file operations and lose what was
+// not synced, disks are lost and replaced, disks are slow and clocks drift.  After each event the
+// test checks: at most one leader per term, all state machines equal at the same entry, no read
+// older than what was applied before it, and no server under a lost id.  At the end all faults are
+// repaired, and the group must become whole.
 #include "explore.h"
 #include <gtest/gtest.h>
 #include <string>
@@ -16,7 +16,7 @@
 
 constexpr uint32_t steps = 300;
 
-// One test a walk, so that the run can share them out.
+// One test per walk, so that the test runner can run them in parallel.
 struct walk
 {
   uint32_t voters;
@@ -54,7 +54,7 @@
 {
 };
 
-TEST_P (Explore, BreaksNoRuleAndBecomesWhole)
+TEST_P (Explore, KeepsTheInvariantsAndRecovers)
 {
   const struct walk &walk = GetParam ();
   struct explore_config config = { .seed = walk.seed,
@@ -79,13 +79,13 @@
                           walk_name);
 INSTANTIATE_TEST_SUITE_P (NineVoters, Explore, testing::ValuesIn (first (9, 4)), walk_name);
 
-// Disks fill up and fail to sync beside all the rest.  Each read that is answered must show what
-// was applied anywhere before it began, whoever answers and in whatever state.
+// Disks also fill up and fail to sync.  Each answered read must return everything applied anywhere
+// before it began, whichever host answers and in whatever state.
 INSTANTIATE_TEST_SUITE_P (BadDisks,
                           Explore,
                           testing::ValuesIn (first (3, 15, false, true)),
                           walk_name);
-// Full disks have room for some writes more, so that any of several in a row is the one that fails.
+// Full disks still accept some writes, so that any write of a sequence may be the one that fails.
 INSTANTIATE_TEST_SUITE_P (TightDisks,
                           Explore,
                           testing::Values (walk{ 3, 1, false, true, 0, true },
@@ -95,7 +95,7 @@
                                            walk{ 5, 2, false, true, 0, true }),
                           walk_name);
 
-// Two hosts more follow the log, and take the place of voters that are silent for three seconds.
+// Two spare hosts follow the log and replace voters that are silent for three seconds.
 INSTANTIATE_TEST_SUITE_P (Spares,
                           Explore,
                           testing::ValuesIn (first (3, 10, false, true, 2)),
@@ -105,10 +105,10 @@
                           testing::ValuesIn (first (5, 6, false, true)),
                           walk_name);
 
-// An operator reads a setting back and sees the one before it.  The host restarts while its read is
-// on the way; the answer comes late and carries the number that the new process gave to a read of
-// its own, since numbers began at one at each start.
-INSTANTIATE_TEST_SUITE_P (LateAnswerToTheProcessBeforeIsNotTakenForOurs,
+// A read returned an older setting.  The host restarted with a read in progress; the late answer
+// carried the number that the new process had given to its own read, since numbers started at one
+// in each process.
+INSTANTIATE_TEST_SUITE_P (LateAnswerToThePreviousProcessIsIgnored,
                           Explore,
                           testing::Values (walk{ 3, 309, true },
                                            walk{ 3, 801, true },
@@ -120,9 +120,9 @@
                                            walk{ 9, 718, true }),
                           walk_name);
 
-// A voter refuses to start after a plain restart and says that its journal is damaged.  A new
-// leader had replaced entries from before the oldest segment; once a snapshot dropped the segment
-// that held the replaced ones, the replacements looked out of place.
+// A voter refused to start after an ordinary restart and reported a damaged journal.  A new leader
+// had replaced entries from before the oldest segment; once a snapshot dropped the segment with the
+// replaced entries, the replacements seemed out of order.
 INSTANTIATE_TEST_SUITE_P (ReplacedEntriesBehindADroppedSegmentAreReadBack,
                           Explore,
                           testing::Values (walk{ 3, 751, true },
@@ -135,10 +135,10 @@
                                            walk{ 9, 947, true }),
                           walk_name);
 
-// A host with a new disk is never taken in, and the group stays one voter short.  Its leader added
-// it and was cut off before that was committed; the host had the group's number from then on, and
-// the next leader took only hosts without one.
-INSTANTIATE_TEST_SUITE_P (HostWhoseAdditionWasLostIsTakenInLater,
+// A host with a new disk was never added, and the group stayed one voter short.  Its leader added
+// it and was partitioned before that was committed; the host had stored the group id by then, and
+// the next leader added only hosts without one.
+INSTANTIATE_TEST_SUITE_P (HostWhoseAdditionWasLostIsAddedLater,
                           Explore,
                           testing::Values (walk{ 3, 533, true },
                                            walk{ 3, 857, true },
