--- a/src/claim.h
+++ b/src/claim.h
@@ -1,7 +1,7 @@
-/* Claims on unrepeatable requests, as the request path sees them.
+/* Claims on non-idempotent requests: the interface of the request path.
  *
- * A claim is taken before the first byte goes to a target and settled with the outcome; a resend
- * of the same request gets the stored outcome and is never run again. */
+ * A claim is acquired before the first byte is sent to a target and settled with the outcome.  A
+ * resend of the same request gets the stored outcome and is never run again. */
 #ifndef CLAIM_H
 #define CLAIM_H
 
@@ -17,14 +17,14 @@
 
 /* name, text */
 #define CLAIM_VERDICT_LIST(X)                                                                      \
-  X (GRANTED, "granted")         /* the asker alone may run it */                                  \
-  X (SETTLED, "settled")         /* it ran: the outcome and answer are given */                    \
-  X (IN_FLIGHT, "in-flight")     /* another host or attempt holds it and lives */                  \
-  X (MISMATCH, "mismatch")       /* the same id with another body */                               \
-  X (UNKNOWN, "unknown")         /* its holder died after the claim: it may have run */            \
-  X (EXPIRED, "expired")         /* too old to tell: refused, not run now */                       \
-  X (FULL, "full")               /* no room for another claim: not run */                          \
-  X (UNREACHABLE, "unreachable") /* no quorum in time: not run by the asker */
+  X (GRANTED, "granted")         /* only this requester may run it */                              \
+  X (SETTLED, "settled")         /* it ran: the stored outcome and answer are returned */          \
+  X (IN_FLIGHT, "in-flight")     /* held by another host or attempt that is alive */               \
+  X (MISMATCH, "mismatch")       /* the same request id with another body */                       \
+  X (UNKNOWN, "unknown")         /* the holder died after claiming: it may have run */             \
+  X (EXPIRED, "expired")         /* past its retention: refused, not run */                        \
+  X (FULL, "full")               /* the claim table is full: not run */                            \
+  X (UNREACHABLE, "unreachable") /* no quorum before the deadline: not run here */
 
 enum claim_verdict
 {
@@ -46,7 +46,7 @@
 {
   struct claim_key key;
   uint8_t body_hash[CLAIM_HASH_SIZE];
-  int64_t issued_at_ms; /* wall clock at the caller's first send as far as known, for retention */
+  int64_t issued_at_ms; /* first send, wall clock, as far as known; for retention; 0: unknown */
 };
 
 struct claim_answer
@@ -54,14 +54,14 @@
   enum claim_verdict verdict;
   int code;            /* HTTP status of the stored outcome, for CLAIM_SETTLED */
   const char *outcome; /* "whole", "failed" or "unknown", for CLAIM_SETTLED */
-  const void *body;    /* the whole stored answer; valid during the call */
+  const void *body;    /* the complete stored answer; valid during the call */
   size_t body_length;
 };
 
 struct claim_waiter
 {
   const struct claim_waiter_ops *ops;
-  void *owner; /* the claims' own bookkeeping */
+  void *owner; /* private to the implementation */
 };
 
 struct claim_waiter_ops
@@ -76,15 +76,17 @@
 
 struct claims_ops
 {
-  /* answered() comes exactly once, not during the call, unless withdrawn. */
+  /* answered() is called exactly once, after this call has returned, unless the waiter is
+   * withdrawn first. */
   enum status (*take) (struct claims *claims,
                        const struct claim_request *request,
                        struct claim_waiter *waiter,
                        int64_t deadline,
                        int64_t now);
 
-  /* Store the outcome; repeated by the claims until it is in the log or the host goes.  answered()
-   * comes to `waiter` when it is there, not during the call; NULL where nobody waits. */
+  /* Store the outcome.  Retried internally until it is applied or the process ends.  answered() of
+   * `waiter` is called once it is applied, after this call has returned; `waiter` may be NULL.
+   * STATUS_NOT_FOUND when this host holds no such claim. */
   enum status (*settle) (struct claims *claims,
                          const struct claim_key *key,
                          int code,
@@ -94,7 +96,7 @@
                          struct claim_waiter *waiter,
                          int64_t now);
 
-  /* Give a granted claim back: nothing was sent to any target. */
+  /* Release a granted claim: nothing was sent to any target. */
   enum status (*release) (struct claims *claims, const struct claim_key *key, int64_t now);
   void (*withdraw) (struct claims *claims, struct claim_waiter *waiter);
 };
--- a/src/claim_entry.c
+++ b/src/claim_entry.c
@@ -1,4 +1,4 @@
-/* The codec of claims. */
+/* Encoding and decoding of claim entries and results. */
 #include "claim_entry.h"
 #include "store_pack.h"
 
--- a/src/claim_entry.h
+++ b/src/claim_entry.h
@@ -1,4 +1,4 @@
-/* What claims put into the log, and the machine's answer. */
+/* Log entries of claims, and the results of the claim state machine. */
 #ifndef CLAIM_ENTRY_H
 #define CLAIM_ENTRY_H
 
@@ -14,18 +14,18 @@
 #define CLAIM_KEY_SIZE 16 /* BLAKE2b of organisation and request id */
 #define CLAIM_OUTCOME_SIZE 16
 
-/* Written into entries: never renumbered. */
+/* Stored in log entries: never renumbered. */
 enum claim_op
 {
   CLAIM_TAKE = 0,
   CLAIM_SETTLE = 1,
   CLAIM_RELEASE = 2,
-  CLAIM_STARTED = 3, /* a host's process began: its earlier epochs hold nothing more */
-  CLAIM_GONE = 4,    /* another host says that this epoch of the holder is dead */
+  CLAIM_STARTED = 3, /* a host's process started: its earlier epochs are over */
+  CLAIM_GONE = 4,    /* another host declares this epoch of the holder dead */
   CLAIM_OP_COUNT
 };
 
-/* Who holds a claim: a host, and the epoch of its process, which grows at each start. */
+/* The holder of a claim: a host and the epoch of its process, which increases at each start. */
 struct claim_holder
 {
   char host[RESOURCE_NAME_SIZE];
@@ -36,25 +36,25 @@
 {
   enum claim_op op;
   struct claim_holder holder;
-  char host[RESOURCE_NAME_SIZE]; /* the proposer, */
-  int64_t time_ms;               /* and its wall clock */
+  char host[RESOURCE_NAME_SIZE]; /* of the proposer */
+  int64_t time_ms;               /* wall clock of the proposer */
   uint8_t key[CLAIM_KEY_SIZE];
-  uint64_t take_id; /* of one take: within the holder's epoch no other has it */
+  uint64_t take_id; /* unique to one acquire within the holder's epoch */
   uint8_t body_hash[CLAIM_HASH_SIZE];
-  int64_t issued_at_ms; /* 0 for not known */
+  int64_t issued_at_ms; /* 0 when unknown */
   int64_t retention_ms;
   uint32_t code;
   char outcome[CLAIM_OUTCOME_SIZE];
-  const void *body; /* in the entry when decoded */
+  const void *body; /* points into the packed entry after decoding */
   size_t body_length;
 };
 
 struct claim_result
 {
   enum claim_verdict verdict;
-  bool fenced;                /* the asker's epoch was declared dead: take a new one */
+  bool fenced;                /* the requester's epoch is over: retry under a new one */
   struct claim_holder holder; /* for CLAIM_IN_FLIGHT */
-  uint32_t code;              /* the rest for CLAIM_SETTLED */
+  uint32_t code;              /* this and all below for CLAIM_SETTLED */
   char outcome[CLAIM_OUTCOME_SIZE];
   bool body_kept;
   const void *body;
--- a/src/claim_job.c
+++ b/src/claim_job.c
@@ -1,4 +1,4 @@
-/* One claim of this host on its way through the log. */
+/* One claim operation of this host in the replicated log. */
 #include "claim_job.h"
 #include "container.h"
 #include "store_group.h"
@@ -9,8 +9,7 @@
 #define TRY_WITHIN (USEC_PER_SEC)
 #define PAUSE_FIRST (USEC_PER_SEC / 20)
 #define PAUSE_MAX (USEC_PER_SEC)
-#define LOOK_MARGIN                                                                                \
-  (USEC_PER_SEC / 10) /* an in-flight answer comes this long before the deadline */
+#define LOOK_MARGIN (USEC_PER_SEC / 10) /* in-flight is answered this long before the deadline */
 #define UNLISTED_GONE_AFTER (60 * USEC_PER_SEC)
 
 /* uthash's macros are long; the functions are not.
@@ -58,8 +57,8 @@
   talloc_free (job);
 }
 
-/* The asker has its answer.  A copy of the take that is still on its way must not be granted once
- * the present holder gives the claim back. */
+/* The requester has its answer.  A copy of a timed-out acquire may still be applied, and must not
+ * be granted once the present holder has released the claim. */
 static void
 finish (struct claim_job *job, int64_t now)
 {
@@ -72,7 +71,7 @@
   claim_job_propose (job, now);
 }
 
-/* Tell the waiter.  The job may be gone after the call. */
+/* Answer the waiter.  The job may be freed during the call. */
 static void
 answer (struct claim_job *job, const struct claim_answer *claim_answer, int64_t now)
 {
@@ -94,7 +93,7 @@
   claim_job_propose (job, now);
 }
 
-/* The asker is told nothing more: the claim, if there is one, goes back. */
+/* The requester gets no more answers; release the claim if it may have been granted. */
 static void
 give_up (struct claim_job *job, int64_t now)
 {
@@ -109,7 +108,8 @@
 {
   const struct claim_answer unreached = { .verdict = CLAIM_UNREACHABLE };
 
-  /* First: a resend that the answer provokes must not find the claim held by nobody. */
+  /* Propose the release before the answer: the answer can provoke a resend, which must not find the
+   * claim held by a requester that has given up. */
   if (job->maybe_held || job->uncertain)
     {
       struct claim_waiter *waiter = job->waiter;
@@ -139,7 +139,6 @@
   timer_arm (job->log->config.timers, &job->timer, due);
 }
 
-/* The entry of the step. */
 static void
 pack_step (struct claim_job *job, struct bytes *out, int64_t now)
 {
@@ -189,8 +188,8 @@
     claim_job_propose (job, now);
 }
 
-/* Is it known that this epoch of the holder is over?  A host that the board does not list counts
- * as gone only after this process has had time to learn of all hosts. */
+/* True when this epoch of the holder is known to be over.  A host that is not on the board counts
+ * as dead only after UNLISTED_GONE_AFTER, when this process has had time to learn of all hosts. */
 static bool
 holder_gone (const struct claim_log *log, const struct claim_holder *holder, int64_t now)
 {
@@ -225,8 +224,8 @@
     }
 }
 
-/* Our epoch was declared dead while we live: go on under a new one.  The old take may be in the
- * log, and nothing was sent for it, so it is released first. */
+/* The epoch of this process was declared dead although it is alive: continue under a new one.  The
+ * old acquire may be in the log and nothing was sent for it, so it is released first. */
 static void
 fenced (struct claim_job *job, int64_t now)
 {
@@ -238,7 +237,7 @@
   claim_job_propose (job, now);
 }
 
-/* An answer that was not kept must not pass for a whole one. */
+/* An answer whose body was not stored is reported as failed, never as complete. */
 static void
 settled (struct claim_job *job, const struct claim_result *result, int64_t now)
 {
--- a/src/claim_job.h
+++ b/src/claim_job.h
@@ -1,4 +1,4 @@
-/* One claim of this host on its way through the log: its steps, repeats and answers. */
+/* One claim operation of this host in the replicated log: its steps, retries and answers. */
 #ifndef CLAIM_JOB_H
 #define CLAIM_JOB_H
 
@@ -9,18 +9,18 @@
 
 BEGIN_DECLS
 
-#define CLAIM_EPOCH_SHIFT 8 /* an incarnation's epochs: 256 times declared dead at most */
+#define CLAIM_EPOCH_SHIFT 8 /* 2^8 epochs an incarnation; each time declared dead uses one */
 
-/* What a job is about to have applied, or waits for. */
+/* The entry that a job proposes, or what it waits for. */
 enum job_step
 {
-  JOB_TAKE,    /* until answered */
-  JOB_GONE,    /* says that the holder is dead, then takes again */
-  JOB_HELD,    /* granted: waits for settle or release */
+  JOB_TAKE,    /* until answered or the deadline passes */
+  JOB_GONE,    /* declares the holder dead, then acquires again */
+  JOB_HELD,    /* granted: waits for settle() or release() */
   JOB_SETTLE,  /* until applied */
   JOB_RELEASE, /* until applied, then done */
-  JOB_REFRESH, /* a release under an epoch that is over, then takes again under the new one */
-  JOB_STARTED  /* tells a group that this process began */
+  JOB_REFRESH, /* releases under the fenced epoch, then acquires under a new one */
+  JOB_STARTED  /* announces the start of this process to a group */
 };
 
 struct claim_job
@@ -32,18 +32,18 @@
   struct proposal proposal;
   struct timer timer;
   struct claim_waiter *waiter;        /* NULL once answered or withdrawn */
-  struct claim_waiter *settle_waiter; /* told when the settle is in the log; NULL for none */
+  struct claim_waiter *settle_waiter; /* notified when the settle is applied; NULL for none */
   struct consensus *group;
   enum job_step step;
-  bool proposed;   /* done() will come */
-  bool maybe_held; /* a take of ours was proposed */
-  bool uncertain;  /* a take of ours timed out: it may be in the log yet */
-  bool listed;     /* in the table of granted claims */
+  bool proposed;   /* done() is pending */
+  bool maybe_held; /* an acquire was proposed, so it may have been granted */
+  bool uncertain;  /* an acquire timed out: it may still be applied */
+  bool listed;     /* is in the hash table of granted claims */
   int64_t deadline;
   int64_t pause;
-  struct claim_entry entry; /* of the take; op and more are set as the step needs */
+  struct claim_entry entry; /* of the acquire; settle() and pack_step() fill in the rest */
   struct claim_holder gone;
-  char *body; /* of the settle */
+  char *body; /* of the settle; owned by the job */
 };
 
 struct claim_log
@@ -67,14 +67,14 @@
                                  struct consensus *group);
 void claim_job_set_step (struct claim_job *job, enum job_step step);
 
-/* Propose the entry of the job's step, and go on from its answer. */
+/* Propose the entry of the job's step; its result moves the job to the next step. */
 void claim_job_propose (struct claim_job *job, int64_t now);
 
-/* Give the claim back, if it is or will be ours. */
+/* Release the claim, whether it is granted already or by a late entry. */
 void claim_job_release (struct claim_job *job, int64_t now);
 void claim_job_end (struct claim_job *job);
 
-/* The granted claims are found by key. */
+/* A granted claim of this host by its key; NULL when there is none. */
 struct claim_job *claim_job_find_granted (const struct claim_log *log,
                                           const uint8_t key[CLAIM_KEY_SIZE]);
 void claim_job_unlist (struct claim_job *job);
--- a/src/claim_log.c
+++ b/src/claim_log.c
@@ -113,7 +113,7 @@
   return STATUS_OK;
 }
 
-/* The claim may be granted all the same; it then goes back. */
+/* A claim that is granted after this call is released. */
 static void
 withdraw (struct claims *claims, struct claim_waiter *waiter)
 {
@@ -123,7 +123,7 @@
   if (job == NULL)
     return;
   waiter->owner = NULL;
-  /* The settle itself goes on. */
+  /* The settle itself continues. */
   if (job->settle_waiter == waiter)
     {
       job->settle_waiter = NULL;
@@ -133,7 +133,7 @@
   if (!job->proposed && !job->maybe_held && !job->uncertain)
     claim_job_end (job);
   else if (!job->proposed)
-    claim_job_set_step (job, JOB_RELEASE); /* its timer is armed */
+    claim_job_set_step (job, JOB_RELEASE); /* the armed retry timer proposes the release */
 }
 
 static const struct claims_ops claims_ops = {
--- a/src/claim_machine.h
+++ b/src/claim_machine.h
@@ -1,9 +1,10 @@
-/* The claims' state machine: at most one grant a request, remembered for its retention.
+/* The state machine of claims: at most one grant per request, kept for its retention.
  *
- * States of a claim: held by a host's epoch, settled with its outcome, released (nothing was sent;
- * may be taken again), expired (its outcome is forgotten; it is refused, not run).  A claim held by
- * an epoch that is over, because the host started anew or was declared gone, reads as unknown: its
- * holder may have sent it.  Its settling is still taken should the holder live after all. */
+ * A claim is held by an epoch of a host, settled with its outcome, released (nothing was sent; it
+ * may be acquired again) or expired (its outcome is forgotten; the request is refused, not run).  A
+ * claim held by an epoch that is over, because the host restarted or was declared dead, reads as
+ * unknown: its holder may have sent the request.  If the holder was alive after all, its settle is
+ * still accepted. */
 #ifndef CLAIM_MACHINE_H
 #define CLAIM_MACHINE_H
 
@@ -17,12 +18,12 @@
 #define CLAIM_ANSWER_BYTES_MAX (24u << 20)
 #define CLAIM_HOLDERS_MAX 4096
 
-/* The same on every replica of a group: they decide what the machine answers.  A zero takes the
- * bound above. */
+/* Must be the same on every replica of a group, since results depend on them.  0 selects the bound
+ * above. */
 struct claim_machine_config
 {
-  uint32_t count_max;      /* claims and those expired of late */
-  size_t answer_bytes_max; /* of all stored answers; over it an outcome is kept without */
+  uint32_t count_max;      /* claims, including expired ones that are still remembered */
+  size_t answer_bytes_max; /* of all stored answers; beyond it only outcomes are stored */
 };
 
 struct claim_machine;
--- a/src/claim_table.c
+++ b/src/claim_table.c
@@ -1,4 +1,4 @@
-/* Holders and claims. */
+/* The tables of holders and claims. */
 #include "claim_table.h"
 #include "text.h"
 #include <talloc.h>
@@ -43,7 +43,8 @@
   table_remove (table->host_entries, host->handle);
 }
 
-/* The host used longest ago that no claim names; a host that comes back is only known anew. */
+/* Drop the least recently used host that no claim refers to.  If that host returns, it is added
+ * again. */
 static void
 make_room_for_host (struct claim_table *table)
 {
@@ -153,7 +154,7 @@
   return record;
 }
 
-/* The record is in no list. */
+/* The caller has removed the record from its list. */
 static void
 remove_record (struct claim_table *table, struct claim_record *record)
 {
@@ -185,7 +186,7 @@
   if (length == 0)
     return;
   record->body = talloc_memdup (table, body, length);
-  /* A replica that lost an answer would differ from the others. */
+  /* Abort: a replica without this answer would diverge from the others. */
   INVARIANT (record->body != NULL);
   record->body_length = (uint32_t) length;
   table->answer_bytes += length;
@@ -337,7 +338,8 @@
     }
 }
 
-/* A record whose host is not in the table yet is refused: the order of use must stay as saved. */
+/* A record whose host is not in the table is refused: adding the host here would change the saved
+ * order of use. */
 static struct claim_record *
 load_new_record (struct claim_table *table, struct pack_reader *in)
 {
--- a/src/claim_table.h
+++ b/src/claim_table.h
@@ -1,5 +1,5 @@
-/* The tables under the claims' state machine: holders and claims, in orders that are the same on
- * every replica. */
+/* The tables of the claim state machine: holders and claims, in an order that is the same on every
+ * replica. */
 #ifndef CLAIM_TABLE_H
 #define CLAIM_TABLE_H
 
@@ -20,27 +20,27 @@
   CLAIM_STATE_COUNT
 };
 
-/* A take that its asker gave up: a late copy of its entry must find this. */
+/* An acquire that its requester abandoned: a late copy of its entry is refused. */
 struct claim_abandoned
 {
   uint64_t epoch;
   uint64_t take_id;
 };
 
-#define CLAIM_ABANDONED_MAX 128 /* of a host, the latest; copies are seconds late at most */
+#define CLAIM_ABANDONED_MAX 128 /* the latest of each host; copies are late by seconds at most */
 
-/* A host as the claims know it. */
+/* A host that holds or held claims. */
 struct claim_host
 {
   UT_hash_handle hh;
-  struct claim_host *prev; /* in the order of last use */
+  struct claim_host *prev; /* in order of last use */
   struct claim_host *next;
   struct handle handle;
   char name[RESOURCE_NAME_SIZE];
-  uint64_t epoch;                    /* the latest; earlier ones are over */
-  uint64_t gone_upto;                /* epochs declared dead */
-  uint32_t claims;                   /* that name it */
-  struct claim_abandoned *abandoned; /* a ring, NULL while empty */
+  uint64_t epoch;                    /* the latest seen; earlier ones are over */
+  uint64_t gone_upto;                /* epochs up to this one are declared dead */
+  uint32_t claims;                   /* number of records that refer to it */
+  struct claim_abandoned *abandoned; /* ring buffer; NULL while empty */
   uint32_t n_abandoned;
   uint32_t next_abandoned;
 };
@@ -48,7 +48,7 @@
 struct claim_record
 {
   UT_hash_handle hh;
-  struct claim_record *prev; /* in the order of expiry */
+  struct claim_record *prev; /* in order of expiry */
   struct claim_record *next;
   struct claim_host *host;
   struct handle handle;
@@ -79,11 +79,11 @@
   size_t answer_bytes;
 };
 
-/* Freed with `parent`.  NULL when memory is out. */
+/* Freed with `parent`.  NULL when out of memory. */
 struct claim_table *claim_table_new (void *parent, uint32_t records_max, uint32_t hosts_max);
 void claim_table_clear (struct claim_table *table);
 
-/* The host, added when it is not known; NULL when there is no room. */
+/* Find or add the host and mark it as used.  NULL when the table is full. */
 struct claim_host *claim_table_host (struct claim_table *table, const char *name);
 
 void claim_table_abandon (struct claim_table *table,
@@ -95,7 +95,7 @@
 struct claim_record *claim_table_find (const struct claim_table *table,
                                        const uint8_t key[CLAIM_KEY_SIZE]);
 
-/* A record of that key in the live list; NULL when there is no room. */
+/* Add a record with that key to the live list; NULL when the table is full. */
 struct claim_record *claim_table_add (struct claim_table *table,
                                       const uint8_t key[CLAIM_KEY_SIZE],
                                       struct claim_host *host);
@@ -106,11 +106,11 @@
                            size_t length);
 void claim_table_drop_body (struct claim_table *table, struct claim_record *record);
 
-/* A live record expires at `expires_ms` instead, after all others. */
+/* Move a live record to the end of the expiry order, with a new expiry time. */
 void claim_table_renew (struct claim_table *table, struct claim_record *record, int64_t expires_ms);
 
-/* Turn what is due into an expired record, which is kept for its retention once more so that a
- * late resend is refused; then forget it. */
+/* Mark records that are due as expired, and remove those that have been expired for another
+ * retention.  Until then a late resend is refused. */
 void claim_table_expire (struct claim_table *table, int64_t now_ms);
 
 void claim_table_save (const struct claim_table *table, struct bytes *out);
