--- a/src/journal.c
+++ b/src/journal.c
@@ -1,4 +1,4 @@
-/* Writing the journal. */
+/* Writing of the journal. */
 #include "journal.h"
 #include "journal_format.h"
 #include "journal_private.h"
@@ -74,7 +74,8 @@
   format_put (words + SEGMENT_CHECKSUM * 8, XXH3_64bits (header, SEGMENT_HEADER_SIZE - 8));
 }
 
-/* Full is a failure like any other here: the journal must not go on without its next segment. */
+/* STATUS_DISK_FULL is returned like any other error; the callers decide whether to continue with
+ * the segments that exist. */
 enum status
 journal_begin_segment (struct journal *journal, uint32_t flags)
 {
@@ -98,7 +99,7 @@
   if (segment == NULL)
     {
       disk->ops->close (disk, file);
-      return status_fail (STATUS_NO_MEMORY, "journal segment");
+      return status_fail (STATUS_NO_MEMORY, "no memory for a journal segment");
     }
   segment->bytes = sizeof header;
   if (journal->file >= 0)
@@ -136,7 +137,7 @@
   format_put (record, record_checksum (record, size, journal->id, synced + start));
 }
 
-/* The batch starts from what is stored. */
+/* An empty batch starts from the stored state. */
 static void
 begin_batch (struct journal *journal)
 {
@@ -174,7 +175,7 @@
   return status == STATUS_DISK_FULL ? STATUS_IO : status;
 }
 
-/* Take back a write for which there was no room.  Nothing of it was synced or acknowledged. */
+/* Truncate a write that did not fit on the disk; no part of it was synced or acknowledged. */
 static enum status
 take_back (struct journal *journal, uint64_t length)
 {
@@ -183,7 +184,7 @@
   bytes_clear (&journal->batch);
   if (status != STATUS_OK)
     return fail_for_good (journal, status);
-  return status_fail (STATUS_DISK_FULL, "no room in the data folder");
+  return status_fail (STATUS_DISK_FULL, "no space left in the data folder");
 }
 
 enum status
@@ -194,9 +195,9 @@
   enum status status;
 
   if (journal->failed)
-    return status_fail (STATUS_IO, "the journal failed before");
+    return status_fail (STATUS_IO, "an earlier write to the journal failed");
   if (bytes_failed (&journal->batch))
-    return fail_for_good (journal, status_fail (STATUS_NO_MEMORY, "journal batch"));
+    return fail_for_good (journal, status_fail (STATUS_NO_MEMORY, "no memory for a journal batch"));
   if (journal->batch.length == 0)
     return STATUS_OK;
   status = disk->ops->append (disk, journal->file, journal->batch.data, journal->batch.length);
@@ -213,7 +214,7 @@
   bytes_clear (&journal->batch);
   if (segment->bytes < journal->segment_bytes)
     return STATUS_OK;
-  /* Without room for the next segment this one grows on. */
+  /* On a full disk the current segment keeps growing. */
   status = journal_begin_segment (journal, 0);
   if (status != STATUS_OK && status != STATUS_DISK_FULL)
     return fail_for_good (journal, status);
@@ -247,13 +248,13 @@
   enum status status;
 
   if (journal->failed)
-    return status_fail (STATUS_IO, "the journal failed before");
+    return status_fail (STATUS_IO, "an earlier write to the journal failed");
   INVARIANT (journal->batch.length == 0);
   journal->last_index = index;
   journal->last_term = term;
   status = journal_begin_segment (journal, SEGMENT_RESET);
-  /* Nothing was begun: the segments that are there go on, and a start finds the snapshot beside
-   * them as after a crash between the two. */
+  /* No segment was created: the existing ones stay in use.  The next start finds the snapshot
+   * together with them, as after a crash between storing the snapshot and the reset. */
   if (status == STATUS_DISK_FULL)
     {
       journal->last_index = last_index;
@@ -267,7 +268,7 @@
   return status;
 }
 
-/* Oldest first and in order, so that a crash leaves a run of segments without a hole. */
+/* Removes the oldest first, so that a crash leaves a contiguous sequence of segments. */
 enum status
 journal_drop (struct journal *journal, uint64_t index)
 {
--- a/src/journal_format.h
+++ b/src/journal_format.h
@@ -1,4 +1,4 @@
-/* The bytes of the journal's files: little-endian words, XXH3 checksums. */
+/* File format of the journal: little-endian 64-bit words and XXH3 checksums. */
 #ifndef JOURNAL_FORMAT_H
 #define JOURNAL_FORMAT_H
 
@@ -14,30 +14,30 @@
 #define JOURNAL_NAME_FORMAT JOURNAL_NAME_PREFIX "%016" PRIx64
 #define JOURNAL_ALIGN 8u
 
-/* Segment header: magic, version (4), flags (4), then words. */
-#define SEGMENT_RESET 1u /* what earlier segments hold does not count */
+/* Segment header: magic, version (4 bytes), flags (4 bytes), then the words below. */
+#define SEGMENT_RESET 1u /* entries of earlier segments are discarded */
 enum segment_word
 {
   SEGMENT_ID,
   SEGMENT_PREV_INDEX, /* the last entry before the segment */
   SEGMENT_PREV_TERM,
-  SEGMENT_TERM, /* the voter's state when the segment began */
+  SEGMENT_TERM, /* the voter's state when the segment was created */
   SEGMENT_VOTE,
   SEGMENT_CHECKSUM,
   SEGMENT_WORDS
 };
 #define SEGMENT_HEADER_SIZE (JOURNAL_MAGIC_SIZE + 8 + SEGMENT_WORDS * 8)
 
-/* Record header: words; payload and padding behind.  The checksum is over all that follows it and
- * is seeded with the voter's id and the record's offset. */
+/* Record: the header words below, payload, padding.  The checksum covers the rest of the record and
+ * is seeded with the voter's id xor the record's offset. */
 #define RECORD_STATE 1u
 #define RECORD_ENTRY 2u
 enum record_word
 {
   RECORD_CHECKSUM,
-  RECORD_LENGTH, /* of the payload; kind << 32, entry kind << 48 */
-  RECORD_SYNCED, /* the segment was synced up to here when this was written */
-  RECORD_INDEX,  /* of the entry; for a state the vote */
+  RECORD_LENGTH, /* payload bytes | record kind << 32 | entry kind << 48 */
+  RECORD_SYNCED, /* length of the synced part of the segment at the time of writing */
+  RECORD_INDEX,  /* of an entry; the vote for RECORD_STATE */
   RECORD_TERM,
   RECORD_WORDS
 };
--- a/src/journal_identity.c
+++ b/src/journal_identity.c
@@ -24,7 +24,9 @@
   in.failed |= pack_read_array (&in, IDENTITY_FIELDS) != IDENTITY_FIELDS;
   version = pack_read_uint (&in, UINT64_MAX);
   if (!in.failed && version > IDENTITY_VERSION)
-    return status_fail (STATUS_UNSUPPORTED, "data folder of format %u", (unsigned) version);
+    return status_fail (STATUS_UNSUPPORTED,
+                        "data folder has format %u, newer than this program supports",
+                        (unsigned) version);
   out->id = pack_read_uint (&in, UINT64_MAX);
   out->group = pack_read_uint (&in, UINT64_MAX);
   out->starts = pack_read_uint (&in, UINT64_MAX);
--- a/src/journal_private.h
+++ b/src/journal_private.h
@@ -1,4 +1,4 @@
-/* What the files of the journal share. */
+/* Declarations shared by the source files of the journal. */
 #ifndef JOURNAL_PRIVATE_H
 #define JOURNAL_PRIVATE_H
 
@@ -19,11 +19,11 @@
   struct raft_state state;
   uint64_t last_index;
   uint64_t last_term;
-  struct journal_segment *segments; /* oldest first; the last is written to */
+  struct journal_segment *segments; /* oldest first; records go to the last */
   uint32_t n_segments;
-  int file; /* of the last segment, -1: none */
+  int file; /* of the last segment; -1 for none */
   struct bytes batch;
-  struct raft_state batch_state; /* what the batch will make of state, last_index, last_term */
+  struct raft_state batch_state; /* state, last_index and last_term once the batch is stored */
   uint64_t batch_index;
   uint64_t batch_term;
   bool failed;
--- a/src/journal_replay.c
+++ b/src/journal_replay.c
@@ -1,4 +1,4 @@
-/* Reading the journal back at a start. */
+/* Replay of the journal at a start. */
 #include "journal_format.h"
 #include "journal_private.h"
 #include <inttypes.h>
@@ -53,7 +53,7 @@
                       offset, what);
 }
 
-/* The size of the whole, undamaged record at `offset`, 0 when there is none. */
+/* The size of the complete record with a valid checksum at `offset`; 0 when there is none. */
 static size_t
 valid_record (const struct journal *journal, const struct bytes *file, uint64_t offset)
 {
@@ -73,7 +73,7 @@
   return size;
 }
 
-/* Does any record after the bad one at `bad` prove that it had been synced? */
+/* True when a later record proves that the bad record at `bad` had been synced. */
 static bool
 was_synced (const struct journal *journal, const struct bytes *file, uint64_t bad)
 {
@@ -100,10 +100,12 @@
     return corrupt (number, 0, "no segment header");
   version = format_get (file->data + JOURNAL_MAGIC_SIZE);
   if ((uint32_t) version > JOURNAL_VERSION)
-    return status_fail (STATUS_UNSUPPORTED, "journal format %u", (uint32_t) version);
+    return status_fail (STATUS_UNSUPPORTED,
+                        "journal has format %u, newer than this program supports",
+                        (uint32_t) version);
   if (format_get (words + SEGMENT_CHECKSUM * 8)
       != XXH3_64bits (file->data, SEGMENT_HEADER_SIZE - 8))
-    return corrupt (number, 0, "bad checksum of the header");
+    return corrupt (number, 0, "the checksum of the header does not match");
   if (format_get (words + SEGMENT_ID * 8) != journal->id)
     return corrupt (number, 0, "it belongs to another voter");
   prev_index = format_get (words + SEGMENT_PREV_INDEX * 8);
@@ -111,11 +113,11 @@
   if (first || (version >> 32 & SEGMENT_RESET) != 0)
     raft_log_reset (&found->log, prev_index, prev_term);
   else if (prev_index != raft_log_last (&found->log))
-    return corrupt (number, 0, "it does not continue the segment before");
+    return corrupt (number, 0, "it does not continue the previous segment");
   found->state.term = format_get (words + SEGMENT_TERM * 8);
   found->state.vote = format_get (words + SEGMENT_VOTE * 8);
   if (journal_push_segment (journal, number, prev_index) == NULL)
-    return status_fail (STATUS_NO_MEMORY, "journal segment");
+    return status_fail (STATUS_NO_MEMORY, "no memory for a journal segment");
   return STATUS_OK;
 }
 
@@ -129,9 +131,9 @@
   uint64_t entry_kind = format_get (record + RECORD_LENGTH * 8) >> 48;
 
   if (index > raft_log_last (&found->log) + 1 || index == 0 || entry_kind >= RAFT_ENTRY_KIND_COUNT)
-    return status_fail (STATUS_CORRUPT, "journal entry %" PRIu64 " out of place", index);
-  /* A leader replaced entries from before this segment, and the segment that held the replaced ones
-   * was dropped since, below a snapshot: what the header says came before is not so any more. */
+    return status_fail (STATUS_CORRUPT, "journal entry %" PRIu64 " is out of sequence", index);
+  /* A leader replaced entries from before this segment, and the segment with the replaced ones was
+   * removed since, below a snapshot: the header's previous entry no longer holds. */
   if (index <= found->log.base_index)
     {
       raft_log_reset (&found->log, index, format_get (record + RECORD_TERM * 8));
@@ -209,7 +211,7 @@
   return status;
 }
 
-/* Write on in the last segment, without what a crash left of an unfinished write. */
+/* Open the last segment for writing and truncate an unfinished write. */
 static enum status
 continue_last (struct journal *journal, uint64_t torn_bytes)
 {
@@ -227,15 +229,15 @@
     }
   if (torn_bytes > 0)
     status = disk->ops->truncate (disk, journal->file, segment->bytes);
-  /* Also without a torn tail: a record that was written but not synced before the crash may be
-   * read back now and still be lost by the next power cut. */
+  /* Needed also without a torn tail: a record that was written but not synced before the crash may
+   * be readable now and still be lost in a power failure. */
   if (status == STATUS_OK)
     status = disk->ops->sync (disk, journal->file);
   return status;
 }
 
-/* The log has to reach the snapshot; when it was cut short of it, or has another entry in its
- * place, a crash came between storing a leader's snapshot and resetting the journal. */
+/* The log must contain the snapshot's last entry.  When it ends before it, or has another entry at
+ * that index, a crash came between storing a leader's snapshot and resetting the journal. */
 static enum status
 join_snapshot (struct journal *journal,
                const struct raft_snapshot *snapshot,
@@ -265,12 +267,13 @@
   raft_log_init (&found->log, 0, 0);
   status = journal->disk->ops->list (journal->disk, collect, &numbers);
   if (status == STATUS_OK && numbers.failed)
-    status = status_fail (STATUS_CORRUPT, "a journal segment with a strange name");
+    status = status_fail (STATUS_CORRUPT, "journal segment name is not \"" JOURNAL_NAME_PREFIX
+                                          "\" and a hexadecimal number");
   if (numbers.n > 0)
     qsort (numbers.list, numbers.n, sizeof numbers.list[0], compare_numbers);
   for (uint32_t i = 0; status == STATUS_OK && i < numbers.n; i++)
     if (i > 0 && numbers.list[i] != numbers.list[i - 1] + 1)
-      status = corrupt (numbers.list[i], 0, "the segment before it is missing");
+      status = corrupt (numbers.list[i], 0, "the previous segment is missing");
     else
       status = replay_segment (journal, numbers.list[i], i == 0, i + 1 == numbers.n, found);
   talloc_free (numbers.list);
@@ -278,7 +281,7 @@
   if (status != STATUS_OK || found->fresh)
     {
       if (status == STATUS_OK && snapshot->index > 0)
-        status = status_fail (STATUS_CORRUPT, "a snapshot without a journal");
+        status = status_fail (STATUS_CORRUPT, "there is a snapshot but no journal segment");
       return status;
     }
   journal->state = found->state;
--- a/src/snapshot.c
+++ b/src/snapshot.c
@@ -1,4 +1,4 @@
-/* Snapshots of the machine in files. */
+/* Snapshot files of the state machine. */
 #include "snapshot.h"
 #include "journal_format.h"
 #include <inttypes.h>
@@ -14,13 +14,13 @@
 #define FILE_MAX (512u << 20)
 #define STALE_MAX 8
 
-/* After magic and version (4) with the members' length (4). */
+/* Words after the magic, the version (4 bytes) and the length of the members (4 bytes). */
 enum header_word
 {
   WORD_INDEX,
   WORD_TERM,
   WORD_LENGTH,
-  WORD_CHECKSUM, /* of the header before it and the members after it */
+  WORD_CHECKSUM, /* of the header before this word and the members after it */
   WORD_COUNT
 };
 #define HEADER_SIZE (MAGIC_SIZE + 8 + WORD_COUNT * 8)
@@ -41,7 +41,7 @@
 
   if (length < CHECKSUM_SIZE
       || format_get (data + length - CHECKSUM_SIZE) != XXH3_64bits (data, length - CHECKSUM_SIZE))
-    return status_fail (STATUS_CORRUPT, "bad checksum of a snapshot");
+    return status_fail (STATUS_CORRUPT, "the checksum of a snapshot does not match");
   *data_length = length - CHECKSUM_SIZE;
   return STATUS_OK;
 }
@@ -54,7 +54,7 @@
   return XXH3_64bits_withSeed (file + HEADER_SIZE, members_length, seed);
 }
 
-/* Header and members; the payload comes behind. */
+/* Header and members; the payload follows. */
 static void
 write_head (const struct raft_snapshot *snapshot, struct bytes *out)
 {
@@ -141,11 +141,13 @@
   enum status status;
 
   if (file->length < HEADER_SIZE || format_get (file->data) != MAGIC)
-    return status_fail (STATUS_CORRUPT, "a snapshot without a header");
+    return status_fail (STATUS_CORRUPT, "a snapshot has no valid header");
   version = format_get (file->data + MAGIC_SIZE);
   members_length = version >> 32;
   if ((uint32_t) version > VERSION)
-    return status_fail (STATUS_UNSUPPORTED, "snapshot format %u", (uint32_t) version);
+    return status_fail (STATUS_UNSUPPORTED,
+                        "snapshot has format %u, newer than this program supports",
+                        (uint32_t) version);
   out->index = format_get (words + WORD_INDEX * 8);
   out->term = format_get (words + WORD_TERM * 8);
   out->length = format_get (words + WORD_LENGTH * 8);
@@ -200,6 +202,6 @@
   snprintf (name, sizeof name, NAME_FORMAT, snapshot->index);
   status = disk->ops->read (disk, name, head + offset, length, out);
   if (status == STATUS_OK && out->length - before != length)
-    status = status_fail (STATUS_CORRUPT, "a snapshot is shorter than it was");
+    status = status_fail (STATUS_CORRUPT, "a snapshot file is shorter than expected");
   return status;
 }
--- a/src/snapshot.h
+++ b/src/snapshot.h
@@ -1,4 +1,4 @@
-/* Snapshots of the machine in files, each there wholly or not at all. */
+/* Snapshot files of the state machine, each written atomically. */
 #ifndef SNAPSHOT_H
 #define SNAPSHOT_H
 
@@ -10,22 +10,22 @@
 
 BEGIN_DECLS
 
-/* Close a payload: append the checksum that travels with it, to the disk and to other voters. */
+/* Append the checksum that is stored and sent to other voters with the payload. */
 void snapshot_seal (struct bytes *payload);
 
-/* The length without the checksum; STATUS_CORRUPT when it does not match. */
+/* Verify the checksum and return the length without it; STATUS_CORRUPT when it does not match. */
 enum status snapshot_check (const void *payload, size_t length, size_t *data_length);
 
-/* Store a sealed payload; on success older snapshots are removed. */
+/* Store a payload with its checksum; on success older snapshots are removed. */
 enum status snapshot_store (struct disk *disk,
                             const struct raft_snapshot *snapshot,
                             const void *payload);
 
-/* The newest one.  STATUS_NOT_FOUND when there is none, STATUS_CORRUPT when it is damaged: an older
- * one would not do, since the journal no longer reaches back. */
+/* Load the newest snapshot.  STATUS_NOT_FOUND when there is none, STATUS_CORRUPT when it is
+ * damaged: an older one cannot replace it, since the journal no longer reaches back to that. */
 enum status snapshot_load (struct disk *disk, struct raft_snapshot *out, struct bytes *payload);
 
-/* A part of a stored payload, appended to `out`. */
+/* Append a part of a stored payload to `out`. */
 enum status snapshot_read (struct disk *disk,
                            const struct raft_snapshot *snapshot,
                            uint64_t offset,
