--- a/src/claim_machine.c
+++ b/src/claim_machine.c
@@ -1,4 +1,4 @@
-/* The claims' state machine. */
+/* The state machine of claims. */
 #include "claim_machine.h"
 #include "claim_table.h"
 #include "store_clock.h"
@@ -17,7 +17,7 @@
   uint64_t refused_full;
 };
 
-/* An epoch that was declared dead, or is followed by another, takes nothing more. */
+/* An epoch is over once it was declared dead or a later one was seen; it cannot acquire. */
 static bool
 epoch_over (const struct claim_host *host, uint64_t epoch)
 {
@@ -95,7 +95,7 @@
            struct claim_result *result)
 {
   if (same_take (record, host, entry))
-    return CLAIM_GRANTED; /* the same take again: its answer was lost */
+    return CLAIM_GRANTED; /* a retry whose first answer was lost */
   if (epoch_over (record->host, record->epoch))
     return CLAIM_UNKNOWN;
   text_copy_cut (result->holder.host, sizeof result->holder.host, record->host->name);
@@ -113,7 +113,7 @@
   if (record->state == CLAIM_STATE_EXPIRED)
     return CLAIM_EXPIRED;
   if (record->state == CLAIM_STATE_RELEASED && same_take (record, host, entry))
-    return CLAIM_UNREACHABLE; /* given up by its asker before this entry came */
+    return CLAIM_UNREACHABLE; /* abandoned by its requester before this entry was applied */
   if (memcmp (record->body_hash, entry->body_hash, sizeof record->body_hash) != 0)
     return CLAIM_MISMATCH;
   if (record->state == CLAIM_STATE_HELD)
@@ -136,8 +136,8 @@
 {
   struct claim_record *record = claim_table_find (machine->table, entry->key);
 
-  /* Failure guarded against: a host cut off for long is declared dead, and its take arrives late.
-   * Granted now, the claim would read as unknown at once although its holder runs it. */
+  /* A partitioned host is declared dead, and its acquire is applied late.  If it were granted, the
+   * claim would read as unknown at once although its holder is running the request. */
   if (epoch_over (host, entry->holder.epoch))
     {
       result->fenced = true;
@@ -151,7 +151,7 @@
   return take_again (machine, record, host, entry, result);
 }
 
-/* The verdict tells the settler that it can stop repeating. */
+/* Every verdict ends the retries of the settling host. */
 static enum claim_verdict
 settle (struct claim_machine *machine, struct claim_host *host, const struct claim_entry *entry)
 {
@@ -168,9 +168,9 @@
   return CLAIM_SETTLED;
 }
 
-/* A take that its asker gave up may still be on its way, also when another host holds the claim by
- * now and may release it later: the release leaves a mark for it to find, or the claim would be
- * held with nobody to run or settle it. */
+/* An acquire that its requester abandoned may still be applied, also after another host has
+ * acquired and released the claim.  The release records it as abandoned, so that it is refused;
+ * otherwise the claim would be held with no host to run or settle it. */
 static enum claim_verdict
 release (struct claim_machine *machine, struct claim_host *host, const struct claim_entry *entry)
 {
@@ -257,7 +257,7 @@
   (void) index;
   pack_reader_init (&in, data, length);
   if (pack_read_uint (&in, UINT64_MAX) != CLAIM_FORMAT)
-    return status_fail (STATUS_UNSUPPORTED, "snapshot of claims has another format");
+    return status_fail (STATUS_UNSUPPORTED, "snapshot of claims has an unsupported format");
   store_clock_load (&self->clock, &in);
   claim_table_load (self->table, &in);
   return store_read_end (&in);
--- a/src/store.c
+++ b/src/store.c
@@ -1,4 +1,4 @@
-/* The resources' state machine. */
+/* The state machine of the resources. */
 #include "board.h"
 #include "store_private.h"
 #include "text.h"
@@ -6,9 +6,9 @@
 #include <utlist.h>
 
 #define STORE_FORMAT 1
-#define STORE_FENCE_MAX (UINT64_C (1) << 52) /* a target that states more is not believed */
+#define STORE_FENCE_MAX (UINT64_C (1) << 52) /* a larger number stated by a target is ignored */
 
-/* No more of a kind than the board can hold. */
+/* The capacity of the board for each kind. */
 static const uint32_t kind_limits[] = {
   [RESOURCE_PIPELINE] = BOARD_PIPELINES_MAX, [RESOURCE_SERVICE] = BOARD_PIPELINES_MAX,
   [RESOURCE_POOL] = BOARD_POOLS_MAX,         [RESOURCE_ORGANISATION] = BOARD_ORGANISATIONS_MAX,
@@ -21,7 +21,7 @@
 {
   uint32_t count = store->objects.kinds[kind].count;
 
-  /* They share a table of the board. */
+  /* Pipelines and services share a table of the board. */
   if (kind == RESOURCE_PIPELINE || kind == RESOURCE_SERVICE)
     count = store->objects.kinds[RESOURCE_PIPELINE].count
             + store->objects.kinds[RESOURCE_SERVICE].count;
@@ -59,7 +59,7 @@
   listener->ops->replaced (listener);
 }
 
-/* A service and a pipeline of one name would be one entry of the board. */
+/* A service and a pipeline with the same name would be the same entry of the board. */
 static bool
 name_taken (const struct store *store, const struct store_change *change)
 {
@@ -70,7 +70,7 @@
   return false;
 }
 
-/* The name of a reference that does not resolve, NULL when all do. */
+/* The name of the first reference that does not resolve; NULL when all do. */
 static const char *
 missing_reference (const struct store *store, const struct store_change *change)
 {
@@ -113,7 +113,7 @@
   return object == NULL ? STORE_CREATED : STORE_CHANGED;
 }
 
-/* Replace a text; false when it already was so. */
+/* Replace a text; false when it is unchanged. */
 static bool
 set_text (struct store_object *object, char **text, const struct store_change *change)
 {
@@ -136,7 +136,7 @@
   object->n_references = change->n_references;
 }
 
-/* Carry out a checked change. */
+/* Apply a change that check() has accepted. */
 static struct store_object *
 carry_out (struct store *store,
            const struct store_change *change,
@@ -208,7 +208,7 @@
   store_answer_pack (&answer, result);
 }
 
-/* Above every number given out, and above the one that a target is known to have seen. */
+/* The fencing number is above all issued before, and above the one that a target has seen. */
 static void
 answer_fence (struct store *store, const struct store_change *change, struct bytes *result)
 {
@@ -220,7 +220,7 @@
   store_answer_pack (&answer, result);
 }
 
-/* The id is known: its first answer, or a refusal. */
+/* Answer to a known change id: its first answer, or a refusal when the body differs. */
 static void
 answer_again (const struct store *store,
               const struct bytes *first,
@@ -309,7 +309,7 @@
   store_objects_init (&objects, store);
   pack_reader_init (&in, data, length);
   if (pack_read_uint (&in, UINT64_MAX) != STORE_FORMAT)
-    return status_fail (STATUS_UNSUPPORTED, "snapshot of resources has another format");
+    return status_fail (STATUS_UNSUPPORTED, "snapshot of resources has an unsupported format");
   store->revision = pack_read_uint (&in, UINT64_MAX);
   store->fence = pack_read_uint (&in, UINT64_MAX);
   store_clock_load (&store->clock, &in);
--- a/src/store.h
+++ b/src/store.h
@@ -1,7 +1,7 @@
-/* The resources: a deterministic state machine, its history, and who listens to its changes.
+/* The resource store: a deterministic state machine, its change history and its listeners.
  *
- * On a voter the log feeds it through store_machine(); on a host that follows, config_follow.c
- * feeds it with the events a voter sends.  Either way every change is one revision. */
+ * On a voter the log applies entries through store_machine(); on a follower, config_follow.c
+ * applies the events that a voter sends.  Either way every change is one revision. */
 #ifndef STORE_H
 #define STORE_H
 
@@ -19,13 +19,13 @@
 #define STORE_HISTORY_EVENTS_MAX 4096
 #define STORE_HISTORY_BYTES_MAX (4u << 20)
 
-/* The same on every voter: they decide what the machine answers.  A zero takes the bound above. */
+/* Must be the same on every voter, since answers depend on them.  0 selects the bound above. */
 struct store_config
 {
   uint32_t change_ids_max;
   size_t change_id_bytes_max;
   int64_t change_id_keep_ms;
-  uint32_t history_events_max; /* of this host alone */
+  uint32_t history_events_max; /* this and the next may differ between hosts */
   size_t history_bytes_max;
 };
 
@@ -34,10 +34,10 @@
 
 struct store_listener_ops
 {
-  /* After the change; the event is valid during the call. */
+  /* Called after a change; the event is valid during the call. */
   void (*changed) (struct store_listener *listener, const struct store_event *event);
 
-  /* Anything may have changed: read it all. */
+  /* Any object may have changed: read all of them again. */
   void (*replaced) (struct store_listener *listener);
 };
 
@@ -47,7 +47,7 @@
   struct store_listener *next;
 };
 
-/* Freed with `parent`.  NULL when memory is out. */
+/* Freed with `parent`.  NULL when out of memory. */
 struct store *store_new (void *parent, const struct store_config *config);
 
 /* Entries are packed `struct store_change`, results packed `struct store_answer`. */
@@ -58,7 +58,7 @@
                                        enum resource_kind kind,
                                        const char *name);
 
-/* The first object whose name sorts after `name`, "" for the first of all. */
+/* The first object whose name sorts after `name`; "" gives the first of all. */
 const struct store_object *store_after (const struct store *store,
                                         enum resource_kind kind,
                                         const char *name);
@@ -67,11 +67,13 @@
 void store_listen (struct store *store, struct store_listener *listener);
 void store_unlisten (struct store *store, struct store_listener *listener);
 
-/* A follower's side: the next change.  STATUS_CONFLICT when it is not the revision after ours. */
+/* Follower: apply the next change.  STATUS_CONFLICT when it is not the revision after the current
+ * one. */
 enum status store_follow (struct store *store, const struct store_event *event);
 
-/* A follower's side: all objects anew, in any order, each as an event of its last revision.
- * STATUS_CONFLICT from the end, and nothing changed, when `revision` is older than ours. */
+/* Follower: replace all objects, added in any order, each as an event of its last revision.
+ * store_replace_end() returns STATUS_CONFLICT, and changes nothing, when `revision` is older than
+ * the current one. */
 void store_replace_begin (struct store *store);
 void store_replace_add (struct store *store, const struct store_event *event);
 enum status store_replace_end (struct store *store, uint64_t revision);
--- a/src/store_clock.c
+++ b/src/store_clock.c
@@ -1,4 +1,4 @@
-/* The log's own time. */
+/* Log time. */
 #include "store_clock.h"
 #include "text.h"
 
@@ -14,7 +14,7 @@
   clock->n_seen = kept;
 }
 
-/* The host's slot, a free one, or that of the host heard longest ago. */
+/* The host's slot, a free one, or that of the host whose last entry is the oldest. */
 static uint32_t
 slot_of (struct store_clock *clock, const char *host)
 {
--- a/src/store_clock.h
+++ b/src/store_clock.h
@@ -1,9 +1,10 @@
-/* The log's own time: deterministic, and not moved by one host's wrong clock.
+/* Log time: deterministic, and not affected by a wrong clock on one host.
  *
- * Entries carry their proposer's wall clock as data.  The log's time is the second latest of what
- * the hosts that proposed lately stated (the latest when only one did), and never goes back.
- * Failure guarded against: one host's clock jumps ahead by a day; every claim and change id would
- * expire at once and a resend would run again.  Two hosts' clocks must agree before time moves. */
+ * Entries carry their proposer's wall clock as data.  The log time is the second latest of the
+ * times stated by recent proposers (the latest when there is only one), and never decreases.  If
+ * one host's clock jumped ahead by a day and the log time followed it, every claim and change id
+ * would expire at once and a resend would run again; so two hosts must state a time before it
+ * counts. */
 #ifndef STORE_CLOCK_H
 #define STORE_CLOCK_H
 
@@ -14,7 +15,7 @@
 BEGIN_DECLS
 
 #define STORE_CLOCK_HOSTS 8
-#define STORE_CLOCK_WINDOW 256 /* entries after which a silent host's time no longer counts */
+#define STORE_CLOCK_WINDOW 256 /* entries until the time of a silent host is dropped */
 
 struct store_clock
 {
--- a/src/store_entry.c
+++ b/src/store_entry.c
@@ -1,4 +1,4 @@
-/* The codec of changes and answers. */
+/* Encoding and decoding of changes and answers. */
 #include "store_entry.h"
 #include "store_pack.h"
 #include <string.h>
--- a/src/store_entry.h
+++ b/src/store_entry.h
@@ -1,8 +1,8 @@
-/* A change of a resource as it goes into the log, and the machine's answer.
+/* Log entries that change a resource, and the state machine's answers.
  *
- * The proposer parses and checks the spec and lists its references; the machine compares versions
- * and references only.  So hosts of different releases, which may check specs differently, still
- * apply one entry to the same result. */
+ * The proposer parses and validates the spec and lists its references; the state machine compares
+ * versions and references only.  So hosts of different releases, which may validate specs
+ * differently, still get the same result from an entry. */
 #ifndef STORE_ENTRY_H
 #define STORE_ENTRY_H
 
@@ -13,15 +13,15 @@
 
 BEGIN_DECLS
 
-#define STORE_CHANGE_ID_SIZE 129 /* with the NUL */
+#define STORE_CHANGE_ID_SIZE 129 /* including the NUL */
 #define STORE_BODY_HASH_SIZE 16
 
 enum store_op
 {
   STORE_PUT,
   STORE_DELETE,
-  STORE_STATUS, /* replaces the status; the generation stays */
-  STORE_FENCE,  /* no object: the answer's revision is a fencing number above `version` */
+  STORE_STATUS, /* replaces the status; keeps the generation */
+  STORE_FENCE,  /* no object; the answer's revision is a fencing number above `version` */
   STORE_OP_COUNT
 };
 
@@ -35,12 +35,12 @@
   struct resource_reference references[RESOURCE_REFERENCES_MAX];
   uint32_t n_references;
   bool has_version;
-  uint64_t version; /* that the object must have; 0: it must not exist */
-  bool again;       /* the proposer repeats after a conflict: do not remember that answer */
+  uint64_t version; /* required revision of the object; 0: it must not exist */
+  bool again;       /* the proposer retries after a conflict: do not store that answer */
   char change_id[STORE_CHANGE_ID_SIZE]; /* "" for none */
   uint8_t body_hash[STORE_BODY_HASH_SIZE];
-  char host[RESOURCE_NAME_SIZE]; /* the proposer, */
-  int64_t time_ms;               /* and its wall clock */
+  char host[RESOURCE_NAME_SIZE]; /* of the proposer */
+  int64_t time_ms;               /* wall clock of the proposer */
 };
 
 /* name, HTTP status, message */
@@ -72,9 +72,9 @@
 struct store_answer
 {
   enum store_verdict verdict;
-  bool resent;       /* the first answer to this change id, given again */
+  bool resent;       /* this is the stored answer to an earlier change with the same id */
   uint64_t revision; /* of the store after the change was first applied */
-  const char *text;  /* the object as JSON, or the name of the other object; in the input */
+  const char *text; /* the object as JSON, or the name of the other object; points into the input */
   size_t length;
 };
 
--- a/src/store_group.c
+++ b/src/store_group.c
@@ -1,4 +1,4 @@
-/* One log, several machines. */
+/* Several state machines on one log. */
 #include "store_group.h"
 #include "store_pack.h"
 #include <string.h>
@@ -21,8 +21,8 @@
   bytes_append (entry, &byte, 1);
 }
 
-/* An entry for a part that is not here changes nothing and gives an empty result: a malformed
- * entry must leave every replica alike, not stop them all. */
+/* An entry for an unknown part changes nothing and has an empty result: a malformed entry must have
+ * the same effect on every replica, not stop them all. */
 static void
 apply (
     struct machine *machine, uint64_t index, const void *entry, size_t length, struct bytes *result)
@@ -77,7 +77,7 @@
 
   pack_reader_init (&in, data, length);
   if (pack_read_uint (&in, UINT64_MAX) != GROUP_FORMAT)
-    return status_fail (STATUS_UNSUPPORTED, "snapshot has another format");
+    return status_fail (STATUS_UNSUPPORTED, "snapshot has an unsupported format");
   while (in.left > 0 && !in.failed && status == STATUS_OK)
     {
       uint64_t number;
@@ -89,7 +89,7 @@
       number = pack_read_uint (&in, STORE_PART_COUNT - 1);
       part = store_read_data (&in, &part_length);
       if (in.failed || group->parts[number] == NULL)
-        return status_fail (STATUS_CORRUPT, "snapshot has a part that is not known here");
+        return status_fail (STATUS_CORRUPT, "snapshot is malformed or has an unknown part");
       status = group->parts[number]->ops->load (group->parts[number], index, part, part_length);
     }
   return status == STATUS_OK ? store_read_end (&in) : status;
--- a/src/store_group.h
+++ b/src/store_group.h
@@ -1,7 +1,7 @@
-/* One log, several machines: entries and snapshots carry the part they belong to.
+/* Several state machines on one log: entries and snapshots carry the part they belong to.
  *
- * A group holds the resources, a share of the claims, or both; a claim shard of its own is a group
- * with the claims alone. */
+ * A group holds the resources, a share of the claims, or both; a separate claim shard is a group
+ * with claims only. */
 #ifndef STORE_GROUP_H
 #define STORE_GROUP_H
 
@@ -10,7 +10,7 @@
 
 BEGIN_DECLS
 
-/* Written into entries: never renumbered. */
+/* Stored in log entries and snapshots: never renumbered. */
 enum store_part
 {
   STORE_PART_RESOURCES = 1,
@@ -20,12 +20,12 @@
 
 struct store_group;
 
-/* Freed with `parent`.  NULL when memory is out. */
+/* Freed with `parent`.  NULL when out of memory. */
 struct store_group *store_group_new (void *parent);
 void store_group_add (struct store_group *group, enum store_part part, struct machine *machine);
 struct machine *store_group_machine (struct store_group *group);
 
-/* Begin an entry of that part: the machine's own entry follows. */
+/* Write the prefix of an entry of that part; the state machine's own entry follows. */
 void store_group_begin (enum store_part part, struct bytes *entry);
 
 END_DECLS
--- a/src/store_history.c
+++ b/src/store_history.c
@@ -1,4 +1,4 @@
-/* The changes of late, in a ring. */
+/* The most recent changes, in a ring buffer. */
 #include "store_history.h"
 #include "store_object.h"
 #include "text.h"
@@ -14,7 +14,7 @@
   uint32_t count;
   size_t bytes_max;
   size_t bytes;
-  uint64_t before; /* the revision just before the first event held */
+  uint64_t before; /* the revision just before the oldest event */
 };
 
 static const char *const event_texts[] = {
@@ -119,7 +119,7 @@
   history->count--;
 }
 
-/* The event and its texts in one allocation. */
+/* Copy the event and its texts into one allocation. */
 static struct store_event *
 copy_event (struct store_history *history, const struct store_event *event)
 {
@@ -144,7 +144,7 @@
 
   if (copy == NULL)
     {
-      /* Watchers list again. */
+      /* Out of memory: drop the history, so that watches must list again. */
       store_history_reset (history, event->revision);
       return;
     }
--- a/src/store_history.h
+++ b/src/store_history.h
@@ -1,4 +1,4 @@
-/* The changes of late, for watches and followers: bounded, oldest dropped first.
+/* The most recent changes, for watches and followers: bounded, the oldest is dropped first.
  *
  * Not part of a snapshot: a host that restarts has the history since its snapshot, and answers
  * older watches with "too old: list again". */
@@ -13,7 +13,7 @@
 
 BEGIN_DECLS
 
-/* name, text of a watch's events */
+/* name, text in watch events */
 #define STORE_EVENT_LIST(X)                                                                        \
   X (ADDED, "ADDED")                                                                               \
   X (MODIFIED, "MODIFIED")                                                                         \
@@ -29,7 +29,7 @@
 
 const char *store_event_text (enum store_event_type type);
 
-/* One change: what it left of its object (of a deleted one, the last state). */
+/* One change: the object after it (for a deleted object, its last state). */
 struct store_event
 {
   uint64_t revision;
@@ -46,26 +46,26 @@
 /* The texts are allocated under `parent`. */
 enum status store_event_unpack (struct store_event *event, struct pack_reader *in, void *parent);
 
-/* The object as JSON, as a watch shows it. */
+/* Write the object as JSON for a watch. */
 void store_event_write (const struct store_event *event, struct bytes *out);
 
 struct store_history;
 
 struct store_history *store_history_new (void *parent, uint32_t events_max, size_t bytes_max);
 
-/* Copies the event; its revision is the last one's plus 1. */
+/* Copy the event; its revision must be the last one plus 1. */
 void store_history_add (struct store_history *history, const struct store_event *event);
 
-/* Forget everything: the next event follows `revision`. */
+/* Drop all events; the next one follows `revision`. */
 void store_history_reset (struct store_history *history, uint64_t revision);
 
-/* The change after `revision`, NULL when there is none yet.  STATUS_EXPIRED when it is no longer
- * held. */
+/* The change after `revision`; NULL when there is none yet.  STATUS_EXPIRED when it was already
+ * dropped. */
 enum status store_history_after (const struct store_history *history,
                                  uint64_t revision,
                                  const struct store_event **out);
 
-/* The oldest revision a watch may resume from. */
+/* The oldest revision that a watch can resume from. */
 uint64_t store_history_oldest (const struct store_history *history);
 
 END_DECLS
--- a/src/store_ids.c
+++ b/src/store_ids.c
@@ -1,4 +1,4 @@
-/* The change ids of late. */
+/* Recent change ids. */
 #include "store_ids.h"
 #include <string.h>
 #include <talloc.h>
@@ -15,7 +15,7 @@
   int64_t since_ms;
   uint8_t body_hash[STORE_BODY_HASH_SIZE];
   struct bytes answer;
-  char change_id[]; /* with its NUL */
+  char change_id[]; /* including the NUL */
 };
 
 struct store_ids
@@ -27,7 +27,7 @@
   size_t bytes;
 };
 
-/* The hash table's memory is not talloc's. */
+/* uthash does not allocate from talloc. */
 static int
 ids_destroy (struct store_ids *ids)
 {
@@ -101,7 +101,7 @@
   size_t id_size = strlen (change_id) + 1;
   struct store_id *id = talloc_zero_size (ids, sizeof *id + id_size);
 
-  /* A replica that forgot an id would differ from the others. */
+  /* Abort: a replica without this id would diverge from the others. */
   INVARIANT (id != NULL);
   memcpy (id->change_id, change_id, id_size);
   memcpy (id->body_hash, body_hash, sizeof id->body_hash);
--- a/src/store_ids.h
+++ b/src/store_ids.h
@@ -1,8 +1,8 @@
-/* The change ids of late, each with its first answer and the hash of its body.
+/* Recent change ids, each with its first answer and the hash of its body.
  *
- * Failure guarded against: an operator loses the answer to a change and sends it again, to this or
- * another host.  Every replica remembers the id from the log, so the resend gets the first answer.
- * Ids are kept for a set span of the log's time and never dropped sooner: when there is no room a
+ * An operator whose answer was lost sends the change again, to this or another host.  Every replica
+ * has stored the id from the log, so the resend gets the first answer and is not applied again.
+ * Ids are kept for a fixed span of log time and never evicted earlier: when the table is full, a
  * new id is refused instead. */
 #ifndef STORE_IDS_H
 #define STORE_IDS_H
@@ -18,16 +18,16 @@
 struct store_ids_config
 {
   uint32_t count_max;
-  size_t bytes_max; /* of answers */
+  size_t bytes_max; /* of all stored answers */
   int64_t keep_ms;
 };
 
 struct store_ids *store_ids_new (void *parent, const struct store_ids_config *config);
 
-/* Forget what is older than the span. */
+/* Remove the ids that are older than keep_ms. */
 void store_ids_expire (struct store_ids *ids, int64_t now_ms);
 
-/* NULL when the id is not known; `answer` as packed at first. */
+/* The first answer to the id as it was packed; NULL when the id is unknown. */
 const struct bytes *store_ids_find (const struct store_ids *ids,
                                     const char *change_id,
                                     const uint8_t body_hash[STORE_BODY_HASH_SIZE],
--- a/src/store_object.c
+++ b/src/store_object.c
@@ -28,7 +28,7 @@
   store_objects_init (objects, objects->parent);
 }
 
-/* The position of the first object whose name is not below `name`. */
+/* The position of the first object whose name does not sort before `name`. */
 static uint32_t
 position_of (const struct store_objects *objects, enum resource_kind kind, const char *name)
 {
@@ -85,7 +85,7 @@
       uint32_t capacity = count == 0 ? OBJECTS_FIRST_CAPACITY : count * 2;
 
       sorted = talloc_realloc (objects->parent, sorted, struct store_object *, capacity);
-      /* A replica that skips an entry would differ from the others from here on. */
+      /* Abort: a replica that skipped an entry would diverge from the others. */
       INVARIANT (sorted != NULL);
       objects->kinds[kind].sorted = sorted;
       objects->kinds[kind].capacity = capacity;
--- a/src/store_object.h
+++ b/src/store_object.h
@@ -1,5 +1,5 @@
-/* The set of resources: sorted by name within each kind, so that lists, pages and snapshots come
- * in one order on every host. */
+/* The set of resources: sorted by name within each kind, so that lists, pages and snapshots have
+ * the same order on every host. */
 #ifndef STORE_OBJECT_H
 #define STORE_OBJECT_H
 
@@ -14,10 +14,10 @@
 {
   enum resource_kind kind;
   char *name;
-  uint64_t generation; /* of the spec, from 1 */
+  uint64_t generation; /* of the spec, starting at 1 */
   uint64_t revision;   /* metadata.resourceVersion */
   char *spec;          /* compact JSON */
-  char *status;        /* compact JSON, NULL while nothing was reported */
+  char *status;        /* compact JSON; NULL until a status is reported */
   struct resource_reference *references;
   uint32_t n_references;
 };
@@ -41,12 +41,12 @@
                                          enum resource_kind kind,
                                          const char *name);
 
-/* The first whose name sorts after `name`, which need not exist; "" gives the first of all. */
+/* The first object whose name sorts after `name`, which need not exist; "" gives the first. */
 struct store_object *store_objects_after (const struct store_objects *objects,
                                           enum resource_kind kind,
                                           const char *name);
 
-/* An object with that name and nothing else; the name must be free. */
+/* Add an object that has only a name, which must not exist yet. */
 struct store_object *store_objects_add (struct store_objects *objects,
                                         enum resource_kind kind,
                                         const char *name);
@@ -57,7 +57,8 @@
                                                    enum resource_kind kind,
                                                    const char *name);
 
-/* What operators are shown of a resource, now or as of a change.  The texts stay the giver's. */
+/* The fields of a resource shown to operators, current or as of a change.  The texts belong to the
+ * caller. */
 struct store_document
 {
   enum resource_kind kind;
@@ -68,7 +69,7 @@
   const char *status; /* compact JSON; NULL is written as {} */
 };
 
-/* `{"kind", "metadata", "spec", "status"}`. */
+/* Append the JSON object `{"kind", "metadata", "spec", "status"}`. */
 void store_document_write (const struct store_document *document, struct bytes *out);
 void store_object_write (const struct store_object *object, struct bytes *out);
 
--- a/src/store_pack.h
+++ b/src/store_pack.h
@@ -1,4 +1,4 @@
-/* What entries and snapshots need beyond pack.h. */
+/* Helpers on top of pack.h to pack and read entries and snapshots. */
 #ifndef STORE_PACK_H
 #define STORE_PACK_H
 
@@ -6,9 +6,9 @@
 #include "status.h"
 #include <string.h>
 
-#define STORE_DATA_MAX (64u << 20) /* of one value inside an entry or a snapshot */
+#define STORE_DATA_MAX (64u << 20) /* of one binary value in an entry or a snapshot */
 
-/* Wall-clock milliseconds: a clock before 1970 counts as 0. */
+/* Wall-clock milliseconds; times before 1970 are packed as 0. */
 static inline void
 store_pack_time (struct bytes *out, int64_t time_ms)
 {
@@ -27,7 +27,7 @@
   return (const char *) pack_read_binary (in, STORE_DATA_MAX, length);
 }
 
-/* Data of exactly `size` bytes; zeros on failure. */
+/* Read exactly `size` bytes of data; zeros on failure. */
 static inline void
 store_read_fixed (struct pack_reader *in, void *out, size_t size)
 {
--- a/src/store_replica.c
+++ b/src/store_replica.c
@@ -1,8 +1,8 @@
-/* The follower's side of the store: takes a voter's changes, or everything anew. */
+/* The follower side of the store: applies a voter's changes or replaces all objects. */
 #include "store_private.h"
 #include <talloc.h>
 
-/* Bring one object of `objects` to the state of the event. */
+/* Set one object of `objects` to the state of the event. */
 static struct store_object *
 take_event (struct store_objects *objects, const struct store_event *event)
 {
@@ -26,7 +26,7 @@
   struct store_object *object;
 
   if (event->revision != store->revision + 1)
-    return status_fail (STATUS_CONFLICT, "revision %llu does not follow ours, %llu",
+    return status_fail (STATUS_CONFLICT, "revision %llu does not follow the local revision %llu",
                         (unsigned long long) event->revision, (unsigned long long) store->revision);
   store->revision = event->revision;
   object = take_event (&store->objects, event);
@@ -54,7 +54,8 @@
   if (revision < store->revision)
     {
       store_objects_clear (&store->incoming);
-      return status_fail (STATUS_CONFLICT, "configuration at %llu is older than ours, %llu",
+      return status_fail (STATUS_CONFLICT,
+                          "configuration at revision %llu is older than the local revision %llu",
                           (unsigned long long) revision, (unsigned long long) store->revision);
     }
   store_objects_clear (&store->objects);
