--- a/tests/unit_claim.cc
+++ b/tests/unit_claim.cc
@@ -1,4 +1,4 @@
-// Claims: at most one grant, resends at every moment, dead holders, expiry, bounds.
+// Claims: at most one grant, resends at any time, dead holders, expiry, bounds.
 #include "claim_entry.h"
 #include "claim_log.h"
 #include "claim_machine.h"
@@ -96,7 +96,7 @@
     return result;
   }
 
-  // The log's time moves when two hosts state it.
+  // Log time advances only when two hosts state it.
   static void
   pass_time (struct claim_machine *on, int64_t time_ms)
   {
@@ -111,9 +111,9 @@
   }
 };
 
-// A caller loses its connection and sends the same order to another host while the first runs it.
-// Granted twice, the dealer would be invoiced twice.
-TEST_F (ClaimMachine, OnlyOneTakeIsGranted)
+// A caller loses its connection and resends the request to another host while the first runs it.
+// With two grants the request would have its effect twice (the dealer is invoiced twice).
+TEST_F (ClaimMachine, OnlyOneAcquireIsGranted)
 {
   EXPECT_EQ (apply ({}).verdict, CLAIM_GRANTED);
   struct result second = apply ({ .host = "b" });
@@ -122,15 +122,15 @@
   EXPECT_EQ (apply ({ .take = 2 }).verdict, CLAIM_IN_FLIGHT);
 }
 
-// The grant's answer is lost on its way back; the same take is proposed again.
-// It must find its own grant, not "in flight", or nobody would run the request.
-TEST_F (ClaimMachine, TheSameTakeAgainFindsItsGrant)
+// The answer to a grant is lost and the same acquire is proposed again.  It must be granted again,
+// not answered "in flight", or no host would run the request.
+TEST_F (ClaimMachine, RepeatedAcquireIsGrantedAgain)
 {
   apply ({});
   EXPECT_EQ (apply ({}).verdict, CLAIM_GRANTED);
 }
 
-TEST_F (ClaimMachine, ASettledClaimGivesItsAnswerToEveryResend)
+TEST_F (ClaimMachine, EveryResendGetsTheAnswerOfASettledClaim)
 {
   apply ({});
   EXPECT_EQ (apply ({ .op = CLAIM_SETTLE, .body = "done" }).verdict, CLAIM_SETTLED);
@@ -150,9 +150,9 @@
   EXPECT_EQ (apply ({ .host = "b", .body_hash = "x" }).verdict, CLAIM_MISMATCH);
 }
 
-// The entry host dies after the claim: before the send, after it, or before settling, which nobody
-// else can tell apart.  The resend must hear "unknown" and never be run.
-TEST_F (ClaimMachine, AClaimWhoseHolderIsGoneReadsAsUnknown)
+// The entry host dies after the claim: before the send, after it, or before settling.  No other
+// host can distinguish these, so a resend must be answered "unknown" and never be run.
+TEST_F (ClaimMachine, ClaimOfADeadHolderIsUnknown)
 {
   apply ({});
   apply ({ .op = CLAIM_GONE, .epoch = 1 });
@@ -160,8 +160,8 @@
   EXPECT_EQ (apply ({ .host = "b", .take = 9 }).verdict, CLAIM_UNKNOWN);
 }
 
-// The same, but the host's process has started again and says so, or takes another claim.
-TEST_F (ClaimMachine, ARestartedHostsOldClaimsReadAsUnknown)
+// As above, but the host's process has restarted and announced it, or has acquired another claim.
+TEST_F (ClaimMachine, OldClaimsOfARestartedHostAreUnknown)
 {
   apply ({});
   apply ({ .key = "l" });
@@ -170,9 +170,9 @@
   EXPECT_EQ (apply ({ .host = "b", .key = "l" }).verdict, CLAIM_UNKNOWN);
 }
 
-// The holder was only cut off, and its outcome arrives after it was declared dead.
-// It is true, so resends get it from then on instead of "unknown".
-TEST_F (ClaimMachine, ALateSettleOfAHolderDeclaredDeadIsTaken)
+// The holder was only partitioned, and its outcome is applied after it was declared dead.  The
+// outcome is valid, so resends get it from then on instead of "unknown".
+TEST_F (ClaimMachine, LateSettleOfAHolderDeclaredDeadIsStored)
 {
   apply ({});
   apply ({ .op = CLAIM_GONE });
@@ -180,7 +180,7 @@
   EXPECT_EQ (apply ({ .host = "b" }).verdict, CLAIM_SETTLED);
 }
 
-TEST_F (ClaimMachine, AnEpochDeclaredDeadTakesNothingMore)
+TEST_F (ClaimMachine, AcquireUnderAnEpochDeclaredDeadIsFenced)
 {
   apply ({ .op = CLAIM_GONE, .epoch = 5 });
   struct result late = apply ({ .epoch = 5 });
@@ -189,8 +189,8 @@
   EXPECT_EQ (apply ({ .epoch = 6 }).verdict, CLAIM_GRANTED);
 }
 
-// Nothing was sent: the claim goes back, and the caller's resend may run it on any host.
-TEST_F (ClaimMachine, AReleasedClaimMayBeTakenAgain)
+// Nothing was sent, so the claim is released and the caller's resend may run on any host.
+TEST_F (ClaimMachine, ReleasedClaimCanBeAcquiredAgain)
 {
   apply ({});
   apply ({ .op = CLAIM_RELEASE });
@@ -199,19 +199,21 @@
   EXPECT_EQ (apply ({ .host = "c" }).verdict, CLAIM_IN_FLIGHT);
 }
 
-// A host gives up a take that has not been answered and releases it; the take's entry was held up
-// by another voter and reaches the log after the release.  Granted, it would block the id for good.
-TEST_F (ClaimMachine, ATakeThatArrivesAfterItsReleaseIsRefused)
+// A host abandons an acquire that was not answered and releases it.  The entry was delayed at
+// another voter and is applied after the release.  If it were granted, the id would be blocked
+// permanently.
+TEST_F (ClaimMachine, AcquireAppliedAfterItsReleaseIsRefused)
 {
   apply ({ .op = CLAIM_RELEASE, .take = 7 });
   EXPECT_EQ (apply ({ .take = 7 }).verdict, CLAIM_UNREACHABLE);
   EXPECT_EQ (apply ({ .host = "b" }).verdict, CLAIM_GRANTED);
 }
 
-// A take times out; its repeat hears that another host holds the claim, and the asker leaves.  The
-// other host finds no target and gives the claim back, and only then the first copy of the take
-// reaches the log.  Granted, the id would be held by nobody for good.  (Explorer, seed 6.)
-TEST_F (ClaimMachine, ACopyOfAnAbandonedTakeIsRefusedAfterAnotherHostsRelease)
+// An acquire times out, its retry is answered "in flight" since another host holds the claim, and
+// the requester gives up.  The other host finds no target and releases the claim; only then the
+// first copy of the acquire is applied.  If it were granted, the id would stay held with no host to
+// run it.  (ClaimExplorer, seed 6.)
+TEST_F (ClaimMachine, CopyOfAnAbandonedAcquireIsRefusedAfterAnotherHostsRelease)
 {
   apply ({ .host = "b" });
   EXPECT_EQ (apply ({ .take = 7 }).verdict, CLAIM_IN_FLIGHT);
@@ -222,9 +224,9 @@
   EXPECT_EQ (apply ({ .host = "c" }).verdict, CLAIM_GRANTED);
 }
 
-// A passenger's app resends after hours.  The outcome is forgotten, and running it could send the
-// airline a second letter: the answer is "expired" as long as the id is remembered at all, and by
-// the time of issue after that.
+// A client resends after hours, when the outcome is no longer stored; running the request could
+// have its effect twice.  The answer is "expired" while the id is in the table, and after that by
+// the request's time of issue.
 TEST_F (ClaimMachine, AfterItsRetentionAClaimIsRefusedNotRun)
 {
   apply ({});
@@ -271,8 +273,9 @@
   talloc_free (small);
 }
 
-// A replica that loaded a snapshot answers as the one that applied every entry, byte for byte.
-TEST_F (ClaimMachine, ALoadedReplicaStaysAlike)
+// A replica that loaded a snapshot and one that applied every entry give the same verdicts, and
+// their snapshots are equal byte for byte.
+TEST_F (ClaimMachine, ReplicaLoadedFromASnapshotStaysIdentical)
 {
   struct claim_machine *other = claim_machine_new (nullptr, &config);
   struct machine *machine = claim_machine_machine (other);
@@ -433,8 +436,8 @@
   }
 };
 
-// The caller's connection broke, and it sent the request to another host while the first runs it.
-// The second host looks again until the first has settled, and gives the first run's answer.
+// The caller's connection broke, and it resent the request to another host while the first runs it.
+// The second host polls until the first has settled, and returns the first run's answer.
 TEST_F (ClaimLog, AResendWhileInFlightGetsTheFirstRunsAnswer)
 {
   struct taker first;
@@ -454,7 +457,7 @@
   EXPECT_EQ (claim_log_pending (a.claims) + claim_log_pending (b.claims), 0u);
 }
 
-TEST_F (ClaimLog, AResendThatOutlastsItsWindowHearsInFlight)
+TEST_F (ClaimLog, ResendIsAnsweredInFlightAtItsDeadline)
 {
   struct taker first;
   struct taker second;
@@ -466,8 +469,8 @@
   EXPECT_EQ (second.verdict, CLAIM_IN_FLIGHT);
 }
 
-// The claim's answer is lost three times; the request must still be run, once.
-TEST_F (ClaimLog, ATakeIsRepeatedUntilItsGrantIsHeard)
+// The answer to the acquire is lost three times; the request must still be granted, once.
+TEST_F (ClaimLog, AcquireIsRetriedUntilItIsAnswered)
 {
   struct taker taker;
 
@@ -481,9 +484,10 @@
   EXPECT_EQ (taker.verdict, CLAIM_GRANTED);
 }
 
-// No quorum within the window: the caller hears "not run" and sends the request to another host.
-// The take was in the log all along; not released, the resend would hear "in flight" for good.
-TEST_F (ClaimLog, ATakeThatWasGivenUpDoesNotBlockTheResend)
+// The acquire times out: the caller is told that the request was not run, and resends it to another
+// host.  The acquire was in the log, and without a release the resend would always be answered "in
+// flight".
+TEST_F (ClaimLog, TimedOutAcquireDoesNotBlockTheResend)
 {
   struct taker lost;
   struct taker resend;
@@ -500,8 +504,8 @@
   EXPECT_EQ (lost.answers, 1);
 }
 
-// As above, but the take's entry reaches the log only after the release.
-TEST_F (ClaimLog, ATakeThatArrivesAfterItWasGivenUpDoesNotBlockTheResend)
+// As above, but the acquire is applied only after the release.
+TEST_F (ClaimLog, AcquireAppliedAfterItsTimeoutDoesNotBlockTheResend)
 {
   struct taker lost;
   struct taker resend;
@@ -518,9 +522,9 @@
   EXPECT_EQ (resend.verdict, CLAIM_GRANTED);
 }
 
-// The outcome cannot be stored while there is no quorum.  The settle goes on until it is in, so
-// that a resend minutes later gets the answer.
-TEST_F (ClaimLog, ASettleIsRepeatedUntilItIsInTheLog)
+// The outcome cannot be stored while there is no quorum.  The settle is retried until it is
+// applied, so that a resend minutes later gets the answer.
+TEST_F (ClaimLog, SettleIsRetriedUntilItIsApplied)
 {
   struct taker first;
   struct taker second;
@@ -539,8 +543,8 @@
   EXPECT_EQ (second.verdict, CLAIM_SETTLED);
 }
 
-// The entry host dies holding the claim; liveness says so on the other host.
-// The resend must hear "unknown" at once and not wait its window out.
+// The entry host dies while it holds the claim, and the board of the other host shows it as dead.
+// The resend must be answered "unknown" at once and not at its deadline.
 TEST_F (ClaimLog, AClaimOfAHostKnownDeadIsUnknownAtOnce)
 {
   struct taker first;
@@ -554,7 +558,7 @@
   EXPECT_EQ (second.verdict, CLAIM_UNKNOWN);
 }
 
-// The entry host's process dies and is back at once, with a new incarnation.
+// The entry host's process dies and restarts at once, with a new incarnation.
 TEST_F (ClaimLog, AClaimOfARestartedHostIsUnknown)
 {
   struct taker first;
@@ -570,9 +574,9 @@
   EXPECT_EQ (second.verdict, CLAIM_UNKNOWN);
 }
 
-// A host was cut off, declared dead by another and is back.  It must be able to claim again,
-// without a restart.
-TEST_F (ClaimLog, AHostDeclaredDeadThatLivesClaimsUnderANewEpoch)
+// A host was partitioned and declared dead by another.  When it is reachable again it must be able
+// to acquire claims without a restart.
+TEST_F (ClaimLog, LiveHostDeclaredDeadClaimsUnderANewEpoch)
 {
   struct taker first;
   struct taker second;
@@ -589,7 +593,7 @@
   EXPECT_EQ (settle (a, "y", "r2"), STATUS_OK);
 }
 
-TEST_F (ClaimLog, AReleasedClaimIsGrantedToTheNext)
+TEST_F (ClaimLog, ReleasedClaimIsGrantedToTheNextRequest)
 {
   struct taker first;
   struct taker second;
@@ -604,8 +608,8 @@
   EXPECT_EQ (second.verdict, CLAIM_GRANTED);
 }
 
-// The caller goes away between the take and its answer; the grant must not stay behind.
-TEST_F (ClaimLog, AWithdrawnTakeIsGivenBack)
+// The caller disconnects between the acquire and its answer; the grant must be released.
+TEST_F (ClaimLog, WithdrawnAcquireIsReleased)
 {
   struct taker gone;
   struct taker next;
@@ -621,9 +625,9 @@
   EXPECT_EQ (claim_log_pending (a.claims), 0u);
 }
 
-// An answer over the size bound is not stored.  A resend must hear that it ran, and never get a
-// cut or empty answer for the whole.
-TEST_F (ClaimLog, AnAnswerTooLargeToKeepIsSaidToBeSo)
+// An answer over the size bound is not stored.  A resend must be told that the request ran, and
+// never get a truncated or empty answer as if it were complete.
+TEST_F (ClaimLog, AnswerTooLargeToStoreIsReported)
 {
   struct taker first;
   struct taker second;
--- a/tests/unit_claim_random.cc
+++ b/tests/unit_claim_random.cc
@@ -1,8 +1,8 @@
-// A seeded explorer of claims: three hosts over one log whose entries and answers are lost and come
-// late, hosts that die, restart and are wrongly declared dead, callers that resend everywhere.
+// Randomized test of claims with seeds: three hosts share a log whose entries and answers are lost
+// or late; hosts die, restart and are wrongly declared dead; callers resend to any host.
 //
-// Whatever the order of events, a request is sent to a target at most once; and when all is well
-// again, no id is left held by nobody.
+// In every order of events a request is sent to a target at most once, and after all faults have
+// ended no id stays held without a host that runs it.
 #include "claim_log.h"
 #include "claim_machine.h"
 #include "rng.h"
@@ -27,7 +27,7 @@
   struct world *world = nullptr;
   int host = 0;
   int id = 0;
-  uint64_t life = 0; // of the host when it asked
+  uint64_t life = 0; // incarnation of the host at the time of the acquire
   bool answered = false;
   enum claim_verdict verdict = CLAIM_VERDICT_COUNT;
 };
@@ -38,7 +38,7 @@
   struct claim_log *claims = nullptr;
   struct board *board = nullptr;
   uint64_t life = 0;
-  std::vector<int> running = {}; // ids that were sent and not settled
+  std::vector<int> running = {}; // ids that were sent and are not settled
 };
 
 struct world
@@ -53,7 +53,7 @@
   struct explored_host hosts[HOSTS];
   std::list<struct caller> callers = {};
   int sent[IDS] = {};
-  bool calm = false;
+  bool calm = false; // no more random releases
 
   explicit world (uint64_t seed)
   {
@@ -105,7 +105,7 @@
     host.life++;
     host.running.clear ();
     host.log = std::make_unique<struct test_log> (store_group_machine (group), clock.timers);
-    host.log->late = late; // what a dead process sent may still arrive
+    host.log->late = late; // entries sent by the dead process may still be applied
     config.groups[0] = &host.log->consensus;
     config.n_groups = 1;
     config.board = host.board;
@@ -147,7 +147,7 @@
       caller->world->granted (caller);
   }
 
-  // The request path: mostly it sends, sometimes it finds no target and gives the claim back.
+  // The request path: mostly sends the request; sometimes finds no target and releases the claim.
   void
   granted (struct caller *caller)
   {
@@ -226,7 +226,7 @@
         host.log->deliver_late ();
         break;
       case 7:
-        // Liveness errs in both directions.
+        // The board can be wrong in both directions: a live host as dead, a dead host as alive.
         board_find_host (host.board, name_of ((which + 1) % HOSTS).c_str (), nullptr)->state =
             rng_below (&rng, 3) == 0 ? HOST_DEAD : HOST_ALIVE;
         break;
--- a/tests/unit_journal.cc
+++ b/tests/unit_journal.cc
@@ -1,4 +1,4 @@
-// The journal and snapshots over disks that lose, tear, flip and fill up.
+// The journal and snapshots on disks with torn writes, flipped bits, failed syncs and no space.
 #include "disk_fake.h"
 #include "journal.h"
 #include "rng.h"
@@ -42,7 +42,7 @@
     return status;
   }
 
-  // One batch of one entry, its data the index as text.
+  // Commits a batch of one entry whose data is the index as text.
   enum status
   append (uint64_t index, uint64_t term)
   {
@@ -89,8 +89,8 @@
   EXPECT_EQ (raft_log_last_term (&found.log), 2u);
 }
 
-// Power fails in the middle of a write; the file ends in half a record.  The voter must start with
-// everything that was synced, and go on writing where the good part ends.
+// A power failure during a write leaves a partial record at the end of the file.  The voter must
+// start with everything that was synced, and append after the last valid record.
 TEST_F (Journal, TornTailIsCutAtEveryLength)
 {
   uint64_t full;
@@ -115,9 +115,9 @@
     }
 }
 
-// A bit flips on the disk, in the middle of what was synced long ago.  To cut there would silently
-// take back entries that were acknowledged; the voter must refuse to start and say where.
-TEST_F (Journal, FlippedBitInSyncedRecordsIsDamageWhereverItIs)
+// A bit flips on the disk, in records that were synced.  Truncating there would silently discard
+// acknowledged entries; the voter must refuse to start and report the segment and offset.
+TEST_F (Journal, FlippedBitAnywhereInSyncedRecordsIsDamage)
 {
   ASSERT_EQ (open (), STATUS_OK);
   for (uint64_t i = 1; i <= 9; i++)
@@ -130,7 +130,7 @@
       disk = disk_fake_copy (parent, kept);
       disk_fake_flip (disk_fake_of (disk), first_segment, offset);
       enum status status = open ();
-      // A flip in the version reads as a format of the future.
+      // A flip in the version field reads as a newer format.
       EXPECT_TRUE (status == STATUS_CORRUPT
                    || (offset < header_bytes && status == STATUS_UNSUPPORTED))
           << offset << " " << status_text (status);
@@ -138,7 +138,7 @@
   EXPECT_NE (std::string (status_message ()).find ("journal segment 1"), std::string::npos);
 }
 
-// The same in an older segment, where not even the last record can be a torn tail.
+// As above in an older segment, where even the last record cannot be a torn tail.
 TEST_F (Journal, FlippedBitInAnOlderSegmentIsDamage)
 {
   ASSERT_EQ (open (), STATUS_OK);
@@ -151,9 +151,9 @@
   EXPECT_EQ (open (), STATUS_CORRUPT);
 }
 
-// Two batches of one unsynced write can reach the platter out of order: the first torn, the second
-// whole.  Neither was acknowledged, so this is a torn tail and no damage.
-TEST_F (Journal, WholeRecordBehindATornOneOfTheSameBatchIsATornTail)
+// Records of one unsynced write can reach the disk out of order: the first torn, a later one
+// complete.  None was acknowledged, so this is a torn tail and not damage.
+TEST_F (Journal, CompleteRecordAfterATornOneOfTheSameBatchIsATornTail)
 {
   ASSERT_EQ (open (), STATUS_OK);
   ASSERT_EQ (append (1, 1), STATUS_OK);
@@ -189,9 +189,9 @@
   EXPECT_EQ (status, STATUS_CORRUPT);
 }
 
-// The folder is full.  The write that did not fit leaves nothing behind, and the journal goes on
-// when there is room.
-TEST_F (Journal, FullDiskTakesTheWriteBack)
+// The disk is full.  The write that did not fit is undone, and the journal works again when there
+// is space.
+TEST_F (Journal, WriteToAFullDiskIsUndone)
 {
   ASSERT_EQ (open (), STATUS_OK);
   ASSERT_EQ (append (1, 1), STATUS_OK);
@@ -205,10 +205,10 @@
   EXPECT_EQ (raft_log_last_term (&found.log), 2u);
 }
 
-// A voter takes in a snapshot while its folder is full: the snapshot fits, the journal's next
-// segment does not.  It stopped for good; the journal must go on as it was, and start anew once
-// there is room.
-TEST_F (Journal, ResetWithoutRoomLeavesTheJournalAsItWas)
+// A voter installs a snapshot while its disk is nearly full: the snapshot fits, the journal's next
+// segment does not.  The journal must not fail permanently: it stays usable and unchanged, and can
+// be reset once there is space.
+TEST_F (Journal, ResetOnAFullDiskLeavesTheJournalUnchanged)
 {
   ASSERT_EQ (open (), STATUS_OK);
   ASSERT_EQ (append (1, 1), STATUS_OK);
@@ -221,8 +221,8 @@
   EXPECT_EQ (append (11, 1), STATUS_OK);
 }
 
-// After a failed sync the second one may report success for data that the system has dropped.
-TEST_F (Journal, FailedSyncIsNeverRepeated)
+// After a failed sync, a second one may report success for data that the system has dropped.
+TEST_F (Journal, FailedSyncIsNeverRetried)
 {
   ASSERT_EQ (open (), STATUS_OK);
   disk_fake_fail_sync (disk_fake_of (disk));
@@ -233,7 +233,7 @@
   EXPECT_EQ (disk_fake_syncs (disk_fake_of (disk)), syncs);
 }
 
-TEST_F (Journal, SnapshotIsWholeOrDamaged)
+TEST_F (Journal, DamagedSnapshotIsDetected)
 {
   struct raft_snapshot snapshot = { .index = 5, .term = 2, .members = {}, .length = 0 };
   struct raft_snapshot back;
@@ -265,7 +265,7 @@
     }
 }
 
-TEST_F (Journal, DamagedIdentityIsNotMadeAnew)
+TEST_F (Journal, DamagedIdentityIsReported)
 {
   struct journal_identity identity = { .id = 5, .group = 6, .starts = 7, .name = "v0" };
   struct journal_identity back;
@@ -308,8 +308,8 @@
   void *parent = nullptr;
 };
 
-// An operator starts the program twice with one settings file.  Two writers would destroy the
-// journal; the second must end with a clear message, and may start once the first is gone.
+// An operator starts the program twice with the same settings file.  Two writers would destroy the
+// journal; the second must fail with a clear message, and can start once the first has ended.
 TEST_F (Folder, SecondProcessOnOneFolderIsRefused)
 {
   enum status status;
--- a/tests/unit_store.cc
+++ b/tests/unit_store.cc
@@ -1,4 +1,4 @@
-// The resources' state machine: races, resends, references, snapshots, history.
+// The state machine of the resources: races, resends, references, snapshots, history.
 #include "store_clock.h"
 #include "store_group.h"
 #include "unit_store_fake.h"
@@ -19,10 +19,10 @@
   }
 };
 
-// Two operators read a pool at revision 1 and both put it back with that number.
-// The log orders them: the first wins, the second must see a conflict with what won, or the
-// first one's change would be lost without a word.
-TEST_F (Store, OfRacingChangesWithEqualNumbersOneWins)
+// Two operators read a pool at revision 1 and both write it with that version.  The log orders
+// them: the first is applied; the second must get a conflict and the current object, or the first
+// change would be lost silently.
+TEST_F (Store, OneOfTwoRacingChangesWithEqualVersionsIsApplied)
 {
   ASSERT_EQ (apply_change (store, { .name = "p", .spec = "{\"slots\":1}" }).verdict, STORE_CREATED);
   struct answer first =
@@ -44,9 +44,9 @@
   EXPECT_EQ (apply_change (store, { .name = "q", .version = 7 }).verdict, STORE_CONFLICT);
 }
 
-// An operator's connection breaks after the change was accepted; the client sends it again with
-// the same change id to another host, after others changed the object.
-// It must get the first answer, and the later change must stand.
+// An operator's connection breaks after the change was accepted; the client resends it with the
+// same change id to another host, after the object was changed again.  It must get the first
+// answer, and the later change must remain.
 TEST_F (Store, AResentChangeGetsTheFirstAnswerAndIsNotAppliedAgain)
 {
   struct change lost = { .name = "p", .spec = "{\"slots\":1}", .id = "c1" };
@@ -63,8 +63,8 @@
              std::string::npos);
 }
 
-// The same, but the host that took the change has died and a new process loaded its snapshot.
-TEST_F (Store, AChangeIdIsRememberedAcrossASnapshot)
+// As above, but the host that accepted the change has died and a new process loaded its snapshot.
+TEST_F (Store, AChangeIdIsKeptAcrossASnapshot)
 {
   struct change lost = { .name = "p", .spec = "{\"slots\":1}", .id = "c1" };
   struct answer first = apply_change (store, lost);
@@ -89,9 +89,10 @@
   EXPECT_EQ (store_revision (store), 1u);
 }
 
-// A host merges a patch onto an old copy and is told "conflict"; it merges again and repeats under
-// the operator's one change id.  Had the first conflict been remembered, the patch could not land.
-TEST_F (Store, AConflictThatItsProposerRepeatsIsNotRemembered)
+// A host merges a patch into an old copy and gets a conflict; it merges again and retries under the
+// operator's change id.  If the first conflict were stored as the answer, the patch could never be
+// applied.
+TEST_F (Store, AConflictThatItsProposerRetriesIsNotStored)
 {
   apply_change (store, { .name = "p", .spec = "{\"slots\":1}" });
   struct change patch = {
@@ -102,9 +103,10 @@
   EXPECT_EQ (apply_change (store, patch).verdict, STORE_CHANGED);
 }
 
-// Change ids are never dropped before their span: a resend after an early drop would be applied a
-// second time.  At the bound new ids are refused instead, until the log's time has passed.
-TEST_F (Store, ChangeIdsFillUpRatherThanBeForgottenEarly)
+// Change ids are never evicted before their retention ends: a resend after an early eviction would
+// be applied a second time.  When the table is full, new ids are refused until log time has
+// advanced.
+TEST_F (Store, FullChangeIdTableRefusesNewIds)
 {
   config.change_ids_max = 2;
   config.change_id_keep_ms = 1000;
@@ -119,10 +121,10 @@
   talloc_free (small);
 }
 
-// One operator deletes a pool while another declares a pipeline that uses it; both were checked
-// against the state before.  Whichever the log orders second must be refused, or requests of the
-// pipeline would have nowhere to go.
-TEST_F (Store, AReferencedPoolCannotGoAndAMissingOneCannotBeUsed)
+// One operator deletes a pool while another creates a pipeline that uses it; both were validated
+// against the earlier state.  The one that the log orders second must be refused, or requests of
+// the pipeline would have no pool.
+TEST_F (Store, AReferencedPoolCannotBeDeletedAndAMissingOneCannotBeReferenced)
 {
   struct change pipeline = { .kind = "pipelines", .name = "x", .refers_to = "p" };
 
@@ -144,7 +146,7 @@
   EXPECT_EQ (apply_change (store, { .kind = "pipelines", .name = "x" }).verdict, STORE_TAKEN);
 }
 
-TEST_F (Store, AnEqualSpecIsNoChangeAndAStatusKeepsTheGeneration)
+TEST_F (Store, AnEqualSpecChangesNothingAndAStatusKeepsTheGeneration)
 {
   apply_change (store, { .name = "p" });
   EXPECT_EQ (apply_change (store, { .name = "p" }).verdict, STORE_UNCHANGED);
@@ -155,9 +157,9 @@
   EXPECT_STREQ (store_find (store, RESOURCE_POOL, "p")->status, "{\"done\":1}");
 }
 
-// A replica that starts from a snapshot and one that applied every entry must stay alike: their
-// next answers and snapshots are compared byte for byte.
-TEST_F (Store, ALoadedReplicaStaysAlikeWithOneThatAppliedAll)
+// A replica that loaded a snapshot and one that applied every entry must stay identical: their next
+// answers and snapshots are compared byte for byte.
+TEST_F (Store, ReplicaLoadedFromASnapshotStaysIdentical)
 {
   for (int i = 0; i < 50; i++)
     apply_change (store, { .name = "p" + std::to_string (i * 7 % 50),
@@ -174,9 +176,9 @@
   talloc_free (other);
 }
 
-// A snapshot file with a flipped or missing byte must be refused or differ, never read past its
-// end; the sanitizers watch.
-TEST_F (Store, ACutSnapshotOrEntryIsRefused)
+// A truncated snapshot or entry must be refused and never be read past its end, which the
+// sanitizers check.
+TEST_F (Store, ATruncatedSnapshotOrEntryIsRefused)
 {
   struct change change = { .name = "p", .spec = "{\"slots\":1}", .id = "c1" };
   std::string entry = pack_change (change);
@@ -195,7 +197,7 @@
     }
 }
 
-TEST_F (Store, HistoryResumesFromARevisionUntilItIsTooOld)
+TEST_F (Store, HistoryResumesFromARevisionUntilItIsDropped)
 {
   const struct store_event *event;
 
@@ -212,7 +214,7 @@
   talloc_free (small);
 }
 
-TEST_F (Store, AFollowerTakesRevisionsInOrderOnlyAndNeverGoesBack)
+TEST_F (Store, AFollowerAppliesRevisionsInOrderAndNeverAnOlderState)
 {
   struct store_event event = {};
 
@@ -234,9 +236,9 @@
   EXPECT_EQ (store_revision (store), 9u);
 }
 
-// One host's clock jumps a day ahead and goes on proposing.  If the log's time followed it, every
-// claim and change id would expire at once and resends would run again.
-TEST (StoreClock, OneHostsJumpDoesNotMoveTheLogsTime)
+// One host's clock jumps ahead by a day and the host continues to propose.  If log time followed
+// it, every claim and change id would expire at once and resends would run again.
+TEST (StoreClock, AClockJumpOnOneHostDoesNotMoveLogTime)
 {
   struct store_clock clock = {};
 
@@ -251,9 +253,9 @@
   EXPECT_EQ (clock.now_ms, 2000);
 }
 
-// Of two proposers one goes away for good.  The log's time must not stand still with it, or
-// nothing would expire again and the tables would fill up.
-TEST (StoreClock, AHostThatWentSilentDoesNotHoldTheTime)
+// One of two proposers stops permanently.  Log time must still advance, or nothing would expire
+// again and the tables would fill up.
+TEST (StoreClock, ASilentHostDoesNotStopLogTime)
 {
   struct store_clock clock = {};
 
@@ -263,7 +265,7 @@
   EXPECT_EQ (clock.now_ms, 5000 + STORE_CLOCK_WINDOW);
 }
 
-TEST (StoreGroup, AnEntryForAPartThatIsNotHereChangesNothing)
+TEST (StoreGroup, AnEntryForAnUnknownPartChangesNothing)
 {
   struct store_group *group = store_group_new (nullptr);
   struct machine *machine = store_group_machine (group);
--- a/tests/unit_store_fake.h
+++ b/tests/unit_store_fake.h
@@ -1,4 +1,4 @@
-// A resource machine driven entry by entry, and changes built in one line.
+// Helpers to build changes and apply them, one entry at a time, to the resource state machine.
 #pragma once
 #include "store.h"
 #include <cstring>
--- a/tests/unit_store_log.h
+++ b/tests/unit_store_log.h
@@ -1,11 +1,12 @@
-// One log shared by several hosts on virtual time, whose answers and entries can be lost.
+// A fake log on virtual time whose entries and answers can be lost or late.  Hosts share it by
+// using the same state machine.
 #pragma once
 #include "consensus.h"
 #include "timer.h"
 #include "unit_store_fake.h"
 #include <list>
 
-// What becomes of the next proposals of a host.
+// What happens to the next proposals of a host.
 enum class fate
 {
   APPLIED,
@@ -152,7 +153,7 @@
   }
 };
 
-// Virtual time.
+// Virtual clock in microseconds.
 struct test_clock
 {
   struct timer_service *timers = timer_service_new (nullptr);
