--- a/src/batch.c
+++ b/src/batch.c
@@ -48,8 +48,8 @@
   order->demand.n_pieces = n_pieces;
   order->results = talloc_zero_array (order, struct piece_result, n_pieces);
   order->pending = talloc_zero_array (order, uint32_t, n_pieces);
-  order->tries = talloc_zero_array (order, uint8_t, n_pieces);
-  if (order->results == NULL || order->pending == NULL || order->tries == NULL)
+  order->attempts = talloc_zero_array (order, uint8_t, n_pieces);
+  if (order->results == NULL || order->pending == NULL || order->attempts == NULL)
     {
       talloc_free (order);
       return NULL;
@@ -72,7 +72,7 @@
 /* NOLINTEND(readability-function-size) */
 
 struct batch_order *
-batch_find (struct batch *batch, const char *origin, uint64_t number)
+batch_find_order (struct batch *batch, const char *origin, uint64_t number)
 {
   struct batch_order *order;
   struct batch_order *next;
@@ -99,34 +99,34 @@
 {
   for (uint32_t i = 0; i < order->demand.n_pieces; i++)
     if (order->results[i].result.handle[0] != '\0')
-      batch_free (order->batch_pool, &order->results[i].result, now);
+      batch_free_result (order->batch_pool, &order->results[i].result, now);
 }
 
 /* Updates the smoothed wait, with which later stages of requests are planned.  Orders that were
  * late when submitted are queued behind all others on purpose and do not count; one wait is capped,
  * so that an order delayed by a burst does not outweigh the rest. */
 static void
-learn_wait (const struct batch_order *order, int64_t now)
+update_smoothed_wait (const struct batch_order *order, int64_t now)
 {
   struct batch_pool *pool = order->batch_pool;
   uint32_t pieces =
       order->demand.n_pieces < pool->spec.pieces ? order->demand.n_pieces : pool->spec.pieces;
-  int64_t wait = now - order->submitted - batch_expected (pool, pieces);
+  int64_t wait = now - order->submitted - batch_expected_time (pool, pieces);
 
-  if (order->came_late)
+  if (order->late_on_submit)
     return;
   if (wait < 0)
     wait = 0;
-  if (wait > BATCH_USUAL_WAIT_MAX)
-    wait = BATCH_USUAL_WAIT_MAX;
-  pool->usual_wait += BATCH_WAIT_SMOOTHING * ((double) wait - pool->usual_wait);
+  if (wait > BATCH_WAIT_SAMPLE_MAX)
+    wait = BATCH_WAIT_SAMPLE_MAX;
+  pool->smoothed_wait += BATCH_WAIT_SMOOTHING * ((double) wait - pool->smoothed_wait);
 }
 
 void
 batch_end_order (struct batch_order *order, enum piece_end end, int64_t now)
 {
   if (end == PIECE_DONE)
-    learn_wait (order, now);
+    update_smoothed_wait (order, now);
   unlink_order (order);
   if (end != PIECE_DONE)
     free_results (order, now);
@@ -146,10 +146,10 @@
 /* ---- pieces ---- */
 
 void
-batch_piece_done (struct batch_pool *pool,
-                  const struct batch_piece *piece,
-                  const struct piece_result *result,
-                  int64_t now)
+batch_complete_piece (struct batch_pool *pool,
+                      const struct batch_piece *piece,
+                      const struct piece_result *result,
+                      int64_t now)
 {
   struct batch_order *order = batch_order_of (pool->batch, piece);
 
@@ -169,8 +169,8 @@
 
   if (order == NULL)
     return;
-  order->tries[piece->index] += tried ? 1 : 0;
-  if (order->tries[piece->index] >= BATCH_TRIES_MAX || now >= order->deadline)
+  order->attempts[piece->index] += tried ? 1 : 0;
+  if (order->attempts[piece->index] >= BATCH_ATTEMPTS_MAX || now >= order->deadline)
     {
       batch_end_order (order, now >= order->deadline ? PIECE_LATE : PIECE_FAILED, now);
       return;
@@ -201,18 +201,18 @@
   if (pool->queue != NULL)
     batch_dispatch (pool, now);
   if (pool->queue != NULL || has_results (pool))
-    timer_arm (timers, timer, now + BATCH_LOOK_PERIOD);
+    timer_arm (timers, timer, now + BATCH_SWEEP_PERIOD);
 }
 
 static const struct timer_ops pool_ops = { .fire = pool_fired };
 
 void
-batch_look_soon (struct batch_pool *pool, int64_t now)
+batch_schedule_sweep (struct batch_pool *pool, int64_t now)
 {
   struct timer_service *timers = loop_timers (pool->batch->config.loop);
 
-  if (!timer_is_armed (&pool->timer) || pool->timer.due > now + BATCH_LOOK_PERIOD)
-    timer_arm (timers, &pool->timer, now + BATCH_LOOK_PERIOD);
+  if (!timer_is_armed (&pool->timer) || pool->timer.due > now + BATCH_SWEEP_PERIOD)
+    timer_arm (timers, &pool->timer, now + BATCH_SWEEP_PERIOD);
 }
 
 /* ---- pools and setup ---- */
@@ -233,7 +233,7 @@
 }
 
 static void
-take_spec (struct batch_pool *pool, const struct batch_spec *spec)
+set_spec (struct batch_pool *pool, const struct batch_spec *spec)
 {
   pool->spec = *spec;
   if (pool->spec.pieces > BATCH_CALL_PIECES_MAX)
@@ -253,13 +253,13 @@
         (void) add_pool (batch, spec->name, "");
       for (uint32_t j = 0; j < batch->n_pools; j++)
         if (strcmp (batch->pools[j].name, spec->name) == 0)
-          take_spec (&batch->pools[j], &spec->batch);
+          set_spec (&batch->pools[j], &spec->batch);
     }
 }
 
 /* The part of a pool in one failure domain is created on first use. */
 struct batch_pool *
-batch_take_pool (struct batch *batch, const char *name, const char *domain)
+batch_get_pool (struct batch *batch, const char *name, const char *domain)
 {
   struct batch_pool *pool = find_pool (batch, name, domain);
   const struct batch_pool *all = find_pool (batch, name, "");
@@ -276,7 +276,7 @@
 void
 batch_submit (struct batch *batch, struct batch_order *order, int64_t now)
 {
-  struct batch_pool *pool = batch_take_pool (batch, order->pool, order->domain);
+  struct batch_pool *pool = batch_get_pool (batch, order->pool, order->domain);
 
   if (pool == NULL || pool->spec.pieces == 0 || order->demand.n_pieces == 0)
     {
@@ -287,7 +287,7 @@
       return;
     }
   batch_unbook (batch, order->pool, order->domain, order->request, order->stage);
-  if (batch_turns_away (pool, &order->demand, order->request, order->stage, now))
+  if (batch_reject_if_late (pool, &order->demand, order->request, order->stage, now))
     {
       order->ops->done (order, PIECE_BUSY, now);
       talloc_free (order);
@@ -296,11 +296,11 @@
   order->batch_pool = pool;
   order->serial = ++batch->last_serial;
   order->submitted = now;
-  order->came_late = batch_is_late (pool, &order->demand, now);
+  order->late_on_submit = batch_is_late (pool, &order->demand, now);
   HASH_ADD (hh, batch->orders, serial, sizeof order->serial, order);
   batch_enqueue (order);
   batch_dispatch (pool, now);
-  batch_look_soon (pool, now);
+  batch_schedule_sweep (pool, now);
 }
 /* NOLINTEND(readability-function-size) */
 
@@ -312,18 +312,18 @@
                       const struct stage_result *result,
                       int64_t now)
 {
-  struct batch_pool *pool = batch_take_pool (batch, pool_name, domain);
+  struct batch_pool *pool = batch_get_pool (batch, pool_name, domain);
 
   if (pool == NULL)
     return;
-  if (how == BATCH_FREE)
-    batch_free (pool, result, now);
+  if (how == BATCH_RELEASE_FREE)
+    batch_free_result (pool, result, now);
   else
-    batch_let_go (pool, result, now);
+    batch_mark_evictable (pool, result, now);
 }
 
 bool
-batch_knows (const struct batch *batch, const char *pool)
+batch_has_pool (const struct batch *batch, const char *pool)
 {
   for (uint32_t i = 0; i < batch->n_pools; i++)
     if (strcmp (batch->pools[i].name, pool) == 0)
@@ -332,7 +332,7 @@
 }
 
 int64_t
-batch_wait (struct batch *batch, const char *pool_name, const char *domain)
+batch_estimate_wait (struct batch *batch, const char *pool_name, const char *domain)
 {
   const struct batch_pool *pool = find_pool (batch, pool_name, domain);
   uint32_t targets = 0;
@@ -342,17 +342,17 @@
   for (const struct balance_target *at = batch->config.balance->targets; at != NULL; at = at->next)
     targets += at->usable && batch_is_in_pool (pool, at) ? 1 : 0;
   if (targets == 0)
-    return batch_expected (pool, pool->n_pending);
+    return batch_expected_time (pool, pool->n_pending);
   return (int64_t) ((double) pool->n_pending / (targets * pool->spec.pieces)
-                    * (double) batch_expected (pool, pool->spec.pieces));
+                    * (double) batch_expected_time (pool, pool->spec.pieces));
 }
 
 int64_t
-batch_usual_wait (struct batch *batch, const char *pool_name, const char *domain)
+batch_smoothed_wait (struct batch *batch, const char *pool_name, const char *domain)
 {
   const struct batch_pool *pool = find_pool (batch, pool_name, domain);
 
-  return pool == NULL ? 0 : (int64_t) pool->usual_wait;
+  return pool == NULL ? 0 : (int64_t) pool->smoothed_wait;
 }
 
 /* Calls in flight refer to the batch, so the client that carries them is freed first. */
@@ -381,8 +381,8 @@
                                      "Calls that failed or were refused.", NULL);
   batch->overdue_calls = counter_get (config->counters, "cherryarch_batch_overdue_calls_total",
                                       "Calls given up because they took too long.", NULL);
-  batch->turned_away = counter_get (config->counters, "cherryarch_batch_turned_away_total",
-                                    "Orders ended as they came, as too much waited.", NULL);
+  batch->rejected = counter_get (config->counters, "cherryarch_batch_turned_away_total",
+                                 "Orders ended as they came, as too much waited.", NULL);
   batch->dropped = counter_get (config->counters, "cherryarch_batch_results_dropped_total",
                                 "Fetched results dropped where room was short.", NULL);
   batch->call_time = histogram_get (config->counters, "cherryarch_batch_call_microseconds",
--- a/src/batch.h
+++ b/src/batch.h
@@ -18,36 +18,36 @@
  * and its pieces are retried: a target whose host has stopped responding shows no other sign of
  * failure. */
 #define BATCH_OVERDUE_FACTOR 2.0
-#define BATCH_OVERDUE_MORE (150 * USEC_PER_MSEC)
+#define BATCH_OVERDUE_SLACK (150 * USEC_PER_MSEC)
 
 /* While orders wait or results are stored at targets, the pool is dispatched and results no longer
  * needed are freed at this period: room for results is the bottleneck of a pool in a burst. */
-#define BATCH_LOOK_PERIOD (20 * USEC_PER_MSEC)
+#define BATCH_SWEEP_PERIOD (20 * USEC_PER_MSEC)
 
 /* Fetched results are evicted from a target when more than this share of its room is used: one full
  * call takes about half. */
-#define BATCH_ROOM_AMPLE 0.5
+#define BATCH_EVICTION_THRESHOLD 0.5
 
 /* Result sizes are estimates.  The room kept free on a target is this factor times the result size
  * times the square root of the number of results: their sum varies by about that.  A piece that
  * finds no room is retried a whole call later, when its inputs may be gone.  Mean worth over 50
  * days: 0.593 without the margin, 0.607 with 0.2, 0.602 with 0.35, 0.604 with 0.5, error 0.006
  * each. */
-#define BATCH_SIZE_SPREAD 0.2
+#define BATCH_ROOM_MARGIN 0.2
 
 /* Attempts to make a piece before its order fails. */
-#define BATCH_TRIES_MAX 4
+#define BATCH_ATTEMPTS_MAX 4
 
 /* An order fails when this many targets have ended during calls with its pieces. */
-#define BATCH_ENDS_MAX 3
+#define BATCH_ENDED_TARGETS_MAX 3
 
 /* Delay before an order is retried after the connection of its call broke: by then it is mostly
  * known whether the target ended. */
-#define BATCH_AFTER_BREAK (20 * USEC_PER_MSEC)
+#define BATCH_BREAK_RETRY_DELAY (20 * USEC_PER_MSEC)
 
 /* Weight of a new sample in a pool's smoothed wait, and the upper bound of one sample. */
 #define BATCH_WAIT_SMOOTHING 0.1
-#define BATCH_USUAL_WAIT_MAX (600 * USEC_PER_MSEC)
+#define BATCH_WAIT_SAMPLE_MAX (600 * USEC_PER_MSEC)
 
 /* An order that would be done with less time to spare than this counts as late: the time of the
  * stages after it varies by about as much.  By due time alone, all orders of a full pool would be
@@ -61,10 +61,10 @@
 /* An order waits for a target in its preferred failure domain, where its results are wanted, while
  * it has more time to spare than this: transferring a result of megabytes between domains costs
  * more than the wait. */
-#define BATCH_NEAR_SLACK (300 * USEC_PER_MSEC)
+#define BATCH_LOCALITY_SLACK (300 * USEC_PER_MSEC)
 
 /* An order with less time to spare than this takes a target in any failure domain. */
-#define BATCH_PRESSED (150 * USEC_PER_MSEC)
+#define BATCH_ANY_DOMAIN_SLACK (150 * USEC_PER_MSEC)
 
 /* A target that reported no room at all gets no calls for this long: results ordered by an earlier
  * owner of the pool take room that this host does not know of. */
@@ -105,9 +105,9 @@
 struct batch_demand
 {
   uint32_t n_pieces;
-  uint32_t urgency;   /* 0 is the most urgent */
-  int64_t due;        /* later results make the request late */
-  bool may_turn_away; /* end it as BUSY at once if it cannot be in time: the caller may retry */
+  uint32_t urgency; /* 0 is the most urgent */
+  int64_t due;      /* later results make the request late */
+  bool may_reject;  /* end it as BUSY at once if it cannot be in time: the caller may retry */
 };
 
 /* The pieces of one stage of one request.  Created and filled in by the caller, owned by the batch
@@ -121,8 +121,9 @@
   char request[DIALECT_ID_SIZE];
   uint32_t stage;
   char pool[ROUTING_NAME_SIZE];
-  char domain[ROUTING_NAME_SIZE]; /* only targets in this failure domain; "" for any */
-  char near[ROUTING_NAME_SIZE];   /* preferred failure domain; "" until the first piece is taken */
+  char domain[ROUTING_NAME_SIZE];           /* only targets in this failure domain; "" for any */
+  char preferred_domain[ROUTING_NAME_SIZE]; /* preferred failure domain; "" until the first piece is
+                                               taken */
   uint64_t result_size;
   char key[DIALECT_ID_SIZE];
   char *inputs; /* talloc child; NULL with a key */
@@ -134,13 +135,13 @@
   struct batch_pool *batch_pool;
   uint64_t serial; /* never reused, unlike an address */
   int64_t submitted;
-  bool came_late;    /* could not be in time when it was submitted */
-  uint32_t *pending; /* pieces neither in a call nor done */
+  bool late_on_submit; /* could not be in time when it was submitted */
+  uint32_t *pending;   /* pieces neither in a call nor done */
   uint32_t n_pending;
-  uint8_t *tries; /* attempts, of each piece */
-  uint64_t
-      broke_on[BATCH_ENDS_MAX]; /* the newest incarnations on which calls with its pieces broke */
-  uint32_t n_broke;
+  uint8_t *attempts;                                     /* attempts, of each piece */
+  uint64_t broken_incarnations[BATCH_ENDED_TARGETS_MAX]; /* the newest incarnations on which calls
+                                                            with its pieces broke */
+  uint32_t n_broken_incarnations;
   int64_t not_before; /* earliest retry after a break */
   uint32_t n_done;
   bool begun; /* a piece of it was put in a call */
@@ -171,13 +172,14 @@
     struct batch *batch, const char *pool, const char *domain, const char *request, uint32_t stage);
 
 /* Finds an order by the host that submitted it and its number there; NULL if there is none. */
-struct batch_order *batch_find (struct batch *batch, const char *origin, uint64_t number);
+struct batch_order *batch_find_order (struct batch *batch, const char *origin, uint64_t number);
 
 /* Why a result is released. */
 enum batch_release
 {
-  BATCH_LET_GO, /* all its readers have fetched it: it may be evicted where room is short */
-  BATCH_FREE,   /* it is no longer needed */
+  BATCH_RELEASE_EVICTABLE, /* all its readers have fetched it: it may be evicted where room is short
+                            */
+  BATCH_RELEASE_FREE,      /* it is no longer needed */
 };
 
 void batch_release_result (struct batch *batch,
@@ -188,19 +190,19 @@
                            int64_t now);
 
 /* Does the pool run pieces? */
-bool batch_knows (const struct batch *batch, const char *pool);
+bool batch_has_pool (const struct batch *batch, const char *pool);
 
 /* Estimated time, in microseconds, that a new order would wait before its pieces are started. */
-int64_t batch_wait (struct batch *batch, const char *pool, const char *domain);
+int64_t batch_estimate_wait (struct batch *batch, const char *pool, const char *domain);
 
 /* Smoothed time, in microseconds, that orders of the pool took recently beyond the expected time on
  * an idle target. */
-int64_t batch_usual_wait (struct batch *batch, const char *pool, const char *domain);
+int64_t batch_smoothed_wait (struct batch *batch, const char *pool, const char *domain);
 
 /* Does a call's answer show that its target has no room at all?  Result sizes are estimates, so a
  * target with enough estimated room may lack it for one of the pieces; it made the others, and has
  * room again when those are fetched. */
-bool batch_says_full (const struct piece_result *results, uint32_t n);
+bool batch_target_is_full (const struct piece_result *results, uint32_t n);
 
 END_DECLS
 
--- a/src/batch_admit.c
+++ b/src/batch_admit.c
@@ -37,18 +37,18 @@
 /* The least time, in microseconds, in which all targets of the pool make that many pieces: with
  * full calls. */
 static int64_t
-time_of (const struct batch_pool *pool, uint32_t n_pieces)
+estimate_time (const struct batch_pool *pool, uint32_t n_pieces)
 {
   double calls = (double) n_pieces / pool->spec.pieces;
   uint32_t slots = count_slots (pool);
 
-  return (int64_t) (calls * (double) batch_expected (pool, pool->spec.pieces)
+  return (int64_t) (calls * (double) batch_expected_time (pool, pool->spec.pieces)
                     / (slots == 0 ? 1 : slots));
 }
 
 /* Counts the pieces that will be taken before those of the demand. */
 static uint32_t
-count_before (const struct batch_pool *pool, const struct batch_demand *demand, int64_t now)
+count_pieces_ahead (const struct batch_pool *pool, const struct batch_demand *demand, int64_t now)
 {
   int64_t rank = batch_rank (demand);
   const struct batch_order *order;
@@ -68,7 +68,7 @@
 /* Drops bookings whose order never came: the request ended elsewhere, or the order went to another
  * owner. */
 static void
-drop_lapsed (struct batch_pool *pool, int64_t now)
+drop_expired_bookings (struct batch_pool *pool, int64_t now)
 {
   struct batch_booking *booking;
   struct batch_booking *next;
@@ -83,25 +83,25 @@
 }
 
 bool
-batch_turns_away (struct batch_pool *pool,
-                  const struct batch_demand *demand,
-                  const char *request,
-                  uint32_t stage,
-                  int64_t now)
+batch_reject_if_late (struct batch_pool *pool,
+                      const struct batch_demand *demand,
+                      const char *request,
+                      uint32_t stage,
+                      int64_t now)
 {
-  uint32_t before;
+  uint32_t pieces_ahead;
   int64_t wait;
 
-  drop_lapsed (pool, now);
-  before = count_before (pool, demand, now);
-  wait = time_of (pool, before);
-  if (!demand->may_turn_away || before == 0 || !batch_is_late (pool, demand, now + wait))
+  drop_expired_bookings (pool, now);
+  pieces_ahead = count_pieces_ahead (pool, demand, now);
+  wait = estimate_time (pool, pieces_ahead);
+  if (!demand->may_reject || pieces_ahead == 0 || !batch_is_late (pool, demand, now + wait))
     return false;
-  counter_add (pool->batch->turned_away, 1);
+  counter_add (pool->batch->rejected, 1);
   log_event (LOG_MODULE_FLOW, LOG_LEVEL_INFO, "order-turned-away",
              "{s:s,s:i,s:s,s:s,s:i,s:i,s:I,s:I}", "id", request, "stage", (int) stage, "pool",
              pool->name, "domain", pool->domain, "pieces", (int) demand->n_pieces, "before",
-             (int) before, "wait_us", (json_int_t) wait, "due_in_us",
+             (int) pieces_ahead, "wait_us", (json_int_t) wait, "due_in_us",
              (json_int_t) (demand->due - now));
   return true;
 }
@@ -115,12 +115,12 @@
             const struct batch_demand *demand,
             int64_t now)
 {
-  struct batch_pool *pool = batch_take_pool (batch, pool_name, domain);
+  struct batch_pool *pool = batch_get_pool (batch, pool_name, domain);
   struct batch_booking *booking;
 
   if (pool == NULL || pool->spec.pieces == 0)
     return true;
-  if (batch_turns_away (pool, demand, request, stage, now))
+  if (batch_reject_if_late (pool, demand, request, stage, now))
     return false;
   booking = talloc_zero (batch, struct batch_booking);
   if (booking == NULL)
@@ -139,7 +139,7 @@
               const char *request,
               uint32_t stage)
 {
-  struct batch_pool *pool = batch_take_pool (batch, pool_name, domain);
+  struct batch_pool *pool = batch_get_pool (batch, pool_name, domain);
   struct batch_booking *booking;
 
   if (pool == NULL)
--- a/src/batch_break.c
+++ b/src/batch_break.c
@@ -2,7 +2,7 @@
  *
  * Load pattern: a piece that ends each target it is given to.  Batched with others again and again
  * it would use up their attempts; so an order during whose call a target ended gets calls of its
- * own, and fails when that has happened BATCH_ENDS_MAX times. */
+ * own, and fails when that has happened BATCH_ENDED_TARGETS_MAX times. */
 #include "batch_private.h"
 #include "log.h"
 #include <jansson.h>
@@ -15,7 +15,7 @@
 }
 
 bool
-batch_has_ended (const struct batch *batch, const struct balance_target *target)
+batch_target_has_ended (const struct batch *batch, const struct balance_target *target)
 {
   return batch->watch != NULL
          && target_watch_fate (batch->watch, target->id_hash) == TARGET_FATE_ENDED;
@@ -23,28 +23,28 @@
 
 /* Counts the targets on which its calls broke that are known to have ended. */
 static uint32_t
-known_ends (const struct batch_order *order)
+count_ended_targets (const struct batch_order *order)
 {
   const struct target_watch *watch = order->batch_pool->batch->watch;
   uint32_t n = 0;
 
-  for (uint32_t i = 0; watch != NULL && i < order->n_broke; i++)
-    n += target_watch_fate (watch, order->broke_on[i]) == TARGET_FATE_ENDED ? 1 : 0;
+  for (uint32_t i = 0; watch != NULL && i < order->n_broken_incarnations; i++)
+    n += target_watch_fate (watch, order->broken_incarnations[i]) == TARGET_FATE_ENDED ? 1 : 0;
   return n;
 }
 
 bool
-batch_goes_alone (const struct batch_order *order)
+batch_order_is_isolated (const struct batch_order *order)
 {
-  return order->n_broke > 0 && known_ends (order) > 0;
+  return order->n_broken_incarnations > 0 && count_ended_targets (order) > 0;
 }
 
 void
 batch_note_break (struct batch_order *order, uint64_t incarnation, int64_t now)
 {
-  uint32_t ends = known_ends (order);
+  uint32_t ends = count_ended_targets (order);
 
-  if (ends >= BATCH_ENDS_MAX - 1)
+  if (ends >= BATCH_ENDED_TARGETS_MAX - 1)
     {
       log_event (LOG_MODULE_FLOW, LOG_LEVEL_WARNING, "order-ends-targets", "{s:s,s:i,s:s,s:i}",
                  "id", order->request, "stage", (int) order->stage, "pool", order->pool, "ends",
@@ -52,9 +52,10 @@
       batch_end_order (order, PIECE_ENDS_TARGETS, now);
       return;
     }
-  order->not_before = now + BATCH_AFTER_BREAK;
-  batch_look_soon (order->batch_pool, order->not_before);
-  if (order->n_broke == BATCH_ENDS_MAX)
-    memmove (order->broke_on, order->broke_on + 1, --order->n_broke * sizeof *order->broke_on);
-  order->broke_on[order->n_broke++] = incarnation;
+  order->not_before = now + BATCH_BREAK_RETRY_DELAY;
+  batch_schedule_sweep (order->batch_pool, order->not_before);
+  if (order->n_broken_incarnations == BATCH_ENDED_TARGETS_MAX)
+    memmove (order->broken_incarnations, order->broken_incarnations + 1,
+             --order->n_broken_incarnations * sizeof *order->broken_incarnations);
+  order->broken_incarnations[order->n_broken_incarnations++] = incarnation;
 }
--- a/src/batch_call.c
+++ b/src/batch_call.c
@@ -28,7 +28,7 @@
 };
 
 int64_t
-batch_expected (const struct batch_pool *pool, uint32_t n_pieces)
+batch_expected_time (const struct batch_pool *pool, uint32_t n_pieces)
 {
   return pool->spec.call_time + (int64_t) n_pieces * pool->spec.piece_time;
 }
@@ -66,36 +66,36 @@
   log_event (LOG_MODULE_FLOW, LOG_LEVEL_INFO, "batch-call", "{s:s,s:s,s:i,s:s,s:i,s:I,s:I,s:i}",
              "pool", call->pool->name, "target", call->at->id, "pieces", (int) call->n, "outcome",
              outcome, "status", (int) call->status, "took_us", (json_int_t) (now - call->started),
-             "expected_us", (json_int_t) batch_expected (call->pool, call->n), "queued",
+             "expected_us", (json_int_t) batch_expected_time (call->pool, call->n), "queued",
              (int) call->pool->n_pending);
 }
 
 /* The call is over: frees its slot and the room counted for its results. */
 static void
-release (struct batch_call *call, bool failed, int64_t now)
+release_slot (struct batch_call *call, bool failed, int64_t now)
 {
   struct batch_pool *pool = call->pool;
 
   timer_disarm (loop_timers (pool->batch->config.loop), &call->timer);
   call->target->calls--;
-  call->target->used -= call->size;
+  call->target->used_bytes -= call->size;
   balance_ended (call->at, failed, failed ? -1 : now - call->started, now);
 }
 
 static void
-take_result (struct batch_call *call,
-             const struct batch_piece *piece,
-             struct piece_result *result,
-             int64_t now)
+handle_result (struct batch_call *call,
+               const struct batch_piece *piece,
+               struct piece_result *result,
+               int64_t now)
 {
   struct batch_pool *pool = call->pool;
 
   if (result->end == PIECE_DONE)
     {
       memcpy (result->result.target, call->at->id, sizeof result->result.target);
-      batch_keep_result (pool, call->target, result->result.handle, piece,
-                         batch_order_of (pool->batch, piece) == NULL, now);
-      batch_piece_done (pool, piece, result, now);
+      batch_record_result (pool, call->target, result->result.handle, piece,
+                           batch_order_of (pool->batch, piece) == NULL, now);
+      batch_complete_piece (pool, piece, result, now);
       return;
     }
   /* Waiting does not bring back an input that is gone: whoever ordered the piece makes it again. */
@@ -125,7 +125,7 @@
 }
 
 bool
-batch_says_full (const struct piece_result *results, uint32_t n)
+batch_target_is_full (const struct piece_result *results, uint32_t n)
 {
   bool full = false;
 
@@ -141,11 +141,11 @@
 /* Answers to stage work do not identify their call.  A late duplicate of an earlier answer is
  * recognised by handles that are already known. */
 static bool
-is_of_another_call (const struct batch_call *call, const struct piece_result *results)
+is_foreign_answer (const struct batch_call *call, const struct piece_result *results)
 {
   for (uint32_t i = 0; i < call->n; i++)
     if (results[i].end == PIECE_DONE
-        && batch_is_of_another (call->target, results[i].result.handle, &call->pieces[i]))
+        && batch_handle_is_foreign (call->target, results[i].result.handle, &call->pieces[i]))
       {
         log_event (LOG_MODULE_FLOW, LOG_LEVEL_WARNING, "answer-of-another-call", "{s:s,s:s}",
                    "target", call->at->id, "handle", results[i].result.handle);
@@ -155,27 +155,28 @@
 }
 
 static bool
-take_results (struct batch_call *call, int64_t now)
+handle_results (struct batch_call *call, int64_t now)
 {
   struct dialect *dialect = call->pool->batch->config.dialect;
   struct piece_result results[BATCH_CALL_PIECES_MAX];
 
   if (call->status != HTTP_STATUS_OK
       || !dialect->ops->read_pieces (dialect, call->body.data, call->body.length, results, call->n)
-      || is_of_another_call (call, results))
+      || is_foreign_answer (call, results))
     return false;
   log_not_made (call, results);
-  if (batch_says_full (results, call->n))
+  if (batch_target_is_full (results, call->n))
     call->target->paused_until = now + BATCH_NO_ROOM_PAUSE;
   for (uint32_t i = 0; i < call->n; i++)
-    take_result (call, &call->pieces[i], &results[i], now);
+    handle_result (call, &call->pieces[i], &results[i], now);
   return true;
 }
 
 static void
-learn_speed (struct batch_call *call, int64_t now)
+update_slowness (struct batch_call *call, int64_t now)
 {
-  double ratio = (double) (now - call->started) / (double) batch_expected (call->pool, call->n);
+  double ratio =
+      (double) (now - call->started) / (double) batch_expected_time (call->pool, call->n);
 
   call->target->slowness += SLOWNESS_SMOOTHING * (ratio - call->target->slowness);
   histogram_record (call->pool->batch->call_time, (double) (now - call->started));
@@ -228,10 +229,10 @@
   if (base->handed && (end == H1_END_CUT || end == H1_END_RESET))
     note_break (call, now);
   /* A target that reports that it is full has not failed. */
-  release (call, failed && !call->not_run, now);
+  release_slot (call, failed && !call->not_run, now);
   if (!failed)
-    learn_speed (call, now);
-  if (failed || !take_results (call, now))
+    update_slowness (call, now);
+  if (failed || !handle_results (call, now))
     {
       counter_add (pool->batch->failed_calls, 1);
       if (call->not_run)
@@ -258,9 +259,9 @@
   log_call (call, "overdue", now);
   counter_add (pool->batch->overdue_calls, 1);
   h1_call_cancel (&call->call);
-  call->target->paused_until = now + batch_expected (pool, call->n);
+  call->target->paused_until = now + batch_expected_time (pool, call->n);
   call->target->slowness += SLOWNESS_SMOOTHING * (BATCH_OVERDUE_FACTOR - call->target->slowness);
-  release (call, true, now);
+  release_slot (call, true, now);
   requeue_all (call, true, now);
   talloc_free (call);
   batch_dispatch (pool, now);
@@ -281,7 +282,7 @@
 /* Identifies a result: the same piece of the same stage, made of the same inputs or under the same
  * key, is the same. */
 static uint64_t
-content_of (const struct batch_order *order, const struct batch_piece *piece)
+hash_content (const struct batch_order *order, const struct batch_piece *piece)
 {
   const char *from = order->inputs == NULL ? order->key : order->inputs;
   uint64_t content =
@@ -301,7 +302,7 @@
       const struct batch_order *order = batch_order_of (call->pool->batch, &call->pieces[i]);
 
       INVARIANT (order != NULL);
-      call->pieces[i].content = content_of (order, &call->pieces[i]);
+      call->pieces[i].content_hash = hash_content (order, &call->pieces[i]);
       facts[i] = (struct piece_facts){
         .request = order->request,
         .stage = order->stage,
@@ -315,14 +316,15 @@
 }
 
 static int64_t
-overdue_after (const struct batch_call *call)
+overdue_timeout (const struct batch_call *call)
 {
   double factor = BATCH_OVERDUE_FACTOR;
 
   /* A target known to be slow is allowed proportionally more time. */
   if (call->target->slowness > 1)
     factor *= call->target->slowness;
-  return (int64_t) (factor * (double) batch_expected (call->pool, call->n)) + BATCH_OVERDUE_MORE;
+  return (int64_t) (factor * (double) batch_expected_time (call->pool, call->n))
+         + BATCH_OVERDUE_SLACK;
 }
 
 bool
@@ -363,9 +365,9 @@
     }
   balance_started (call->at);
   target->calls++;
-  target->used += call->size;
+  target->used_bytes += call->size;
   counter_add (batch->calls, 1);
   counter_add (batch->pieces, n);
-  timer_arm (loop_timers (batch->config.loop), &call->timer, now + overdue_after (call));
+  timer_arm (loop_timers (batch->config.loop), &call->timer, now + overdue_timeout (call));
   return true;
 }
--- a/src/batch_private.h
+++ b/src/batch_private.h
@@ -14,18 +14,18 @@
   uint64_t serial;
   uint32_t index;
   uint64_t result_size;
-  uint64_t content; /* hash that identifies what is to be made; set when it is put in a call */
+  uint64_t content_hash; /* hash that identifies what is to be made; set when it is put in a call */
 };
 
 /* A result stored at its target. */
 struct batch_result
 {
   char handle[DIALECT_HANDLE_SIZE];
-  uint64_t content; /* 0 if an earlier owner ordered it */
+  uint64_t content_hash; /* 0 if an earlier owner ordered it */
   uint64_t size;
   int64_t expires;
-  bool let_go;   /* to be evicted where room is short */
-  bool unneeded; /* to be freed with the next free call */
+  bool evictable; /* to be evicted where room is short */
+  bool unneeded;  /* to be freed with the next free call */
   struct batch_result *prev;
   struct batch_result *next;
 };
@@ -37,8 +37,8 @@
   char id[ROUTING_NAME_SIZE];
   uint64_t started; /* its incarnation */
   uint32_t calls;
-  uint64_t used;   /* bytes of results, including those of running calls */
-  double slowness; /* actual over expected time of its calls, smoothed */
+  uint64_t used_bytes; /* bytes of results, including those of running calls */
+  double slowness;     /* actual over expected time of its calls, smoothed */
   int64_t paused_until;
   struct batch_result *results;
   struct batch_target *next;
@@ -54,8 +54,8 @@
   struct batch_order *queue;      /* orders with pending pieces, by rank */
   struct batch_booking *bookings; /* orders that will be submitted later */
   uint32_t n_pending;             /* pending pieces of the orders in the queue */
-  double usual_wait; /* smoothed wait beyond the expected time, of orders submitted in time */
-  uint64_t reserved; /* bytes that the pending pieces of begun orders will take */
+  double smoothed_wait;    /* smoothed wait beyond the expected time, of orders submitted in time */
+  uint64_t reserved_bytes; /* bytes that the pending pieces of begun orders will take */
   struct batch_target *targets;
   struct timer timer; /* dispatches while orders wait, and frees results */
 };
@@ -74,7 +74,7 @@
   struct counter *pieces;
   struct counter *failed_calls;
   struct counter *overdue_calls;
-  struct counter *turned_away;
+  struct counter *rejected;
   struct counter *dropped; /* fetched results evicted where room was short */
   struct histogram *call_time;
 };
@@ -86,10 +86,10 @@
 
 /* Is the target known to have ended, although it is still in the list of targets?  A call to it
  * would waste an attempt. */
-bool batch_has_ended (const struct batch *batch, const struct balance_target *target);
+bool batch_target_has_ended (const struct batch *batch, const struct balance_target *target);
 
 /* Has a target ended during a call with its pieces?  Then its pieces go into calls of their own. */
-bool batch_goes_alone (const struct batch_order *order);
+bool batch_order_is_isolated (const struct batch_order *order);
 
 /* batch_queue.c */
 void batch_enqueue (struct batch_order *order);
@@ -103,28 +103,28 @@
 /* batch_admit.c */
 
 /* Is an order to be rejected when it is submitted?  Logs and counts a rejection. */
-bool batch_turns_away (struct batch_pool *pool,
-                       const struct batch_demand *demand,
-                       const char *request,
-                       uint32_t stage,
-                       int64_t now);
+bool batch_reject_if_late (struct batch_pool *pool,
+                           const struct batch_demand *demand,
+                           const char *request,
+                           uint32_t stage,
+                           int64_t now);
 
 /* batch.c */
 
 /* The part of a pool in one failure domain, created on first use; NULL if the pool is unknown. */
-struct batch_pool *batch_take_pool (struct batch *batch, const char *name, const char *domain);
+struct batch_pool *batch_get_pool (struct batch *batch, const char *name, const char *domain);
 bool batch_is_in_pool (const struct batch_pool *pool, const struct balance_target *at);
 struct batch_order *batch_order_of (struct batch *batch, const struct batch_piece *piece);
 void batch_end_order (struct batch_order *order, enum piece_end end, int64_t now);
-void batch_piece_done (struct batch_pool *pool,
-                       const struct batch_piece *piece,
-                       const struct piece_result *result,
-                       int64_t now);
+void batch_complete_piece (struct batch_pool *pool,
+                           const struct batch_piece *piece,
+                           const struct piece_result *result,
+                           int64_t now);
 void batch_requeue (struct batch_pool *pool,
                     const struct batch_piece *piece,
                     bool tried,
                     int64_t now);
-void batch_look_soon (struct batch_pool *pool, int64_t now);
+void batch_schedule_sweep (struct batch_pool *pool, int64_t now);
 
 /* batch_call.c */
 bool batch_call_start (struct batch_pool *pool,
@@ -132,26 +132,26 @@
                        const struct batch_piece *pieces,
                        uint32_t n,
                        int64_t now);
-int64_t batch_expected (const struct batch_pool *pool, uint32_t n_pieces);
+int64_t batch_expected_time (const struct batch_pool *pool, uint32_t n_pieces);
 
 /* batch_result.c */
-struct batch_target *batch_target_of (struct batch_pool *pool, struct balance_target *target);
+struct batch_target *batch_get_target (struct batch_pool *pool, struct balance_target *target);
 
 /* `piece` is the one whose result it is; NULL if an earlier owner of the pool ordered it. */
-void batch_keep_result (struct batch_pool *pool,
-                        struct batch_target *target,
-                        const char *handle,
-                        const struct batch_piece *piece,
-                        bool unneeded,
-                        int64_t now);
+void batch_record_result (struct batch_pool *pool,
+                          struct batch_target *target,
+                          const char *handle,
+                          const struct batch_piece *piece,
+                          bool unneeded,
+                          int64_t now);
 
 /* Does the handle, at that target, already belong to the result of another piece?  Then the answer
  * that names it is to another call. */
-bool batch_is_of_another (const struct batch_target *target,
-                          const char *handle,
-                          const struct batch_piece *piece);
+bool batch_handle_is_foreign (const struct batch_target *target,
+                              const char *handle,
+                              const struct batch_piece *piece);
 void batch_sweep_results (struct batch_pool *pool, int64_t now);
-void batch_free (struct batch_pool *pool, const struct stage_result *result, int64_t now);
-void batch_let_go (struct batch_pool *pool, const struct stage_result *result, int64_t now);
+void batch_free_result (struct batch_pool *pool, const struct stage_result *result, int64_t now);
+void batch_mark_evictable (struct batch_pool *pool, const struct stage_result *result, int64_t now);
 
 #endif
--- a/src/batch_queue.c
+++ b/src/batch_queue.c
@@ -31,7 +31,7 @@
   order->queued = true;
   pool->n_pending += order->n_pending;
   if (order->begun)
-    pool->reserved += order->n_pending * order->result_size;
+    pool->reserved_bytes += order->n_pending * order->result_size;
 }
 
 void
@@ -45,12 +45,12 @@
   order->queued = false;
   pool->n_pending -= order->n_pending;
   if (order->begun)
-    pool->reserved -= order->n_pending * order->result_size;
+    pool->reserved_bytes -= order->n_pending * order->result_size;
 }
 
 /* Ends orders that can no longer meet their deadline, before they cost a target's time. */
 static void
-drop_late (struct batch_pool *pool, int64_t now)
+end_late_orders (struct batch_pool *pool, int64_t now)
 {
   struct batch_order *order = pool->queue;
 
@@ -58,7 +58,7 @@
     {
       struct batch_order *next = order->next;
 
-      if (now + batch_expected (pool, 1) < order->deadline)
+      if (now + batch_expected_time (pool, 1) < order->deadline)
         {
           order = next;
           continue;
@@ -70,7 +70,7 @@
 }
 
 /* The idle targets and the room of a pool, computed anew for each call that is assembled. */
-struct outlook
+struct capacity
 {
   struct batch_target *idle[64];
   uint32_t n_idle;
@@ -83,13 +83,14 @@
 can_take (const struct batch_pool *pool, const struct batch_target *target, int64_t now)
 {
   return now >= target->target->ejected_until && now >= target->paused_until
-         && target->calls < pool->spec.slots && !batch_has_ended (pool->batch, target->target);
+         && target->calls < pool->spec.slots
+         && !batch_target_has_ended (pool->batch, target->target);
 }
 
 static void
-look (struct batch_pool *pool, int64_t now, struct outlook *out)
+read_capacity (struct batch_pool *pool, int64_t now, struct capacity *out)
 {
-  *out = (struct outlook){ .n_idle = 0 };
+  *out = (struct capacity){ .n_idle = 0 };
   /* Clears the pointers to targets that are gone by now. */
   for (struct batch_target *target = pool->targets; target != NULL; target = target->next)
     target->target = NULL;
@@ -99,11 +100,11 @@
 
       if (!batch_is_in_pool (pool, at))
         continue;
-      target = batch_target_of (pool, at);
+      target = batch_get_target (pool, at);
       if (target == NULL || !at->usable || at->gone)
         continue;
       out->room += pool->spec.room;
-      out->used += target->used;
+      out->used += target->used_bytes;
       out->calls += target->calls;
       if (out->n_idle < sizeof out->idle / sizeof out->idle[0] && can_take (pool, target, now))
         out->idle[out->n_idle++] = target;
@@ -123,19 +124,19 @@
  * targets until its last piece is made. */
 static bool
 has_room (const struct batch_pool *pool,
-          const struct outlook *outlook,
+          const struct capacity *capacity,
           const struct batch_target *target,
           const struct batch_order *order,
           const struct draft *draft,
           uint32_t n_results)
 {
-  uint64_t taken = target->used + draft->size;
+  uint64_t taken = target->used_bytes + draft->size;
   double used = (double) (taken + n_results * order->result_size);
-  double margin = BATCH_SIZE_SPREAD * sqrt (used * (double) order->result_size);
+  double margin = BATCH_ROOM_MARGIN * sqrt (used * (double) order->result_size);
 
   if (pool->spec.room == 0 || taken == 0)
     return true;
-  if (order->begun && outlook->calls == 0)
+  if (order->begun && capacity->calls == 0)
     margin = 0;
   return used + margin <= (double) pool->spec.room;
 }
@@ -147,7 +148,7 @@
  * room as well (error 0.004 each). */
 static bool
 would_split (const struct batch_pool *pool,
-             const struct outlook *outlook,
+             const struct capacity *capacity,
              const struct batch_target *target,
              const struct batch_order *order,
              const struct draft *draft)
@@ -155,21 +156,21 @@
   if (order->begun || order->n_pending > pool->spec.pieces)
     return false;
   return order->n_pending > draft->places
-         || !has_room (pool, outlook, target, order, draft, order->n_pending);
+         || !has_room (pool, capacity, target, order, draft, order->n_pending);
 }
 
 /* Is there room for the whole of an order that is not begun, beside the stored results and what
  * begun orders still need?  Orders that each hold part of the room and wait for the rest would
  * deadlock until their results expire. */
 static bool
-may_begin (const struct batch_pool *pool,
-           const struct outlook *outlook,
+can_begin (const struct batch_pool *pool,
+           const struct capacity *capacity,
            const struct batch_order *order)
 {
-  uint64_t committed = outlook->used + pool->reserved;
+  uint64_t committed = capacity->used + pool->reserved_bytes;
 
   return order->begun || pool->spec.room == 0 || committed == 0
-         || committed + order->n_pending * order->result_size <= outlook->room;
+         || committed + order->n_pending * order->result_size <= capacity->room;
 }
 
 /* An order that can no longer be in time goes behind those that can: served first, as the earliest
@@ -177,74 +178,77 @@
 bool
 batch_is_late (const struct batch_pool *pool, const struct batch_demand *demand, int64_t now)
 {
-  return now + batch_expected (pool, 1) + BATCH_LATE_MARGIN > demand->due;
+  return now + batch_expected_time (pool, 1) + BATCH_LATE_MARGIN > demand->due;
 }
 
 static bool
-is_near (const struct batch_order *order, const struct batch_target *target)
+is_preferred (const struct batch_order *order, const struct batch_target *target)
 {
-  return order->near[0] == '\0' || strcmp (order->near, target->target->domain) == 0;
+  return order->preferred_domain[0] == '\0'
+         || strcmp (order->preferred_domain, target->target->domain) == 0;
 }
 
 /* Must the order go to a target in its preferred failure domain, where its results are wanted?
  * Only while it has time to spare, no more is queued than fills one call, and there is such a
  * target. */
 static bool
-waits_for_near (const struct batch_pool *pool, const struct batch_order *order, int64_t now)
+must_wait_for_preferred (const struct batch_pool *pool,
+                         const struct batch_order *order,
+                         int64_t now)
 {
-  if (order->near[0] == '\0' || pool->n_pending > pool->spec.pieces
-      || now + batch_expected (pool, 1) + BATCH_NEAR_SLACK >= order->demand.due)
+  if (order->preferred_domain[0] == '\0' || pool->n_pending > pool->spec.pieces
+      || now + batch_expected_time (pool, 1) + BATCH_LOCALITY_SLACK >= order->demand.due)
     return false;
   for (const struct batch_target *target = pool->targets; target != NULL; target = target->next)
     if (target->target != NULL && target->target->usable
-        && strcmp (target->target->domain, order->near) == 0)
+        && strcmp (target->target->domain, order->preferred_domain) == 0)
       return true;
   return false;
 }
 
 /* Pieces of an order during whose call a target ended share no call with those of another order. */
 static bool
-may_share (const struct batch_order *order, const struct draft *draft)
+can_share_call (const struct batch_order *order, const struct draft *draft)
 {
   return draft->newest == NULL || draft->newest == order
-         || (!batch_goes_alone (order) && !batch_goes_alone (draft->newest));
+         || (!batch_order_is_isolated (order) && !batch_order_is_isolated (draft->newest));
 }
 
 static bool
 fits (const struct batch_pool *pool,
-      const struct outlook *outlook,
+      const struct capacity *capacity,
       const struct batch_order *order,
       const struct batch_target *target,
       const struct draft *draft,
       int64_t now)
 {
-  return now >= order->not_before && may_share (order, draft)
-         && has_room (pool, outlook, target, order, draft, 1) && may_begin (pool, outlook, order)
-         && !would_split (pool, outlook, target, order, draft)
-         && (is_near (order, target) || !waits_for_near (pool, order, now));
+  return now >= order->not_before && can_share_call (order, draft)
+         && has_room (pool, capacity, target, order, draft, 1) && can_begin (pool, capacity, order)
+         && !would_split (pool, capacity, target, order, draft)
+         && (is_preferred (order, target) || !must_wait_for_preferred (pool, order, now));
 }
 
 /* Chooses the idle target of the next call among those for which there is an order: the one with
  * the lowest slowness, to which 1 is added outside the order's preferred failure domain. */
 static struct batch_target *
-choose_target (struct batch_pool *pool, const struct outlook *outlook, int64_t now)
+choose_target (struct batch_pool *pool, const struct capacity *capacity, int64_t now)
 {
   const struct draft empty = { .places = pool->spec.pieces };
   struct batch_target *best = NULL;
   double best_cost = 0;
 
-  for (uint32_t i = 0; i < outlook->n_idle; i++)
+  for (uint32_t i = 0; i < capacity->n_idle; i++)
     {
-      struct batch_target *target = outlook->idle[i];
+      struct batch_target *target = capacity->idle[i];
       struct batch_order *order;
       double cost;
 
       DL_FOREACH (pool->queue, order)
-        if (fits (pool, outlook, order, target, &empty, now))
+        if (fits (pool, capacity, order, target, &empty, now))
           break;
       if (order == NULL)
         continue;
-      cost = target->slowness + (is_near (order, target) ? 0.0 : 1.0);
+      cost = target->slowness + (is_preferred (order, target) ? 0.0 : 1.0);
       if (best == NULL || cost < best_cost)
         {
           best = target;
@@ -259,19 +263,19 @@
 static void
 take_piece (struct batch_order *order,
             const struct batch_target *target,
-            struct outlook *outlook,
+            struct capacity *capacity,
             struct batch_piece *out)
 {
   batch_dequeue (order);
-  if (order->near[0] == '\0')
-    text_copy_cut (order->near, sizeof order->near, target->target->domain);
+  if (order->preferred_domain[0] == '\0')
+    text_copy_cut (order->preferred_domain, sizeof order->preferred_domain, target->target->domain);
   *out = (struct batch_piece){
     .serial = order->serial,
     .index = order->pending[--order->n_pending],
     .result_size = order->result_size,
   };
   order->begun = true;
-  outlook->used += order->result_size;
+  capacity->used += order->result_size;
   /* Reserves room for the rest, as the order is begun. */
   batch_enqueue (order);
 }
@@ -287,10 +291,11 @@
          int64_t now)
 {
   bool late = batch_is_late (pool, &order->demand, now);
-  bool near = is_near (order, target);
-  bool pressed = now + batch_expected (pool, 1) + BATCH_PRESSED > order->demand.due;
+  bool near = is_preferred (order, target);
+  bool short_of_time =
+      now + batch_expected_time (pool, 1) + BATCH_ANY_DOMAIN_SLACK > order->demand.due;
 
-  return (late ? 2 : 0) + (near || (pressed && !late) ? 0 : 1);
+  return (late ? 2 : 0) + (near || (short_of_time && !late) ? 0 : 1);
 }
 
 /* Takes pieces for one call: in queue order those that fit and may go there, even if other targets
@@ -300,7 +305,7 @@
 static uint32_t
 take_pieces (struct batch_pool *pool,
              const struct batch_target *target,
-             struct outlook *outlook,
+             struct capacity *capacity,
              int64_t now,
              struct batch_piece out[BATCH_CALL_PIECES_MAX])
 {
@@ -317,12 +322,12 @@
           if (pass_of (pool, order, target, now) != pass)
             continue;
           while (draft.places > 0 && order->n_pending > 0
-                 && fits (pool, outlook, order, target, &draft, now))
+                 && fits (pool, capacity, order, target, &draft, now))
             {
               draft.size += order->result_size;
               draft.places--;
               draft.newest = order;
-              take_piece (order, target, outlook, &out[n++]);
+              take_piece (order, target, capacity, &out[n++]);
             }
           if (draft.places == 0)
             return n;
@@ -334,7 +339,7 @@
 /* The targets now fetch the inputs of these pieces: notifies the caller of each order whose last
  * piece was taken. */
 static void
-tell_taken (struct batch_pool *pool, const struct batch_piece *pieces, uint32_t n, int64_t now)
+notify_taken (struct batch_pool *pool, const struct batch_piece *pieces, uint32_t n, int64_t now)
 {
   for (uint32_t i = 0; i < n; i++)
     {
@@ -349,22 +354,22 @@
 void
 batch_dispatch (struct batch_pool *pool, int64_t now)
 {
-  drop_late (pool, now);
+  end_late_orders (pool, now);
   while (pool->queue != NULL)
     {
       struct batch_piece pieces[BATCH_CALL_PIECES_MAX];
-      struct outlook outlook;
+      struct capacity capacity;
       struct batch_target *target;
       uint32_t n;
 
-      look (pool, now, &outlook);
-      target = choose_target (pool, &outlook, now);
+      read_capacity (pool, now, &capacity);
+      target = choose_target (pool, &capacity, now);
       if (target == NULL)
         return;
-      n = take_pieces (pool, target, &outlook, now, pieces);
+      n = take_pieces (pool, target, &capacity, now, pieces);
       if (n > 0 && batch_call_start (pool, target, pieces, n, now))
         {
-          tell_taken (pool, pieces, n, now);
+          notify_taken (pool, pieces, n, now);
           continue;
         }
       target->paused_until = now + BATCH_NO_ROOM_PAUSE;
--- a/src/batch_result.c
+++ b/src/batch_result.c
@@ -9,27 +9,27 @@
 #define FREED_AT_ONCE 128
 
 static void
-forget_result (struct batch_target *target, struct batch_result *result)
+remove_result (struct batch_target *target, struct batch_result *result)
 {
   DL_DELETE (target->results, result);
-  target->used -= result->size;
+  target->used_bytes -= result->size;
   talloc_free (result);
 }
 
 /* A restarted target holds no results and counts as of normal speed.  The room of running calls is
  * given back as they end. */
 static void
-forget_incarnation (struct batch_target *target, uint64_t started)
+reset_incarnation (struct batch_target *target, uint64_t started)
 {
   while (target->results != NULL)
-    forget_result (target, target->results);
+    remove_result (target, target->results);
   target->started = started;
   target->slowness = 1;
   target->paused_until = 0;
 }
 
 struct batch_target *
-batch_target_of (struct batch_pool *pool, struct balance_target *at)
+batch_get_target (struct batch_pool *pool, struct balance_target *at)
 {
   struct batch_target *target = pool->targets;
 
@@ -47,18 +47,18 @@
       pool->targets = target;
     }
   if (target->started != at->started)
-    forget_incarnation (target, at->started);
+    reset_incarnation (target, at->started);
   target->target = at;
   return target;
 }
 
 void
-batch_keep_result (struct batch_pool *pool,
-                   struct batch_target *target,
-                   const char *handle,
-                   const struct batch_piece *piece,
-                   bool unneeded,
-                   int64_t now)
+batch_record_result (struct batch_pool *pool,
+                     struct batch_target *target,
+                     const char *handle,
+                     const struct batch_piece *piece,
+                     bool unneeded,
+                     int64_t now)
 {
   struct batch_result *result = talloc_zero (target, struct batch_result);
 
@@ -67,13 +67,13 @@
   text_copy_cut (result->handle, sizeof result->handle, handle);
   if (piece != NULL)
     {
-      result->content = piece->content;
+      result->content_hash = piece->content_hash;
       result->size = piece->result_size;
     }
   result->unneeded = unneeded;
   result->expires = now + pool->spec.result_ttl;
   DL_APPEND (target->results, result);
-  target->used += result->size;
+  target->used_bytes += result->size;
 }
 
 static struct batch_target *
@@ -81,7 +81,7 @@
 {
   struct balance_target *at = balance_find (pool->batch->config.balance, id);
 
-  return at == NULL ? NULL : batch_target_of (pool, at);
+  return at == NULL ? NULL : batch_get_target (pool, at);
 }
 
 static struct batch_result *
@@ -96,29 +96,29 @@
 }
 
 bool
-batch_is_of_another (const struct batch_target *target,
-                     const char *handle,
-                     const struct batch_piece *piece)
+batch_handle_is_foreign (const struct batch_target *target,
+                         const char *handle,
+                         const struct batch_piece *piece)
 {
   const struct batch_result *held = find_result (target, handle);
 
-  return held != NULL && held->content != 0 && held->content != piece->content;
+  return held != NULL && held->content_hash != 0 && held->content_hash != piece->content_hash;
 }
 
 void
-batch_let_go (struct batch_pool *pool, const struct stage_result *fetched, int64_t now)
+batch_mark_evictable (struct batch_pool *pool, const struct stage_result *fetched, int64_t now)
 {
   struct batch_target *target = find_target (pool, fetched->target);
   struct batch_result *result = target == NULL ? NULL : find_result (target, fetched->handle);
 
   if (result == NULL)
     return;
-  result->let_go = true;
-  batch_look_soon (pool, now);
+  result->evictable = true;
+  batch_schedule_sweep (pool, now);
 }
 
 void
-batch_free (struct batch_pool *pool, const struct stage_result *unneeded, int64_t now)
+batch_free_result (struct batch_pool *pool, const struct stage_result *unneeded, int64_t now)
 {
   struct batch_target *target = find_target (pool, unneeded->target);
   struct batch_result *result = target == NULL ? NULL : find_result (target, unneeded->handle);
@@ -128,8 +128,8 @@
   if (result != NULL)
     result->unneeded = true;
   else
-    batch_keep_result (pool, target, unneeded->handle, NULL, true, now);
-  batch_look_soon (pool, now);
+    batch_record_result (pool, target, unneeded->handle, NULL, true, now);
+  batch_schedule_sweep (pool, now);
 }
 
 /* ---- free calls ---- */
@@ -211,7 +211,8 @@
 static bool
 is_short_of_room (const struct batch_pool *pool, const struct batch_target *target)
 {
-  return pool->spec.room > 0 && (double) target->used > BATCH_ROOM_AMPLE * (double) pool->spec.room;
+  return pool->spec.room > 0
+         && (double) target->used_bytes > BATCH_EVICTION_THRESHOLD * (double) pool->spec.room;
 }
 
 static void
@@ -226,10 +227,10 @@
 
   DL_FOREACH_SAFE (target->results, result, next)
     {
-      bool drop = result->unneeded || (result->let_go && short_of_room);
+      bool drop = result->unneeded || (result->evictable && short_of_room);
 
       if (now >= result->expires || (drop && target->target == NULL))
-        forget_result (target, result);
+        remove_result (target, result);
       else if (drop && n < FREED_AT_ONCE)
         {
           handles[n] = result->handle;
@@ -241,7 +242,7 @@
     return;
   send_free (pool, target->target, handles, n, now);
   for (uint32_t i = 0; i < n; i++)
-    forget_result (target, freed[i]);
+    remove_result (target, freed[i]);
 }
 
 void
--- a/src/forward_result.c
+++ b/src/forward_result.c
@@ -58,8 +58,8 @@
   if (at->state != STAGE_DONE)
     return;
   at->state = STAGE_FREED;
-  work_release_results (job->forward->config.work, BATCH_FREE, at->order.pool, at->order.domain,
-                        at->results, job_pieces (job, stage), now);
+  work_release_results (job->forward->config.work, BATCH_RELEASE_FREE, at->order.pool,
+                        at->order.domain, at->results, job_pieces (job, stage), now);
 }
 
 static uint32_t
@@ -101,7 +101,7 @@
           || (job_is_read_by_engine (job, i) && !engine))
         continue;
       stage->let_go = true;
-      work_release_results (job->forward->config.work, BATCH_LET_GO, stage->order.pool,
+      work_release_results (job->forward->config.work, BATCH_RELEASE_EVICTABLE, stage->order.pool,
                             stage->order.domain, stage->results, job_pieces (job, i), now);
     }
 }
--- a/src/forward_stage.c
+++ b/src/forward_stage.c
@@ -53,7 +53,7 @@
 
       for (uint32_t j = i + 1; j < job->route.n_stages; j++)
         {
-          int64_t wait = work_usual_wait (job->forward->config.work, job->stages[j].pool, now);
+          int64_t wait = work_smoothed_wait (job->forward->config.work, job->stages[j].pool, now);
           int64_t through = job->stages[j].tail + job->stages[j].expected
                             + (wait > STAGE_WAIT ? wait : STAGE_WAIT);
 
@@ -236,11 +236,11 @@
         .demand = { .n_pieces = job_pieces (job, i),
                     .urgency = job->route.priority,
                     .due = job->objective_at - stage->tail,
-                    .may_turn_away = true },
+                    .may_reject = true },
       };
       memcpy (stage->booking.request, job->facts.id, sizeof stage->booking.request);
       memcpy (stage->booking.pool, stage->pool, sizeof stage->booking.pool);
-      memcpy (stage->booking.home, job->near, sizeof stage->booking.home);
+      memcpy (stage->booking.home_domain, job->near, sizeof stage->booking.home_domain);
       work_book (job->forward->config.work, &stage->booking, now);
     }
 }
@@ -261,15 +261,15 @@
     .inputs = inputs.length > 0 ? inputs.data : NULL,
     .due = job->objective_at - stage->tail,
     .deadline = job->give_up_at - stage->tail,
-    .may_turn_away = stage->booking.work == NULL && may_turn_away (job, now),
+    .may_reject = stage->booking.work == NULL && may_turn_away (job, now),
     .urgency = job->route.priority,
     .n_pieces = job_pieces (job, number),
     .results = stage->results,
   };
   memcpy (stage->order.request, job->facts.id, sizeof stage->order.request);
   memcpy (stage->order.key, job->facts.piece_key, sizeof stage->order.key);
-  job_choose_place (job, number, stage->order.near);
-  memcpy (stage->order.home, job->near, sizeof stage->order.home);
+  job_choose_place (job, number, stage->order.preferred_domain);
+  memcpy (stage->order.home_domain, job->near, sizeof stage->order.home_domain);
   memcpy (stage->order.pool, stage->pool, sizeof stage->order.pool);
   work_use_booking (&stage->booking, &stage->order);
   stage->state = STAGE_RUNNING;
--- a/src/work.c
+++ b/src/work.c
@@ -20,12 +20,12 @@
 }
 
 static void
-drop (struct work_order *order)
+remove_order (struct work_order *order)
 {
   struct work *work = order->work;
 
   timer_disarm (work->config.timers, &order->timer);
-  work_owner_count (work, order->owner, -1);
+  work_owner_add_orders (work, order->owner, -1);
   DL_DELETE (work->orders, order);
   talloc_free (order->inputs_copy);
   order->inputs_copy = NULL;
@@ -33,11 +33,11 @@
 }
 
 static void
-finish (struct work_order *order, enum piece_end end, int64_t now)
+finish_order (struct work_order *order, enum piece_end end, int64_t now)
 {
   if (end != PIECE_DONE)
     counter_add (order->work->failed, 1);
-  drop (order);
+  remove_order (order);
   order->ops->done (order, end, now);
 }
 
@@ -45,13 +45,13 @@
 
 /* One shard of a split pool may be full while another has room. */
 static bool
-dispatch_elsewhere (struct work_order *order, int64_t now)
+dispatch_to_other_shard (struct work_order *order, int64_t now)
 {
   struct work *work = order->work;
 
-  if (!work_refuse_part (work, order->request, order->pool, order->domain, &order->refused))
+  if (!work_note_refusal (work, order->request, order->pool, order->domain, &order->refused_shards))
     return false;
-  work_owner_count (work, order->owner, -1);
+  work_owner_add_orders (work, order->owner, -1);
   order->owner[0] = '\0';
   dispatch (order, now);
   return true;
@@ -59,10 +59,10 @@
 
 /* The owner reported how the order ended. */
 static void
-answered (struct work_order *order, enum piece_end end, int64_t now)
+handle_end (struct work_order *order, enum piece_end end, int64_t now)
 {
-  if (end != PIECE_BUSY || !dispatch_elsewhere (order, now))
-    finish (order, end, now);
+  if (end != PIECE_BUSY || !dispatch_to_other_shard (order, now))
+    finish_order (order, end, now);
 }
 
 static void
@@ -74,12 +74,12 @@
   if (order == NULL)
     return;
   work_note_wait (work, order->pool, order->domain,
-                  batch_wait (work->config.batch, order->pool, order->domain),
-                  batch_usual_wait (work->config.batch, order->pool, order->domain), now);
+                  batch_estimate_wait (work->config.batch, order->pool, order->domain),
+                  batch_smoothed_wait (work->config.batch, order->pool, order->domain), now);
   order->local = NULL;
   for (uint32_t i = 0; end == PIECE_DONE && i < order->n_pieces; i++)
     order->results[i] = batch_order->results[i].result;
-  answered (order, end, now);
+  handle_end (order, end, now);
 }
 
 static void
@@ -94,13 +94,13 @@
 static const struct batch_order_ops local_ops = { .done = local_done, .taken = local_taken };
 
 static void
-run_here (struct work *work, struct work_order *order, int64_t now)
+run_locally (struct work *work, struct work_order *order, int64_t now)
 {
   struct batch_order *local = batch_order_new (work->config.batch, order->n_pieces);
 
   if (local == NULL)
     {
-      finish (order, PIECE_FAILED, now);
+      finish_order (order, PIECE_FAILED, now);
       return;
     }
   local->ops = &local_ops;
@@ -110,13 +110,13 @@
   local->result_size = order->result_size;
   local->demand.urgency = order->urgency;
   local->demand.due = order->due;
-  local->demand.may_turn_away = order->may_turn_away;
+  local->demand.may_reject = order->may_reject;
   local->deadline = order->deadline;
   text_copy_cut (local->origin, sizeof local->origin, work->config.name);
   text_copy_cut (local->request, sizeof local->request, order->request);
   text_copy_cut (local->pool, sizeof local->pool, order->pool);
   text_copy_cut (local->domain, sizeof local->domain, order->domain);
-  text_copy_cut (local->near, sizeof local->near, order->near);
+  text_copy_cut (local->preferred_domain, sizeof local->preferred_domain, order->preferred_domain);
   text_copy_cut (local->key, sizeof local->key, order->key);
   if (order->inputs_copy != NULL)
     local->inputs = talloc_strdup (local, order->inputs_copy);
@@ -128,14 +128,14 @@
  * the pieces itself, its calls would compete with the owner's for the targets, and both would find
  * them full. */
 static void
-send_later (struct work_order *order, struct work_owner *owner, int64_t now)
+schedule_resend (struct work_order *order, struct work_owner *owner, int64_t now)
 {
   struct work *work = order->work;
 
   order->owner[0] = '\0';
-  if (++order->send_tries % WORK_SEND_TRIES == 0)
-    owner->suspect_until = now + WORK_SUSPECT;
-  timer_arm (work->config.timers, &order->timer, now + WORK_SEND_AGAIN);
+  if (++order->send_attempts % WORK_SEND_ATTEMPTS == 0)
+    owner->suspect_until = now + WORK_SUSPECT_PERIOD;
+  timer_arm (work->config.timers, &order->timer, now + WORK_SEND_RETRY_DELAY);
 }
 
 /* Sends the order to the owner, or runs it here if this host owns the pool. */
@@ -149,21 +149,21 @@
   text_copy_cut (order->owner, sizeof order->owner,
                  work_owner_of (work, order->pool, order->domain, now));
   timer_arm (work->config.timers, &order->timer, order->deadline);
-  owner = work_owner_take (work, order->owner);
+  owner = work_owner_get (work, order->owner);
   if (owner == NULL || strcmp (order->owner, work->config.name) == 0)
     {
       text_copy_cut (order->owner, sizeof order->owner, work->config.name);
-      work_owner_count (work, order->owner, 1);
-      run_here (work, order, now);
+      work_owner_add_orders (work, order->owner, 1);
+      run_locally (work, order, now);
       return;
     }
   if (work_message_send_run (work, order, now) != STATUS_OK)
     {
-      send_later (order, owner, now);
+      schedule_resend (order, owner, now);
       return;
     }
-  if (owner->orders++ == 0)
-    owner->heard = now;
+  if (owner->n_orders++ == 0)
+    owner->last_heard = now;
   if (!timer_is_armed (&work->ping))
     timer_arm (work->config.timers, &work->ping, now + WORK_PING_PERIOD);
 }
@@ -181,7 +181,7 @@
   if (order->local != NULL)
     batch_cancel (order->work->config.batch, order->local, now);
   order->local = NULL;
-  finish (order, PIECE_LATE, now);
+  finish_order (order, PIECE_LATE, now);
 }
 
 /* The owner may be dead, or the message was lost with its connection: the pieces are made again, by
@@ -199,8 +199,9 @@
       counter_add (work->resent, 1);
       log_event (LOG_MODULE_FLOW, LOG_LEVEL_WARNING, "stage-work-resent", "{s:s,s:i,s:s,s:s,s:I}",
                  "id", order->request, "stage", (int) order->stage, "pool", order->pool, "owner",
-                 order->owner, "silent_ms", (json_int_t) ((now - owner->heard) / USEC_PER_MSEC));
-      owner->orders--;
+                 order->owner, "silent_ms",
+                 (json_int_t) ((now - owner->last_heard) / USEC_PER_MSEC));
+      owner->n_orders--;
       dispatch (order, now);
     }
 }
@@ -215,12 +216,12 @@
     {
       struct work_owner *owner = &work->owners[i];
 
-      if (owner->orders == 0 || strcmp (owner->name, work->config.name) == 0)
+      if (owner->n_orders == 0 || strcmp (owner->name, work->config.name) == 0)
         continue;
       any = true;
-      if (now - owner->heard > WORK_OWNER_SILENCE)
+      if (now - owner->last_heard > WORK_OWNER_TIMEOUT)
         {
-          owner->suspect_until = now + WORK_SUSPECT;
+          owner->suspect_until = now + WORK_SUSPECT_PERIOD;
           resend_orders (work, owner, now);
         }
       else
@@ -237,9 +238,9 @@
 {
   const char *name = work_owner_of (work, pool, domain, now);
   struct work_owner *owner =
-      strcmp (name, work->config.name) == 0 ? NULL : work_owner_take (work, name);
+      strcmp (name, work->config.name) == 0 ? NULL : work_owner_get (work, name);
 
-  if (owner != NULL && now - owner->heard > WORK_WARM_SILENCE)
+  if (owner != NULL && now - owner->last_heard > WORK_WARM_IDLE)
     work_message_send_short (work, owner->name, WORK_PING);
 }
 
@@ -249,8 +250,8 @@
   struct work *work = CONTAINER_OF (timer, struct work, warm);
 
   for (const struct balance_target *at = work->config.balance->targets; at != NULL; at = at->next)
-    if (at->usable && batch_knows (work->config.batch, at->pool))
-      warm_owner (work, at->pool, work_is_split (work, at->pool) ? at->domain : "", now);
+    if (at->usable && batch_has_pool (work->config.batch, at->pool))
+      warm_owner (work, at->pool, work_pool_is_split (work, at->pool) ? at->domain : "", now);
   timer_arm (work->config.timers, timer, now + WORK_WARM_PERIOD);
 }
 
@@ -263,7 +264,7 @@
 {
   order->work = work;
   order->number = ++work->last_number;
-  order->send_tries = 0;
+  order->send_attempts = 0;
   order->owner[0] = '\0';
   order->timer = (struct timer){ .ops = &order_ops };
   order->local = NULL;
@@ -291,7 +292,7 @@
       work_message_send (work, order->owner, &out);
     }
   order->local = NULL;
-  drop (order);
+  remove_order (order);
 }
 
 static void
@@ -305,7 +306,7 @@
 {
   struct bytes out;
 
-  work_message_begin (how == BATCH_FREE ? WORK_FREE : WORK_LET_GO, &out);
+  work_message_begin (how == BATCH_RELEASE_FREE ? WORK_FREE : WORK_EVICTABLE, &out);
   pack_text (&out, pool);
   pack_text (&out, domain);
   pack_array (&out, n);
@@ -341,8 +342,8 @@
   enum piece_end end;
   char pool[ROUTING_NAME_SIZE];
   char domain[ROUTING_NAME_SIZE];
-  int64_t wait;  /* of the owner's queue */
-  int64_t usual; /* its smoothed wait */
+  int64_t wait;          /* of the owner's queue */
+  int64_t smoothed_wait; /* its smoothed wait */
   uint32_t n;
   struct stage_result results[DIALECT_PIECES_MAX];
 };
@@ -355,7 +356,7 @@
   pack_read_text (in, out->pool, sizeof out->pool);
   pack_read_text (in, out->domain, sizeof out->domain);
   out->wait = (int64_t) pack_read_uint (in, INT64_MAX);
-  out->usual = (int64_t) pack_read_uint (in, INT64_MAX);
+  out->smoothed_wait = (int64_t) pack_read_uint (in, INT64_MAX);
   out->n = pack_read_array (in, DIALECT_PIECES_MAX);
   for (uint32_t i = 0; i < out->n; i++)
     if (!work_message_read_result (in, &out->results[i]))
@@ -367,31 +368,31 @@
  * order that was withdrawn, or that another owner has made, would occupy room at their targets
  * until they expire; the owner that made them is told to free them. */
 static void
-got_done (struct work *work, struct pack_reader *in, const char *from, int64_t now)
+handle_done (struct work *work, struct pack_reader *in, const char *from, int64_t now)
 {
   struct work_answer answer;
   struct work_order *order;
 
   if (!read_answer (in, &answer))
     return;
-  work_note_wait (work, answer.pool, answer.domain, answer.wait, answer.usual, now);
+  work_note_wait (work, answer.pool, answer.domain, answer.wait, answer.smoothed_wait, now);
   order = find_order (work, answer.number);
   if (order == NULL || order->local != NULL)
     {
       if (answer.n > 0)
-        release_at_owner (work, from, BATCH_FREE, answer.pool, answer.domain, answer.results,
-                          answer.n);
+        release_at_owner (work, from, BATCH_RELEASE_FREE, answer.pool, answer.domain,
+                          answer.results, answer.n);
       return;
     }
   if ((answer.end != PIECE_DONE && strcmp (from, order->owner) != 0)
       || (answer.end == PIECE_DONE && answer.n != order->n_pieces))
     return;
   memcpy (order->results, answer.results, answer.n * sizeof answer.results[0]);
-  answered (order, answer.end, now);
+  handle_end (order, answer.end, now);
 }
 
 static void
-got_taken (struct work *work, struct pack_reader *in, const char *from, int64_t now)
+handle_taken (struct work *work, struct pack_reader *in, const char *from, int64_t now)
 {
   uint64_t number = pack_read_uint (in, UINT64_MAX);
   struct work_order *order;
@@ -421,21 +422,21 @@
   if (type == WORK_RUN)
     work_remote_run (work, &in, from, now);
   else if (type == WORK_DONE)
-    got_done (work, &in, from, now);
+    handle_done (work, &in, from, now);
   else if (type == WORK_TAKEN)
-    got_taken (work, &in, from, now);
+    handle_taken (work, &in, from, now);
   else if (type == WORK_CANCEL)
     work_remote_cancel (work, &in, from, now);
   else if (type == WORK_FREE)
-    work_remote_release (work, &in, BATCH_FREE, now);
-  else if (type == WORK_LET_GO)
-    work_remote_release (work, &in, BATCH_LET_GO, now);
+    work_remote_release (work, &in, BATCH_RELEASE_FREE, now);
+  else if (type == WORK_EVICTABLE)
+    work_remote_release (work, &in, BATCH_RELEASE_EVICTABLE, now);
   else if (type == WORK_BOOK)
-    work_book_got_book (work, &in, from, now);
+    work_book_handle_book (work, &in, from, now);
   else if (type == WORK_UNBOOK)
-    work_book_got_unbook (work, &in);
+    work_book_handle_unbook (work, &in);
   else if (type == WORK_BUSY)
-    work_book_got_busy (work, &in, from, now);
+    work_book_handle_busy (work, &in, from, now);
   else if (type == WORK_PING)
     work_message_send_short (work, from, WORK_PONG);
 }
--- a/src/work.h
+++ b/src/work.h
@@ -21,42 +21,42 @@
  * silence: a chain of stages has about 1 s, and a host that loses power resets no connection.  It
  * gets no orders until it is heard again, or until the suspicion expires. */
 #define WORK_PING_PERIOD (120 * USEC_PER_MSEC)
-#define WORK_OWNER_SILENCE (400 * USEC_PER_MSEC)
-#define WORK_SUSPECT (4 * USEC_PER_SEC)
+#define WORK_OWNER_TIMEOUT (400 * USEC_PER_MSEC)
+#define WORK_SUSPECT_PERIOD (4 * USEC_PER_SEC)
 #define WORK_OWNERS_MAX 64
 
 /* Owners are checked at this period, and pinged after this silence, so that a connection is open
  * before the first order needs it. */
 #define WORK_WARM_PERIOD (1000 * USEC_PER_MSEC)
-#define WORK_WARM_SILENCE (3 * USEC_PER_SEC)
+#define WORK_WARM_IDLE (3 * USEC_PER_SEC)
 
 /* Retry delay of an order for an owner to which there is no connection yet, and the number of
  * attempts after which the owner counts as dead. */
-#define WORK_SEND_AGAIN (20 * USEC_PER_MSEC)
-#define WORK_SEND_TRIES 12
+#define WORK_SEND_RETRY_DELAY (20 * USEC_PER_MSEC)
+#define WORK_SEND_ATTEMPTS 12
 
 /* A pool with at least this many targets is split: it has an owner in each failure domain for the
  * targets there.  A host with an eighth of a core packs the calls of about as many targets.
  * Smaller pools have one owner, as their targets stand in for each other better. */
-#define WORK_SPLIT_TARGETS 9
+#define WORK_SPLIT_TARGETS_MIN 9
 
 /* The cost, as time, of another failure domain than the wanted one: results cross domains. */
-#define WORK_CROSSING (150 * USEC_PER_MSEC)
+#define WORK_CROSS_DOMAIN_COST (150 * USEC_PER_MSEC)
 
 /* How long the queue wait that an owner reported is used. */
-#define WORK_WAIT_FRESH (600 * USEC_PER_MSEC)
+#define WORK_WAIT_TTL (600 * USEC_PER_MSEC)
 #define WORK_SHARDS_MAX 128
 
 /* How long the smoothed wait that an owner reported is used. */
-#define WORK_USUAL_FRESH (3 * USEC_PER_SEC)
+#define WORK_SMOOTHED_WAIT_TTL (3 * USEC_PER_SEC)
 
 /* Shards of a pool that may refuse an order; after these no other is asked. */
-#define WORK_PARTS_MAX 4
+#define WORK_REFUSED_SHARDS_MAX 4
 
-struct work_parts
+struct work_shard_list
 {
   uint32_t n;
-  char domains[WORK_PARTS_MAX][ROUTING_NAME_SIZE];
+  char domains[WORK_REFUSED_SHARDS_MAX][ROUTING_NAME_SIZE];
 };
 
 struct work;
@@ -93,19 +93,19 @@
   char request[DIALECT_ID_SIZE];
   uint32_t stage;
   char pool[ROUTING_NAME_SIZE];
-  char domain[ROUTING_NAME_SIZE];      /* private: where the pieces are made; "" for anywhere */
-  char near[ROUTING_NAME_SIZE];        /* failure domain of most of its data; "" for any */
-  char home[ROUTING_NAME_SIZE];        /* the request's failure domain; used if `near` is "" */
-  char booked[ROUTING_NAME_SIZE];      /* the shard where it was booked; "" if it was not */
-  char booked_with[ROUTING_NAME_SIZE]; /* the owner of that shard at the time */
-  struct work_parts refused;           /* shards that could not make it in time */
+  char domain[ROUTING_NAME_SIZE]; /* private: where the pieces are made; "" for anywhere */
+  char preferred_domain[ROUTING_NAME_SIZE]; /* failure domain of most of its data; "" for any */
+  char home_domain[ROUTING_NAME_SIZE];      /* the request's failure domain; used if `near` is "" */
+  char booked_domain[ROUTING_NAME_SIZE];    /* the shard where it was booked; "" if it was not */
+  char booked_owner[ROUTING_NAME_SIZE];     /* the owner of that shard at the time */
+  struct work_shard_list refused_shards;    /* shards that could not make it in time */
   uint64_t result_size;
   char key[DIALECT_ID_SIZE];
   const char *inputs; /* NULL with a key; copied */
   uint32_t urgency;   /* 0 is the most urgent */
   int64_t due;        /* later results make the request late */
   int64_t deadline;   /* later results are worthless */
-  bool may_turn_away; /* end it as BUSY at once if it cannot be in time: the caller may retry */
+  bool may_reject;    /* end it as BUSY at once if it cannot be in time: the caller may retry */
   uint32_t n_pieces;
   struct stage_result *results; /* n_pieces of them, owned by the caller */
 
@@ -113,7 +113,7 @@
   struct work *work;
   struct timer timer;
   uint64_t number;
-  uint32_t send_tries;
+  uint32_t send_attempts;
   char owner[ROUTING_NAME_SIZE]; /* "" until it was sent to one */
   char *inputs_copy;
   struct batch_order *local;
@@ -137,7 +137,7 @@
   char request[DIALECT_ID_SIZE];
   uint32_t stage;
   char pool[ROUTING_NAME_SIZE];
-  char home[ROUTING_NAME_SIZE]; /* as in a work_order */
+  char home_domain[ROUTING_NAME_SIZE]; /* as in a work_order */
   struct batch_demand demand;
 
   /* private */
@@ -146,7 +146,7 @@
   uint64_t number;
   char owner[ROUTING_NAME_SIZE];
   char domain[ROUTING_NAME_SIZE];
-  struct work_parts refused;
+  struct work_shard_list refused_shards;
   struct work_booking *prev;
   struct work_booking *next;
 };
@@ -168,7 +168,7 @@
 
 /* Smoothed time, in microseconds, that a stage of the pool took recently beyond that on an idle
  * target, as its owner reported; 0 if none did. */
-int64_t work_usual_wait (const struct work *work, const char *pool, int64_t now);
+int64_t work_smoothed_wait (const struct work *work, const char *pool, int64_t now);
 
 /* Releases results that all their readers have fetched, or that are no longer needed. */
 void work_release_results (struct work *work,
--- a/src/work_book.c
+++ b/src/work_book.c
@@ -17,11 +17,12 @@
 
 /* One shard of a split pool may be full while another has room. */
 static bool
-book_elsewhere (struct work_booking *booking, int64_t now)
+book_in_other_shard (struct work_booking *booking, int64_t now)
 {
   struct work *work = booking->work;
 
-  if (!work_refuse_part (work, booking->request, booking->pool, booking->domain, &booking->refused))
+  if (!work_note_refusal (work, booking->request, booking->pool, booking->domain,
+                          &booking->refused_shards))
     return false;
   send_booking (work, booking, now);
   return true;
@@ -30,7 +31,7 @@
 static void
 refused (struct work_booking *booking, int64_t now)
 {
-  if (book_elsewhere (booking, now))
+  if (book_in_other_shard (booking, now))
     return;
   end_booking (booking->work, booking);
   booking->ops->refused (booking, now);
@@ -46,7 +47,7 @@
 static const struct timer_ops booking_timer_ops = { .fire = booking_fired };
 
 static void
-book_here (struct work *work, struct work_booking *booking, int64_t now)
+book_locally (struct work *work, struct work_booking *booking, int64_t now)
 {
   if (!batch_book (work->config.batch, booking->pool, booking->domain, booking->request,
                    booking->stage, &booking->demand, now))
@@ -65,7 +66,7 @@
 
 /* If the message is lost, nothing is booked and the order is treated like any other. */
 static void
-book_there (struct work *work, const struct work_booking *booking, int64_t now)
+book_at_owner (struct work *work, const struct work_booking *booking, int64_t now)
 {
   struct bytes out;
   int64_t due_in = booking->demand.due - now;
@@ -76,7 +77,7 @@
   pack_uint (&out, booking->demand.n_pieces);
   pack_uint (&out, booking->demand.urgency);
   pack_uint (&out, due_in > 0 ? (uint64_t) due_in : 0);
-  pack_bool (&out, booking->demand.may_turn_away);
+  pack_bool (&out, booking->demand.may_reject);
   work_message_send (work, booking->owner, &out);
 }
 
@@ -84,13 +85,14 @@
 send_booking (struct work *work, struct work_booking *booking, int64_t now)
 {
   booking->number = ++work->last_number;
-  work_choose_shard (work, booking->pool, booking->home, &booking->refused, booking->domain, now);
+  work_choose_shard (work, booking->pool, booking->home_domain, &booking->refused_shards,
+                     booking->domain, now);
   text_copy_cut (booking->owner, sizeof booking->owner,
                  work_owner_of (work, booking->pool, booking->domain, now));
   if (strcmp (booking->owner, work->config.name) == 0)
-    book_here (work, booking, now);
+    book_locally (work, booking, now);
   else
-    book_there (work, booking, now);
+    book_at_owner (work, booking, now);
 }
 
 void
@@ -98,7 +100,7 @@
 {
   booking->work = work;
   booking->timer = (struct timer){ .ops = &booking_timer_ops };
-  booking->refused.n = 0;
+  booking->refused_shards.n = 0;
   booking->domain[0] = '\0';
   DL_APPEND (work->bookings, booking);
   send_booking (work, booking, now);
@@ -141,9 +143,9 @@
 {
   if (booking->work == NULL)
     return;
-  text_copy_cut (order->booked, sizeof order->booked, booking->domain);
-  text_copy_cut (order->booked_with, sizeof order->booked_with, booking->owner);
-  order->refused = booking->refused;
+  text_copy_cut (order->booked_domain, sizeof order->booked_domain, booking->domain);
+  text_copy_cut (order->booked_owner, sizeof order->booked_owner, booking->owner);
+  order->refused_shards = booking->refused_shards;
   end_booking (booking->work, booking);
 }
 
@@ -174,7 +176,7 @@
 }
 
 void
-work_book_got_book (struct work *work, struct pack_reader *in, const char *from, int64_t now)
+work_book_handle_book (struct work *work, struct pack_reader *in, const char *from, int64_t now)
 {
   uint64_t number = pack_read_uint (in, UINT64_MAX);
   struct batch_demand demand;
@@ -185,7 +187,7 @@
   demand.n_pieces = (uint32_t) pack_read_uint (in, DIALECT_PIECES_MAX);
   demand.urgency = (uint32_t) pack_read_uint (in, UINT32_MAX);
   demand.due = now + (int64_t) pack_read_uint (in, INT32_MAX);
-  demand.may_turn_away = pack_read_bool (in);
+  demand.may_reject = pack_read_bool (in);
   if (!pack_read_end (in)
       || batch_book (work->config.batch, name.pool, name.domain, name.request, name.stage, &demand,
                      now))
@@ -196,7 +198,7 @@
 }
 
 void
-work_book_got_unbook (struct work *work, struct pack_reader *in)
+work_book_handle_unbook (struct work *work, struct pack_reader *in)
 {
   struct booking_name name;
 
@@ -206,7 +208,7 @@
 }
 
 void
-work_book_got_busy (struct work *work, struct pack_reader *in, const char *from, int64_t now)
+work_book_handle_busy (struct work *work, struct pack_reader *in, const char *from, int64_t now)
 {
   uint64_t number = pack_read_uint (in, UINT64_MAX);
   struct work_booking *booking;
--- a/src/work_message.c
+++ b/src/work_message.c
@@ -38,7 +38,7 @@
 }
 
 static uint64_t
-span (int64_t until, int64_t now)
+time_left (int64_t until, int64_t now)
 {
   return until > now ? (uint64_t) (until - now) : 0;
 }
@@ -54,15 +54,15 @@
   pack_uint (&out, order->stage);
   pack_text (&out, order->pool);
   pack_text (&out, order->domain);
-  pack_text (&out, order->near);
+  pack_text (&out, order->preferred_domain);
   pack_uint (&out, order->result_size);
   pack_text (&out, order->key);
   pack_binary (&out, order->inputs_copy == NULL ? "" : order->inputs_copy,
                order->inputs_copy == NULL ? 0 : strlen (order->inputs_copy));
   pack_uint (&out, order->urgency);
-  pack_uint (&out, span (order->due, now));
-  pack_uint (&out, span (order->deadline, now));
-  pack_bool (&out, order->may_turn_away);
+  pack_uint (&out, time_left (order->due, now));
+  pack_uint (&out, time_left (order->deadline, now));
+  pack_bool (&out, order->may_reject);
   pack_uint (&out, order->n_pieces);
   return work_message_send (work, order->owner, &out);
 }
--- a/src/work_owner.c
+++ b/src/work_owner.c
@@ -27,7 +27,7 @@
 }
 
 struct work_owner *
-work_owner_take (struct work *work, const char *name)
+work_owner_get (struct work *work, const char *name)
 {
   struct work_owner *owner = work_owner_find (work, name);
 
@@ -36,11 +36,11 @@
   if (work->n_owners < WORK_OWNERS_MAX)
     owner = &work->owners[work->n_owners++];
   for (uint32_t i = 0; owner == NULL && i < work->n_owners; i++)
-    if (work->owners[i].orders == 0)
+    if (work->owners[i].n_orders == 0)
       owner = &work->owners[i];
   if (owner == NULL)
     return NULL;
-  *owner = (struct work_owner){ .orders = 0 };
+  *owner = (struct work_owner){ .n_orders = 0 };
   text_copy_cut (owner->name, sizeof owner->name, name);
   return owner;
 }
@@ -94,7 +94,7 @@
                 const char *pool,
                 const char *domain,
                 int64_t wait,
-                int64_t usual,
+                int64_t smoothed_wait,
                 int64_t now)
 {
   struct work_shard *shard = find_shard (work, pool, domain);
@@ -108,29 +108,30 @@
       text_copy_cut (shard->domain, sizeof shard->domain, domain);
     }
   shard->wait = wait;
-  shard->usual = usual;
-  shard->told = now;
+  shard->smoothed_wait = smoothed_wait;
+  shard->reported_at = now;
 }
 
 static int64_t
-wait_of (struct work *work, const char *pool, const char *domain, int64_t now)
+reported_wait (struct work *work, const char *pool, const char *domain, int64_t now)
 {
   const struct work_shard *shard = find_shard (work, pool, domain);
 
-  return shard == NULL || now - shard->told > WORK_WAIT_FRESH ? 0 : shard->wait;
+  return shard == NULL || now - shard->reported_at > WORK_WAIT_TTL ? 0 : shard->wait;
 }
 
 /* In a split pool it is not known yet which shard will make a later stage, so the longest reported
  * wait counts. */
 int64_t
-work_usual_wait (const struct work *work, const char *pool, int64_t now)
+work_smoothed_wait (const struct work *work, const char *pool, int64_t now)
 {
   int64_t longest = 0;
 
   for (uint32_t i = 0; i < work->n_shards; i++)
-    if (strcmp (work->shards[i].pool, pool) == 0 && now - work->shards[i].told < WORK_USUAL_FRESH
-        && work->shards[i].usual > longest)
-      longest = work->shards[i].usual;
+    if (strcmp (work->shards[i].pool, pool) == 0
+        && now - work->shards[i].reported_at < WORK_SMOOTHED_WAIT_TTL
+        && work->shards[i].smoothed_wait > longest)
+      longest = work->shards[i].smoothed_wait;
   return longest;
 }
 
@@ -145,16 +146,16 @@
 }
 
 bool
-work_is_split (const struct work *work, const char *pool)
+work_pool_is_split (const struct work *work, const char *pool)
 {
-  return count_targets (work, pool) >= WORK_SPLIT_TARGETS;
+  return count_targets (work, pool) >= WORK_SPLIT_TARGETS_MIN;
 }
 
 static bool
-is_among (const struct work_parts *parts, const char *domain)
+has_domain (const struct work_shard_list *list, const char *domain)
 {
-  for (uint32_t i = 0; i < parts->n; i++)
-    if (strcmp (parts->domains[i], domain) == 0)
+  for (uint32_t i = 0; i < list->n; i++)
+    if (strcmp (list->domains[i], domain) == 0)
       return true;
   return false;
 }
@@ -163,14 +164,14 @@
 work_choose_shard (struct work *work,
                    const char *pool,
                    const char *wanted,
-                   const struct work_parts *refused,
+                   const struct work_shard_list *refused,
                    char out[ROUTING_NAME_SIZE],
                    int64_t now)
 {
   const struct balance_target *best = NULL;
   int64_t best_cost = 0;
 
-  if (!work_is_split (work, pool))
+  if (!work_pool_is_split (work, pool))
     {
       out[0] = '\0';
       return true;
@@ -179,10 +180,10 @@
     {
       int64_t cost;
 
-      if (!at->usable || strcmp (at->pool, pool) != 0 || is_among (refused, at->domain))
+      if (!at->usable || strcmp (at->pool, pool) != 0 || has_domain (refused, at->domain))
         continue;
-      cost = wait_of (work, pool, at->domain, now)
-             + (strcmp (at->domain, wanted) == 0 ? 0 : WORK_CROSSING);
+      cost = reported_wait (work, pool, at->domain, now)
+             + (strcmp (at->domain, wanted) == 0 ? 0 : WORK_CROSS_DOMAIN_COST);
       if (best != NULL && cost >= best_cost)
         continue;
       best = at;
@@ -195,19 +196,20 @@
 }
 
 bool
-work_refuse_part (struct work *work,
-                  const char *request,
-                  const char *pool,
-                  const char *domain,
-                  struct work_parts *refused)
+work_note_refusal (struct work *work,
+                   const char *request,
+                   const char *pool,
+                   const char *domain,
+                   struct work_shard_list *refused)
 {
   char other[ROUTING_NAME_SIZE];
   bool has_other;
 
-  if (domain[0] == '\0' || refused->n == WORK_PARTS_MAX)
+  if (domain[0] == '\0' || refused->n == WORK_REFUSED_SHARDS_MAX)
     return false;
   text_copy_cut (refused->domains[refused->n++], ROUTING_NAME_SIZE, domain);
-  has_other = work_is_split (work, pool) && work_choose_shard (work, pool, "", refused, other, 0);
+  has_other =
+      work_pool_is_split (work, pool) && work_choose_shard (work, pool, "", refused, other, 0);
   log_event (LOG_MODULE_FLOW, LOG_LEVEL_INFO, "part-refused", "{s:s,s:s,s:s,s:i,s:b}", "id",
              request, "pool", pool, "domain", domain, "refused", (int) refused->n, "asks_other",
              has_other);
@@ -224,23 +226,25 @@
 }
 
 static bool
-goes_where_booked (const struct work *work, const struct work_order *order)
+can_use_booked_shard (const struct work *work, const struct work_order *order)
 {
-  return order->booked[0] != '\0' && !is_among (&order->refused, order->booked)
-         && (order->near[0] == '\0' || strcmp (order->near, order->booked) == 0
-             || is_among (&order->refused, order->near))
-         && has_targets (work, order->pool, order->booked);
+  return order->booked_domain[0] != '\0'
+         && !has_domain (&order->refused_shards, order->booked_domain)
+         && (order->preferred_domain[0] == '\0'
+             || strcmp (order->preferred_domain, order->booked_domain) == 0
+             || has_domain (&order->refused_shards, order->preferred_domain))
+         && has_targets (work, order->pool, order->booked_domain);
 }
 
 /* A booking that is not used would cause others to be rejected. */
 static void
-give_up_booking (struct work *work, struct work_order *order)
+cancel_unused_booking (struct work *work, struct work_order *order)
 {
-  if (order->booked[0] == '\0' || strcmp (order->booked, order->domain) == 0)
+  if (order->booked_domain[0] == '\0' || strcmp (order->booked_domain, order->domain) == 0)
     return;
-  work_book_cancel (work, order->booked_with, order->pool, order->booked, order->request,
+  work_book_cancel (work, order->booked_owner, order->pool, order->booked_domain, order->request,
                     order->stage);
-  order->booked[0] = '\0';
+  order->booked_domain[0] = '\0';
 }
 
 /* Uses the shard where the order was booked, unless it prefers another one by now that has not
@@ -248,23 +252,25 @@
 void
 work_choose_domain (struct work *work, struct work_order *order, int64_t now)
 {
-  const char *wanted = order->near[0] != '\0' ? order->near : order->home;
-  const struct work_parts none = { .n = 0 };
-
-  if (goes_where_booked (work, order))
-    text_copy_cut (order->domain, sizeof order->domain, order->booked);
-  else if (!work_choose_shard (work, order->pool, wanted, &order->refused, order->domain, now))
+  const char *wanted =
+      order->preferred_domain[0] != '\0' ? order->preferred_domain : order->home_domain;
+  const struct work_shard_list none = { .n = 0 };
+
+  if (can_use_booked_shard (work, order))
+    text_copy_cut (order->domain, sizeof order->domain, order->booked_domain);
+  else if (!work_choose_shard (work, order->pool, wanted, &order->refused_shards, order->domain,
+                               now))
     work_choose_shard (work, order->pool, wanted, &none, order->domain, now);
-  give_up_booking (work, order);
+  cancel_unused_booking (work, order);
 }
 
 void
-work_owner_count (struct work *work, const char *name, int change)
+work_owner_add_orders (struct work *work, const char *name, int change)
 {
   struct work_owner *owner = work_owner_find (work, name);
 
   if (owner != NULL)
-    owner->orders += (uint32_t) change;
+    owner->n_orders += (uint32_t) change;
 }
 
 void
@@ -274,6 +280,6 @@
 
   if (owner == NULL)
     return;
-  owner->heard = now;
+  owner->last_heard = now;
   owner->suspect_until = 0;
 }
--- a/src/work_private.h
+++ b/src/work_private.h
@@ -9,26 +9,26 @@
 
 enum work_message
 {
-  WORK_RUN = 0,    /* to the owner: an order */
-  WORK_DONE = 1,   /* from the owner: how an order ended */
-  WORK_CANCEL = 2, /* to the owner: an order is withdrawn */
-  WORK_FREE = 3,   /* to the owner: results that are no longer needed */
-  WORK_PING = 4,   /* to the owner */
-  WORK_PONG = 5,   /* from the owner: answer to WORK_PING */
-  WORK_TAKEN = 6,  /* from the owner: all pieces of an order are in calls */
-  WORK_LET_GO = 7, /* to the owner: results that may be evicted where room is short */
-  WORK_BOOK = 8,   /* to the owner: a stage is booked */
-  WORK_UNBOOK = 9, /* to the owner: a booking is cancelled */
-  WORK_BUSY = 10,  /* from the owner: a booked stage could not be in time */
+  WORK_RUN = 0,       /* to the owner: an order */
+  WORK_DONE = 1,      /* from the owner: how an order ended */
+  WORK_CANCEL = 2,    /* to the owner: an order is withdrawn */
+  WORK_FREE = 3,      /* to the owner: results that are no longer needed */
+  WORK_PING = 4,      /* to the owner */
+  WORK_PONG = 5,      /* from the owner: answer to WORK_PING */
+  WORK_TAKEN = 6,     /* from the owner: all pieces of an order are in calls */
+  WORK_EVICTABLE = 7, /* to the owner: results that may be evicted where room is short */
+  WORK_BOOK = 8,      /* to the owner: a stage is booked */
+  WORK_UNBOOK = 9,    /* to the owner: a booking is cancelled */
+  WORK_BUSY = 10,     /* from the owner: a booked stage could not be in time */
   WORK_MESSAGE_COUNT
 };
 
 struct work_owner
 {
   char name[ROUTING_NAME_SIZE];
-  int64_t heard;
+  int64_t last_heard;
   int64_t suspect_until;
-  uint32_t orders;
+  uint32_t n_orders;
 };
 
 /* The part of a pool that one owner has, and the waits that it reported. */
@@ -37,8 +37,8 @@
   char pool[ROUTING_NAME_SIZE];
   char domain[ROUTING_NAME_SIZE];
   int64_t wait;
-  int64_t usual; /* smoothed, beyond the expected time of an order */
-  int64_t told;  /* time of the report */
+  int64_t smoothed_wait; /* smoothed, beyond the expected time of an order */
+  int64_t reported_at;   /* time of the report */
 };
 
 struct work
@@ -65,19 +65,19 @@
 
 /* The record of an owner, created on first use.  When the table is full it replaces one without
  * orders; NULL if there is none. */
-struct work_owner *work_owner_take (struct work *work, const char *name);
+struct work_owner *work_owner_get (struct work *work, const char *name);
 
 /* The host with the highest score; if the pool is split, one in the targets' failure domain.  This
  * host if no other is known to be alive. */
 const char *work_owner_of (struct work *work, const char *pool, const char *domain, int64_t now);
 
 /* Adds `change` to the number of this host's orders at the owner. */
-void work_owner_count (struct work *work, const char *name, int change);
+void work_owner_add_orders (struct work *work, const char *name, int change);
 
 void work_owner_heard (struct work *work, const char *name, int64_t now);
 
 /* Is the pool split by failure domain? */
-bool work_is_split (const struct work *work, const char *pool);
+bool work_pool_is_split (const struct work *work, const char *pool);
 
 /* Chooses the shard of a pool to make pieces in, "" if it is not split: the wanted one, unless the
  * wait there is longer than at another by more than the cost of crossing domains.  Returns false,
@@ -85,16 +85,16 @@
 bool work_choose_shard (struct work *work,
                         const char *pool,
                         const char *wanted,
-                        const struct work_parts *refused,
+                        const struct work_shard_list *refused,
                         char out[ROUTING_NAME_SIZE],
                         int64_t now);
 
 /* Records that the shard refused.  Returns false if there is no other one to ask. */
-bool work_refuse_part (struct work *work,
-                       const char *request,
-                       const char *pool,
-                       const char *domain,
-                       struct work_parts *refused);
+bool work_note_refusal (struct work *work,
+                        const char *request,
+                        const char *pool,
+                        const char *domain,
+                        struct work_shard_list *refused);
 
 /* Sets the order's `domain`: that of the targets which make its pieces. */
 void work_choose_domain (struct work *work, struct work_order *order, int64_t now);
@@ -104,7 +104,7 @@
                      const char *pool,
                      const char *domain,
                      int64_t wait,
-                     int64_t usual,
+                     int64_t smoothed_wait,
                      int64_t now);
 
 /* ---- work_message.c ---- */
@@ -125,9 +125,15 @@
 
 /* ---- work_book.c ---- */
 
-void work_book_got_book (struct work *work, struct pack_reader *in, const char *from, int64_t now);
-void work_book_got_unbook (struct work *work, struct pack_reader *in);
-void work_book_got_busy (struct work *work, struct pack_reader *in, const char *from, int64_t now);
+void work_book_handle_book (struct work *work,
+                            struct pack_reader *in,
+                            const char *from,
+                            int64_t now);
+void work_book_handle_unbook (struct work *work, struct pack_reader *in);
+void work_book_handle_busy (struct work *work,
+                            struct pack_reader *in,
+                            const char *from,
+                            int64_t now);
 void work_book_drop_all (struct work *work);
 
 /* Cancels what was booked in a shard with its owner. */
--- a/src/work_remote.c
+++ b/src/work_remote.c
@@ -19,8 +19,8 @@
   pack_uint (&out, end);
   pack_text (&out, order->pool);
   pack_text (&out, order->domain);
-  pack_uint (&out, (uint64_t) batch_wait (work->config.batch, order->pool, order->domain));
-  pack_uint (&out, (uint64_t) batch_usual_wait (work->config.batch, order->pool, order->domain));
+  pack_uint (&out, (uint64_t) batch_estimate_wait (work->config.batch, order->pool, order->domain));
+  pack_uint (&out, (uint64_t) batch_smoothed_wait (work->config.batch, order->pool, order->domain));
   pack_array (&out, n);
   for (uint32_t i = 0; i < n; i++)
     work_message_write_result (&order->results[i].result, &out);
@@ -59,17 +59,17 @@
   read.stage = (uint32_t) pack_read_uint (in, ROUTING_STAGES_MAX);
   pack_read_text (in, read.pool, sizeof read.pool);
   pack_read_text (in, read.domain, sizeof read.domain);
-  pack_read_text (in, read.near, sizeof read.near);
+  pack_read_text (in, read.preferred_domain, sizeof read.preferred_domain);
   read.result_size = pack_read_uint (in, INT64_MAX);
   pack_read_text (in, read.key, sizeof read.key);
   inputs = pack_read_binary (in, INPUT_BYTES_MAX, &inputs_length);
   read.demand.urgency = (uint32_t) pack_read_uint (in, UINT32_MAX);
   due = pack_read_uint (in, INT32_MAX);
   deadline = pack_read_uint (in, INT32_MAX);
-  read.demand.may_turn_away = pack_read_bool (in);
+  read.demand.may_reject = pack_read_bool (in);
   read.demand.n_pieces = (uint32_t) pack_read_uint (in, DIALECT_PIECES_MAX);
   if (!pack_read_end (in) || read.demand.n_pieces == 0
-      || batch_find (work->config.batch, from, number) != NULL)
+      || batch_find_order (work->config.batch, from, number) != NULL)
     return;
   order = batch_order_new (work->config.batch, read.demand.n_pieces);
   if (order == NULL)
@@ -77,7 +77,7 @@
   read.results = order->results;
   read.pending = order->pending;
   read.n_pending = order->n_pending;
-  read.tries = order->tries;
+  read.attempts = order->attempts;
   *order = read;
   text_copy_cut (order->origin, sizeof order->origin, from);
   order->demand.due = now + (int64_t) due;
@@ -95,7 +95,7 @@
 
   if (!pack_read_end (in))
     return;
-  order = batch_find (work->config.batch, from, number);
+  order = batch_find_order (work->config.batch, from, number);
   if (order != NULL)
     batch_cancel (work->config.batch, order, now);
 }
