--- a/src/balance.c
+++ b/src/balance.c
@@ -50,7 +50,7 @@
   const struct registry_word *word = &target->record->word;
 
   if (target->id_hash != 0)
-    engine_load_forget (balance->engines, target->id_hash);
+    engine_load_remove_target (balance->engines, target->id_hash);
   target->started = word->started;
   target->id_hash = XXH3_64bits_withSeed (target->id, strlen (target->id), target->started);
   text_copy_cut (target->pool, sizeof target->pool, word->pool);
@@ -89,7 +89,7 @@
   target->gone = record->word.state != REGISTRY_READY;
   target->left = target->left || record->word.state == REGISTRY_LEAVING;
   if (record->word.state == REGISTRY_GONE)
-    engine_load_forget (balance->engines, target->id_hash);
+    engine_load_remove_target (balance->engines, target->id_hash);
 }
 
 void
@@ -208,7 +208,7 @@
   double crossing = (double) crossing_bytes (prompt, target->domain) / 1000.0;
 
   engine_load_cost (balance->engines, target->id_hash, &prompt->prompt, now, &cost);
-  return (double) cost.wait + BALANCE_READ_AGAIN_US * cost.read_again
+  return (double) cost.wait + BALANCE_READ_AGAIN_US * cost.read_again_tokens
          + BALANCE_CROSSING_US * crossing;
 }
 
--- a/src/batch_call.c
+++ b/src/batch_call.c
@@ -49,7 +49,7 @@
 
   if (batch->watch == NULL)
     return;
-  target_watch_broke (batch->watch, call->at, now);
+  target_watch_connection_broke (batch->watch, call->at, now);
   for (uint32_t i = 0; i < call->n; i++)
     {
       struct batch_order *order = batch_order_of (batch, &call->pieces[i]);
--- a/src/engine_cache.c
+++ b/src/engine_cache.c
@@ -16,7 +16,7 @@
 };
 
 /* The number of engines that hold a part. */
-struct engine_place
+struct engine_part_holders
 {
   uint64_t key;
   uint32_t engines;
@@ -25,22 +25,22 @@
 
 struct engine_caches
 {
-  struct engine_place *places;
-  uint64_t room; /* for shared parts in one engine, in tokens; 0 when not known */
+  struct engine_part_holders *part_holders;
+  uint64_t capacity_tokens; /* for shared parts in one engine, in tokens; 0 when not known */
 };
 
 struct engine_cache
 {
   struct engine_caches *caches;
   struct engine_part *parts; /* by key */
-  struct engine_part *used;  /* most recently used first */
+  struct engine_part *lru;   /* most recently used first */
   uint64_t tokens;
 };
 
 static int
 free_caches (struct engine_caches *caches)
 {
-  HASH_CLEAR (hh, caches->places);
+  HASH_CLEAR (hh, caches->part_holders);
   return 0;
 }
 
@@ -55,35 +55,35 @@
 }
 
 void
-engine_caches_set_tokens (struct engine_caches *caches, uint64_t tokens)
+engine_caches_set_capacity (struct engine_caches *caches, uint64_t tokens)
 {
-  caches->room = (uint64_t) (ENGINE_CACHE_SHARE * (double) tokens);
+  caches->capacity_tokens = (uint64_t) (ENGINE_CACHE_SHARED_FRACTION * (double) tokens);
 }
 
 /* uthash's macros are long, and the analyzer does not follow them.
  * NOLINTBEGIN(readability-function-size,clang-analyzer-core.NullDereference) */
 
 static void
-count_place (struct engine_caches *caches, uint64_t key, int change)
+count_holder (struct engine_caches *caches, uint64_t key, int change)
 {
-  struct engine_place *place;
+  struct engine_part_holders *holders;
 
-  HASH_FIND (hh, caches->places, &key, sizeof key, place);
-  if (place == NULL && change > 0)
+  HASH_FIND (hh, caches->part_holders, &key, sizeof key, holders);
+  if (holders == NULL && change > 0)
     {
-      place = talloc_zero (caches, struct engine_place);
-      if (place == NULL)
+      holders = talloc_zero (caches, struct engine_part_holders);
+      if (holders == NULL)
         return;
-      place->key = key;
-      HASH_ADD (hh, caches->places, key, sizeof place->key, place);
+      holders->key = key;
+      HASH_ADD (hh, caches->part_holders, key, sizeof holders->key, holders);
     }
-  if (place == NULL)
+  if (holders == NULL)
     return;
-  place->engines += (uint32_t) change;
-  if (place->engines > 0)
+  holders->engines += (uint32_t) change;
+  if (holders->engines > 0)
     return;
-  HASH_DEL (caches->places, place);
-  talloc_free (place);
+  HASH_DEL (caches->part_holders, holders);
+  talloc_free (holders);
 }
 
 static struct engine_part *
@@ -99,17 +99,17 @@
 drop_part (struct engine_cache *cache, struct engine_part *part)
 {
   HASH_DEL (cache->parts, part);
-  DL_DELETE (cache->used, part);
+  DL_DELETE (cache->lru, part);
   cache->tokens -= part->tokens;
-  count_place (cache->caches, part->key, -1);
+  count_holder (cache->caches, part->key, -1);
   talloc_free (part);
 }
 
 static int
 free_cache (struct engine_cache *cache)
 {
-  while (cache->used != NULL)
-    drop_part (cache, cache->used);
+  while (cache->lru != NULL)
+    drop_part (cache, cache->lru);
   return 0;
 }
 
@@ -126,15 +126,15 @@
 }
 
 static void
-use_part (struct engine_cache *cache, uint64_t key, uint32_t tokens)
+touch_part (struct engine_cache *cache, uint64_t key, uint32_t tokens)
 {
-  uint64_t room = cache->caches->room;
+  uint64_t capacity_tokens = cache->caches->capacity_tokens;
   struct engine_part *part = find_part (cache, key);
 
   if (part != NULL)
     {
-      DL_DELETE (cache->used, part);
-      DL_PREPEND (cache->used, part);
+      DL_DELETE (cache->lru, part);
+      DL_PREPEND (cache->lru, part);
       return;
     }
   part = talloc_zero (cache, struct engine_part);
@@ -143,22 +143,22 @@
   part->key = key;
   part->tokens = tokens;
   HASH_ADD (hh, cache->parts, key, sizeof part->key, part);
-  DL_PREPEND (cache->used, part);
+  DL_PREPEND (cache->lru, part);
   cache->tokens += tokens;
-  count_place (cache->caches, key, 1);
-  while (room > 0 && cache->tokens > room && cache->used->prev != cache->used)
-    drop_part (cache, cache->used->prev);
+  count_holder (cache->caches, key, 1);
+  while (capacity_tokens > 0 && cache->tokens > capacity_tokens && cache->lru->prev != cache->lru)
+    drop_part (cache, cache->lru->prev);
 }
 
 void
-engine_cache_use (struct engine_cache *cache, const struct engine_prompt *prompt)
+engine_cache_add_prompt (struct engine_cache *cache, const struct engine_prompt *prompt)
 {
   for (uint32_t i = 0; i < prompt->n_parts; i++)
-    use_part (cache, prompt->parts[i], prompt->part_tokens[i]);
+    touch_part (cache, prompt->parts[i], prompt->part_tokens[i]);
 }
 
 uint32_t
-engine_cache_to_read (const struct engine_cache *cache, const struct engine_prompt *prompt)
+engine_cache_uncached_tokens (const struct engine_cache *cache, const struct engine_prompt *prompt)
 {
   uint32_t tokens = 0;
   bool cached = cache != NULL;
@@ -173,18 +173,18 @@
 }
 
 uint32_t
-engine_cache_held_elsewhere (const struct engine_caches *caches,
-                             const struct engine_cache *cache,
-                             const struct engine_prompt *prompt)
+engine_cache_tokens_held_elsewhere (const struct engine_caches *caches,
+                                    const struct engine_cache *cache,
+                                    const struct engine_prompt *prompt)
 {
   uint32_t tokens = 0;
 
   for (uint32_t i = 0; i < prompt->n_parts; i++)
     {
-      struct engine_place *place;
+      struct engine_part_holders *holders;
 
-      HASH_FIND (hh, caches->places, &prompt->parts[i], sizeof prompt->parts[i], place);
-      if (place != NULL && (cache == NULL || find_part (cache, prompt->parts[i]) == NULL))
+      HASH_FIND (hh, caches->part_holders, &prompt->parts[i], sizeof prompt->parts[i], holders);
+      if (holders != NULL && (cache == NULL || find_part (cache, prompt->parts[i]) == NULL))
         tokens += prompt->part_tokens[i];
     }
   return tokens;
--- a/src/engine_cache.h
+++ b/src/engine_cache.h
@@ -16,7 +16,7 @@
 
 /* The fraction of an engine's cache that is assumed to hold shared parts; running requests take the
  * rest. */
-#define ENGINE_CACHE_SHARE 0.6
+#define ENGINE_CACHE_SHARED_FRACTION 0.6
 
 /* A prompt: cumulative keys and token counts of the parts that it shares with others, and the count
  * of its other tokens. */
@@ -38,24 +38,24 @@
 struct engine_caches *engine_caches_new (void *parent);
 
 /* `tokens`: the size of one engine's whole cache, 0 when not known. */
-void engine_caches_set_tokens (struct engine_caches *caches, uint64_t tokens);
+void engine_caches_set_capacity (struct engine_caches *caches, uint64_t tokens);
 
 /* NULL when out of memory. */
 struct engine_cache *engine_cache_new (struct engine_caches *caches);
 
 /* Record that the engine reads the prompt and holds its parts from then on. */
-void engine_cache_use (struct engine_cache *cache, const struct engine_prompt *prompt);
+void engine_cache_add_prompt (struct engine_cache *cache, const struct engine_prompt *prompt);
 
 /* The shared tokens that the engine would have to read.  A part counts as cached only if all parts
  * before it are.  `cache` NULL: an engine that holds nothing. */
-uint32_t engine_cache_to_read (const struct engine_cache *cache,
-                               const struct engine_prompt *prompt);
+uint32_t engine_cache_uncached_tokens (const struct engine_cache *cache,
+                                       const struct engine_prompt *prompt);
 
 /* The shared tokens that this engine does not hold and another one does.  `cache` NULL: an engine
  * that holds nothing. */
-uint32_t engine_cache_held_elsewhere (const struct engine_caches *caches,
-                                      const struct engine_cache *cache,
-                                      const struct engine_prompt *prompt);
+uint32_t engine_cache_tokens_held_elsewhere (const struct engine_caches *caches,
+                                             const struct engine_cache *cache,
+                                             const struct engine_prompt *prompt);
 
 END_DECLS
 
--- a/src/engine_load.c
+++ b/src/engine_load.c
@@ -7,15 +7,15 @@
 #include <xxhash.h>
 
 /* The time from a request's arrival at an idle engine to its first byte, without the reading. */
-#define FIRST_TIME (4 * USEC_PER_MSEC)
+#define FIRST_BYTE_OVERHEAD (4 * USEC_PER_MSEC)
 
 /* The reading rate is sampled from prompts of at least this length with nothing before them. */
-#define RATE_SAMPLE_TOKENS 1000
+#define RATE_SAMPLE_TOKENS_MIN 1000
 #define RATE_SMOOTHING 0.1
 
 /* A sample is limited to the rate times this: a prompt that was cached unknown to this host takes
  * almost no time. */
-#define RATE_SAMPLE_MOST 2.0
+#define RATE_SAMPLE_MAX_FACTOR 2.0
 
 /* A target's slowness is the ratio of its wait to the one at the common rate, learned from its own
  * answers. */
@@ -28,18 +28,18 @@
 
 /* Ended requests that are remembered, to recognise copies of their starts that arrive later; a
  * power of two. */
-#define ENDED_KEPT 1024
+#define ENDED_KEYS_MAX 1024
 
 /* A request at an engine that has not ended. */
 struct engine_request
 {
-  uint64_t request;
+  uint64_t id;
   uint32_t tokens; /* to be read for it */
-  int64_t started;
-  int64_t expected; /* wait, as estimated at its start */
-  int64_t reading;  /* the part of it in which the engine reads this prompt */
-  int64_t begins;   /* when its answer begins, as expected now */
-  bool told;        /* this host will be told when it begins */
+  int64_t started_at;
+  int64_t expected_wait; /* wait, as estimated at its start */
+  int64_t read_time;     /* the part of it in which the engine reads this prompt */
+  int64_t begins_at;     /* when its answer begins, as expected now */
+  bool expects_begin;    /* this host will be told when it begins */
   bool began;
   struct engine_request *prev;
   struct engine_request *next;
@@ -50,8 +50,8 @@
   uint64_t id;
   struct engine_request *requests;
   struct engine_cache *cache;
-  int64_t read_until;  /* when it has read all prompts sent to it, as expected now */
-  int64_t other_began; /* when an answer last began here, or a request ended without that */
+  int64_t read_until;    /* when it has read all prompts sent to it, as expected now */
+  int64_t last_began_at; /* when an answer last began here, or a request ended without that */
   double slowness;
   int64_t slowness_at;
   UT_hash_handle hh;
@@ -61,8 +61,9 @@
 {
   struct engine_target *targets;
   struct engine_caches *caches;
-  double rate;                /* tokens per millisecond */
-  uint64_t ended[ENDED_KEPT]; /* keys of ended requests, each at the index key % ENDED_KEPT */
+  double tokens_per_ms;                /* tokens per millisecond */
+  uint64_t ended_keys[ENDED_KEYS_MAX]; /* keys of ended requests, each at the index key %
+                                          ENDED_KEYS_MAX */
 };
 
 static int
@@ -80,7 +81,7 @@
   if (load == NULL)
     return NULL;
   talloc_set_destructor (load, free_load);
-  load->rate = ENGINE_FIRST_RATE;
+  load->tokens_per_ms = ENGINE_INITIAL_TOKENS_PER_MSEC;
   load->caches = engine_caches_new (load);
   if (load->caches == NULL)
     {
@@ -91,9 +92,9 @@
 }
 
 void
-engine_load_set_cache (struct engine_load *load, uint64_t cache_tokens)
+engine_load_set_cache_tokens (struct engine_load *load, uint64_t cache_tokens)
 {
-  engine_caches_set_tokens (load->caches, cache_tokens);
+  engine_caches_set_capacity (load->caches, cache_tokens);
 }
 
 /* uthash's macros are long, and the analyzer does not follow them.
@@ -109,7 +110,7 @@
 }
 
 static struct engine_target *
-take_target (struct engine_load *load, uint64_t id)
+ensure_target (struct engine_load *load, uint64_t id)
 {
   struct engine_target *target = find_target (load, id);
 
@@ -140,13 +141,13 @@
   struct engine_request *request;
 
   DL_FOREACH (target->requests, request)
-    if (request->request == id)
+    if (request->id == id)
       return request;
   return NULL;
 }
 
 static uint64_t
-key_of (uint64_t target, uint64_t request)
+request_key (uint64_t target, uint64_t request)
 {
   return XXH3_64bits_withSeed (&request, sizeof request, target);
 }
@@ -154,41 +155,42 @@
 static bool
 has_ended (const struct engine_load *load, uint64_t target, uint64_t request)
 {
-  uint64_t key = key_of (target, request);
+  uint64_t key = request_key (target, request);
 
-  return load->ended[key % ENDED_KEPT] == key;
+  return load->ended_keys[key % ENDED_KEYS_MAX] == key;
 }
 
 static void
-keep_ended (struct engine_load *load, uint64_t target, uint64_t request)
+remember_ended (struct engine_load *load, uint64_t target, uint64_t request)
 {
-  uint64_t key = key_of (target, request);
+  uint64_t key = request_key (target, request);
 
-  load->ended[key % ENDED_KEPT] = key;
+  load->ended_keys[key % ENDED_KEYS_MAX] = key;
 }
 
 /* Whether its prompt is being read or waits to be. */
 static bool
 is_unread (const struct engine_request *request, int64_t now)
 {
-  int64_t bound = (int64_t) (ENGINE_BEGUN_FACTOR * (double) request->expected) + ENGINE_BEGUN_MORE;
+  int64_t bound =
+      (int64_t) (ENGINE_BEGUN_FACTOR * (double) request->expected_wait) + ENGINE_BEGUN_SLACK;
 
   if (request->began)
     return false;
-  return request->told ? now - request->started < bound : now < request->begins;
+  return request->expects_begin ? now - request->started_at < bound : now < request->begins_at;
 }
 
 /* How late the engine is: the longest overdue answer among those whose beginning would have been
  * reported. */
 static int64_t
-lateness_of (const struct engine_target *target, int64_t now)
+max_lateness (const struct engine_target *target, int64_t now)
 {
   const struct engine_request *request;
   int64_t most = 0;
 
   DL_FOREACH (target->requests, request)
-    if (request->told && is_unread (request, now) && now - request->begins > most)
-      most = now - request->begins;
+    if (request->expects_begin && is_unread (request, now) && now - request->begins_at > most)
+      most = now - request->begins_at;
   return most;
 }
 
@@ -205,18 +207,21 @@
 /* A request began, or left the queue, earlier or later than expected by `by`: shift the requests
  * after it as well. */
 static void
-shift_after (struct engine_target *target, struct engine_request *first, int64_t by, int64_t now)
+shift_later_requests (struct engine_target *target,
+                      struct engine_request *first,
+                      int64_t by,
+                      int64_t now)
 {
   for (struct engine_request *request = first->next; request != NULL; request = request->next)
     if (!request->began)
-      request->begins += by;
+      request->begins_at += by;
   target->read_until += by;
   if (target->read_until < now)
     target->read_until = now;
 }
 
 static double
-slowness_of (const struct engine_target *target, int64_t now)
+current_slowness (const struct engine_target *target, int64_t now)
 {
   double age = (double) (now - target->slowness_at) / (double) SLOWNESS_HALF_LIFE;
 
@@ -224,15 +229,16 @@
 }
 
 static int64_t
-reading_time (const struct engine_load *load,
-              const struct engine_target *target,
-              uint64_t tokens,
-              int64_t now)
+estimate_read_time (const struct engine_load *load,
+                    const struct engine_target *target,
+                    uint64_t tokens,
+                    int64_t now)
 {
-  double slowness = target == NULL ? 1 : slowness_of (target, now);
+  double slowness = target == NULL ? 1 : current_slowness (target, now);
 
   return (int64_t) (slowness
-                    * ((double) tokens / load->rate * USEC_PER_MSEC + (double) FIRST_TIME));
+                    * ((double) tokens / load->tokens_per_ms * USEC_PER_MSEC
+                       + (double) FIRST_BYTE_OVERHEAD));
 }
 
 void
@@ -244,31 +250,31 @@
 {
   struct engine_target *target = find_target (load, id);
   const struct engine_cache *cache = target == NULL ? NULL : target->cache;
-  uint32_t shared = engine_cache_to_read (cache, prompt);
+  uint32_t shared = engine_cache_uncached_tokens (cache, prompt);
   int64_t before = 0;
 
   out->running = 0;
   if (target != NULL)
     {
       out->running = count_requests (target);
-      before = lateness_of (target, now);
+      before = max_lateness (target, now);
       before += target->read_until > now ? target->read_until - now : 0;
     }
-  out->reading = reading_time (load, target, shared + prompt->own_tokens, now);
-  out->wait = before + out->reading;
-  out->read_again = engine_cache_held_elsewhere (load->caches, cache, prompt);
+  out->read_time = estimate_read_time (load, target, shared + prompt->own_tokens, now);
+  out->wait = before + out->read_time;
+  out->read_again_tokens = engine_cache_tokens_held_elsewhere (load->caches, cache, prompt);
 }
 
 /* Drop requests whose end was never reported. */
 static void
-drop_old (struct engine_target *target, int64_t now)
+drop_expired (struct engine_target *target, int64_t now)
 {
   struct engine_request *request;
   struct engine_request *next;
 
   DL_FOREACH_SAFE (target->requests, request, next)
     {
-      if (now - request->started < ENGINE_FORGET)
+      if (now - request->started_at < ENGINE_REQUEST_EXPIRY)
         return;
       DL_DELETE (target->requests, request);
       talloc_free (request);
@@ -281,13 +287,13 @@
 is_known (const struct engine_load *load,
           const struct engine_target *target,
           uint64_t request_id,
-          bool told)
+          bool expects_begin)
 {
   struct engine_request *request = find_request (target, request_id);
 
   if (request == NULL)
     return has_ended (load, target->id, request_id);
-  request->told |= told;
+  request->expects_begin |= expects_begin;
   return true;
 }
 
@@ -296,69 +302,69 @@
                      uint64_t id,
                      uint64_t request_id,
                      const struct engine_prompt *prompt,
-                     bool told,
+                     bool expects_begin,
                      int64_t now)
 {
-  struct engine_target *target = take_target (load, id);
+  struct engine_target *target = ensure_target (load, id);
   struct engine_request *request;
   struct engine_cost cost;
 
   if (target == NULL)
     return;
-  drop_old (target, now);
-  if (is_known (load, target, request_id, told))
+  drop_expired (target, now);
+  if (is_known (load, target, request_id, expects_begin))
     return;
   request = talloc_zero (target, struct engine_request);
   if (request == NULL)
     return;
   engine_load_cost (load, id, prompt, now, &cost);
-  request->request = request_id;
-  request->tokens = engine_cache_to_read (target->cache, prompt) + prompt->own_tokens;
-  request->started = now;
-  request->expected = cost.wait;
-  request->reading = cost.reading;
-  request->begins = now + cost.wait;
-  request->told = told;
-  target->read_until = (target->read_until > now ? target->read_until : now) + cost.reading;
+  request->id = request_id;
+  request->tokens = engine_cache_uncached_tokens (target->cache, prompt) + prompt->own_tokens;
+  request->started_at = now;
+  request->expected_wait = cost.wait;
+  request->read_time = cost.read_time;
+  request->begins_at = now + cost.wait;
+  request->expects_begin = expects_begin;
+  target->read_until = (target->read_until > now ? target->read_until : now) + cost.read_time;
   DL_APPEND (target->requests, request);
-  engine_cache_use (target->cache, prompt);
+  engine_cache_add_prompt (target->cache, prompt);
 }
 
 /* Whether the engine read the prompt at once.  Another host's prompt may have been read before it
  * unknown to the sender: its answer began meanwhile, or its beginning is not reported. */
 static bool
-read_at_once (const struct engine_target *target, const struct engine_request *request)
+was_read_at_once (const struct engine_target *target, const struct engine_request *request)
 {
   const struct engine_request *other;
 
-  if (target->requests != request || target->other_began >= request->started)
+  if (target->requests != request || target->last_began_at >= request->started_at)
     return false;
   for (other = request->next; other != NULL; other = other->next)
-    if (!other->told)
+    if (!other->expects_begin)
       return false;
   return true;
 }
 
 /* Learn the rate from prompts that had nothing before them, and the target's slowness from all. */
 static void
-learn (struct engine_load *load,
-       struct engine_target *target,
-       const struct engine_request *request,
-       int64_t now)
+learn_from_answer (struct engine_load *load,
+                   struct engine_target *target,
+                   const struct engine_request *request,
+                   int64_t now)
 {
-  double took = (double) (now - request->started);
-  double ratio = took / (double) (request->expected > 0 ? request->expected : 1);
+  double took = (double) (now - request->started_at);
+  double ratio = took / (double) (request->expected_wait > 0 ? request->expected_wait : 1);
 
-  if (request->tokens >= RATE_SAMPLE_TOKENS && took > (double) FIRST_TIME
-      && read_at_once (target, request) && target->slowness < 2)
+  if (request->tokens >= RATE_SAMPLE_TOKENS_MIN && took > (double) FIRST_BYTE_OVERHEAD
+      && was_read_at_once (target, request) && target->slowness < 2)
     {
-      double rate = request->tokens / ((took - (double) FIRST_TIME) / USEC_PER_MSEC);
+      double rate = request->tokens / ((took - (double) FIRST_BYTE_OVERHEAD) / USEC_PER_MSEC);
 
-      if (rate > RATE_SAMPLE_MOST * load->rate)
-        rate = RATE_SAMPLE_MOST * load->rate;
-      load->rate += RATE_SMOOTHING * (rate - load->rate);
+      if (rate > RATE_SAMPLE_MAX_FACTOR * load->tokens_per_ms)
+        rate = RATE_SAMPLE_MAX_FACTOR * load->tokens_per_ms;
+      load->tokens_per_ms += RATE_SMOOTHING * (rate - load->tokens_per_ms);
     }
-  target->slowness = slowness_of (target, now);
+  target->slowness = current_slowness (target, now);
   target->slowness_at = now;
   ratio *= target->slowness;
   if (ratio > SLOWNESS_MAX)
@@ -376,10 +382,10 @@
 
   if (request == NULL || request->began)
     return;
-  learn (load, target, request, now);
+  learn_from_answer (load, target, request, now);
   request->began = true;
-  target->other_began = now;
-  shift_after (target, request, now - request->begins, now);
+  target->last_began_at = now;
+  shift_later_requests (target, request, now - request->begins_at, now);
 }
 
 void
@@ -388,19 +394,19 @@
   struct engine_target *target = find_target (load, id);
   struct engine_request *request = target == NULL ? NULL : find_request (target, request_id);
 
-  keep_ended (load, id, request_id);
+  remember_ended (load, id, request_id);
   if (request == NULL)
     return;
   if (!request->began)
-    target->other_began = now;
+    target->last_began_at = now;
   if (is_unread (request, now))
-    shift_after (target, request, -request->reading, now);
+    shift_later_requests (target, request, -request->read_time, now);
   DL_DELETE (target->requests, request);
   talloc_free (request);
 }
 
 void
-engine_load_forget (struct engine_load *load, uint64_t id)
+engine_load_remove_target (struct engine_load *load, uint64_t id)
 {
   struct engine_target *target = find_target (load, id);
 
--- a/src/engine_load.h
+++ b/src/engine_load.h
@@ -2,8 +2,9 @@
  *
  * An engine reads prompts (prefill) one after another, so the wait for a first byte is the time to
  * read the prompts before it; a part that it read lately is still cached and not read again.  Each
- * host tells the others what it sends, when the answer begins and when it ends (engine_news.c), so
- * that all choose by the same estimate, a few milliseconds old, without asking the engines.
+ * host tells the others what it sends, when the answer begins and when it ends
+ * (engine_broadcast.c), so that all choose by the same estimate, a few milliseconds old, without
+ * asking the engines.
  *
  * Pure: time is passed in. */
 #ifndef ENGINE_LOAD_H
@@ -18,15 +19,15 @@
 BEGIN_DECLS
 
 /* Initial estimate of the reading rate, in prompt tokens per millisecond; answers correct it. */
-#define ENGINE_FIRST_RATE 60.0
+#define ENGINE_INITIAL_TOKENS_PER_MSEC 60.0
 
 /* A request whose first byte is not reported counts as begun after the expected wait times this
- * factor, plus ENGINE_BEGUN_MORE: the message may be lost. */
+ * factor, plus ENGINE_BEGUN_SLACK: the message may be lost. */
 #define ENGINE_BEGUN_FACTOR 1.3
-#define ENGINE_BEGUN_MORE (50 * USEC_PER_MSEC)
+#define ENGINE_BEGUN_SLACK (50 * USEC_PER_MSEC)
 
 /* A request whose end is not reported is dropped this long after its start. */
-#define ENGINE_FORGET (20 * USEC_PER_SEC)
+#define ENGINE_REQUEST_EXPIRY (20 * USEC_PER_SEC)
 
 struct engine_load;
 
@@ -34,7 +35,7 @@
 struct engine_load *engine_load_new (void *parent);
 
 /* `cache_tokens`: the size of one engine's cache, 0 when not known. */
-void engine_load_set_cache (struct engine_load *load, uint64_t cache_tokens);
+void engine_load_set_cache_tokens (struct engine_load *load, uint64_t cache_tokens);
 
 /* A host sent a prompt, its answer began, it ended.  `told`: this host will be told of the
  * beginning; otherwise the answer is assumed to begin when expected.  Idempotent by target and
@@ -43,20 +44,20 @@
                           uint64_t target,
                           uint64_t request,
                           const struct engine_prompt *prompt,
-                          bool told,
+                          bool expects_begin,
                           int64_t now);
 void engine_load_began (struct engine_load *load, uint64_t target, uint64_t request, int64_t now);
 void engine_load_ended (struct engine_load *load, uint64_t target, uint64_t request, int64_t now);
 
 /* The target is gone: drop its requests and its cache. */
-void engine_load_forget (struct engine_load *load, uint64_t target);
+void engine_load_remove_target (struct engine_load *load, uint64_t target);
 
 struct engine_cost
 {
-  int64_t wait;        /* expected until the answer begins, in microseconds */
-  int64_t reading;     /* the part of `wait` in which the engine reads this prompt */
-  uint32_t read_again; /* shared tokens to read that another engine holds already */
-  uint32_t running;    /* requests on the engine that have not ended */
+  int64_t wait;               /* expected until the answer begins, in microseconds */
+  int64_t read_time;          /* the part of `wait` in which the engine reads this prompt */
+  uint32_t read_again_tokens; /* shared tokens to read that another engine holds already */
+  uint32_t running;           /* requests on the engine that have not ended */
 };
 
 /* Estimate what the prompt would cost on the target if it were sent now. */
--- a/src/entry_host.c
+++ b/src/entry_host.c
@@ -35,7 +35,7 @@
   struct batch *batch;
   struct work *work;
   struct engine_load *engines;
-  struct engine_news *news;
+  struct engine_broadcast *news;
   struct quarantine_entry *quarantine;
   struct h1_client *client;
   struct subscriber *subscriber;
@@ -60,7 +60,7 @@
   batch_set_routing (host->batch, routing);
   for (uint32_t i = 0; i < routing->n_pools; i++)
     if (routing->pools[i].engine.present)
-      engine_load_set_cache (host->engines, routing->pools[i].engine.cache_tokens);
+      engine_load_set_cache_tokens (host->engines, routing->pools[i].engine.cache_tokens);
 }
 
 static void
@@ -174,7 +174,7 @@
     .counters = host->base.counters,
     .first_number = host->base.incarnation >> 8,
   };
-  struct engine_news_config news = {
+  struct engine_broadcast_config news = {
     .load = host->engines,
     .subscriber = host->subscriber,
     .port = host->base.port,
@@ -190,7 +190,7 @@
   };
 
   host->work = work_new (host, &work);
-  host->news = engine_news_new (host, &news);
+  host->news = engine_broadcast_new (host, &news);
   host->quarantine = quarantine_entry_new (host, &quarantine);
   if (host->work == NULL || host->news == NULL || host->quarantine == NULL)
     return status_fail (STATUS_NO_MEMORY, "out of memory");
--- a/src/forward.h
+++ b/src/forward.h
@@ -10,7 +10,7 @@
 #include "counter.h"
 #include "decls.h"
 #include "dialect.h"
-#include "engine_news.h"
+#include "engine_broadcast.h"
 #include "h1_client.h"
 #include "h1_server.h"
 #include "quarantine_entry.h"
@@ -30,7 +30,7 @@
   struct h1_client *client;
   struct dialect *dialect;
   struct work *work;
-  struct engine_news *news;
+  struct engine_broadcast *news;
   struct quarantine_entry *quarantine;
   struct counters *counters;
   uint64_t seed;
--- a/src/forward_attempt.c
+++ b/src/forward_attempt.c
@@ -65,7 +65,7 @@
 tell_ended (struct forward_job *job, int64_t now)
 {
   if (job->prompt.present)
-    engine_news_ended (job->forward->config.news, job->target->id_hash, job->send_id, now);
+    engine_broadcast_ended (job->forward->config.news, job->target->id_hash, job->send_id, now);
 }
 
 static void
@@ -342,7 +342,7 @@
       if (job->status == HTTP_STATUS_OK)
         job_drop_stages (job, now);
       if (job->prompt.present)
-        engine_news_began (job->forward->config.news, job->target->id_hash, job->send_id, now);
+        engine_broadcast_began (job->forward->config.news, job->target->id_hash, job->send_id, now);
     }
   if (!is_stream_answer (job))
     {
@@ -430,8 +430,9 @@
              (json_int_t) ((now - target->record->heard) / USEC_PER_MSEC), "sequence",
              (json_int_t) target->record->word.sequence, "send", (int) job->sends, "failing",
              target->failing, "left_ms", (json_int_t) ((job->deadline - now) / USEC_PER_MSEC),
-             "expected_wait_us", (json_int_t) cost.wait, "read_again_tokens", (int) cost.read_again,
-             "engine_running", (int) cost.running, "prompt_tokens", (int) job->facts.input_tokens);
+             "expected_wait_us", (json_int_t) cost.wait, "read_again_tokens",
+             (int) cost.read_again_tokens, "engine_running", (int) cost.running, "prompt_tokens",
+             (int) job->facts.input_tokens);
 }
 
 void
@@ -473,8 +474,8 @@
   job_run_began (job);
   log_choice (job, now);
   if (job->prompt.present)
-    engine_news_started (config->news, job->target->id_hash, job->send_id, &job->prompt.prompt,
-                         now);
+    engine_broadcast_started (config->news, job->target->id_hash, job->send_id, &job->prompt.prompt,
+                              now);
   bytes_init (&message, NULL);
   write_request (job, now, &message);
   status = h1_call_start (config->client, &job->call, job->target->address, &message, false, now);
--- a/src/forward_private.h
+++ b/src/forward_private.h
@@ -123,7 +123,7 @@
   struct timer fetch; /* fires when inputs should have been fetched */
   struct balance_prompt prompt;
   char near[ROUTING_NAME_SIZE]; /* failure domain of the likely engine; "" without stages */
-  uint64_t send_id;             /* identifies the newest send in engine_news */
+  uint64_t send_id;             /* identifies the newest send in engine_broadcast */
 
   /* Stages. */
   struct forward_stage stages[ROUTING_STAGES_MAX];
--- a/src/order.c
+++ b/src/order.c
@@ -8,13 +8,13 @@
 #include <utlist.h>
 
 #define PASS_PERIOD (USEC_PER_SEC / 4)
-#define FENCE_WITHIN (2 * USEC_PER_SEC)
-#define FENCE_PERIOD (2 * USEC_PER_SEC) /* between two proposals for a fencing number */
+#define FENCE_TIMEOUT (2 * USEC_PER_SEC)
+#define FENCE_RETRY_PERIOD (2 * USEC_PER_SEC) /* between two proposals for a fencing number */
 
 /* An assignment of the target itself takes precedence over one of its pool; among equals the first
  * by name does. */
 const struct assignment_spec *
-order_wanted (const struct orders *orders, const struct board_target *target)
+order_find_assignment (const struct orders *orders, const struct board_target *target)
 {
   const struct assignment_spec *of_pool = NULL;
   uint32_t i;
@@ -53,7 +53,7 @@
         orders->assignments[orders->n_assignments++] = spec.assignment;
       json_decref (json);
     }
-  orders->stale = false;
+  orders->assignments_stale = false;
 }
 
 static struct order_target *
@@ -77,7 +77,7 @@
   target->sink.ops = &order_target_sink_ops;
   target->orders = orders;
   target->next_at = now;
-  target->pause = USEC_PER_SEC;
+  target->backoff = USEC_PER_SEC;
   bytes_init (&target->body, target);
   text_copy_cut (target->name, sizeof target->name, name);
   DL_APPEND (orders->targets, target);
@@ -93,7 +93,7 @@
 
 /* Orders go only to usable targets: not to one that is leaving or whose lease has expired. */
 static void
-pass (struct orders *orders, int64_t now)
+reconcile_targets (struct orders *orders, int64_t now)
 {
   const struct board_target *entry;
   struct order_target *target;
@@ -104,7 +104,7 @@
     target->seen = false;
   while ((entry = table_next (orders->config.board->targets, &cursor, NULL)) != NULL)
     {
-      const struct assignment_spec *wanted = order_wanted (orders, entry);
+      const struct assignment_spec *wanted = order_find_assignment (orders, entry);
 
       if (wanted == NULL || !board_target_usable (entry, now))
         continue;
@@ -115,7 +115,7 @@
         continue;
       target->seen = true;
       text_copy_cut (target->assignment, sizeof target->assignment, wanted->name);
-      order_target_step (target, entry, now);
+      order_target_advance (target, entry, now);
     }
   DL_FOREACH_SAFE (orders->targets, target, following)
     if (!target->seen)
@@ -124,7 +124,7 @@
 
 /* The assignments changed: the targets that were done are due again at once. */
 static void
-look_again (struct orders *orders, int64_t now)
+recheck_done_targets (struct orders *orders, int64_t now)
 {
   struct order_target *target;
 
@@ -134,7 +134,7 @@
 }
 
 static void
-ask_fence (struct orders *orders, int64_t now)
+propose_fence (struct orders *orders, int64_t now)
 {
   struct consensus *consensus = orders->config.consensus;
   struct store_change change = {
@@ -146,9 +146,9 @@
   struct bytes entry;
 
   if (orders->fence_proposed
-      || (orders->fence_asked_at != 0 && now < orders->fence_asked_at + FENCE_PERIOD))
+      || (orders->fence_proposed_at != 0 && now < orders->fence_proposed_at + FENCE_RETRY_PERIOD))
     return;
-  orders->fence_asked_at = now;
+  orders->fence_proposed_at = now;
   text_copy_cut (change.host, sizeof change.host, orders->config.host);
   bytes_init (&entry, orders);
   store_group_begin (STORE_PART_RESOURCES, &entry);
@@ -156,7 +156,7 @@
   orders->fence_proposed =
       !bytes_failed (&entry)
       && consensus->ops->propose (consensus, entry.data, entry.length, &orders->fence_proposal,
-                                  now + FENCE_WITHIN, now)
+                                  now + FENCE_TIMEOUT, now)
              == STATUS_OK;
   bytes_clear (&entry);
 }
@@ -181,7 +181,7 @@
   orders->leading = true;
   orders->led_since = now;
   orders->fence = 0;
-  orders->fence_asked_at = 0;
+  orders->fence_proposed_at = 0;
   log_event (LOG_MODULE_STORE, LOG_LEVEL_INFO, "orders-take-over", NULL);
 }
 
@@ -200,15 +200,15 @@
  * and undoes ours.  After this time its lease has expired, so it sends nothing new, and its last
  * call has reached its deadline. */
 static bool
-former_leader_done (const struct orders *orders, int64_t now)
+former_leader_has_expired (const struct orders *orders, int64_t now)
 {
   int64_t lease = orders->config.former_lease;
 
-  return now >= orders->led_since + (lease > 0 ? lease : ORDER_FORMER_LEASE) + ORDER_CALL_WITHIN;
+  return now >= orders->led_since + (lease > 0 ? lease : ORDER_FORMER_LEASE) + ORDER_CALL_TIMEOUT;
 }
 
 static void
-due (struct timer *timer, int64_t now)
+timer_fired (struct timer *timer, int64_t now)
 {
   struct orders *orders = CONTAINER_OF (timer, struct orders, timer);
   struct consensus *consensus = orders->config.consensus;
@@ -219,19 +219,20 @@
     take_over (orders, now);
   else if (!leads && orders->leading)
     step_down (orders);
-  if (!orders->leading || !orders->config.board->config_ready || !former_leader_done (orders, now))
+  if (!orders->leading || !orders->config.board->config_ready
+      || !former_leader_has_expired (orders, now))
     return;
-  if (orders->stale)
+  if (orders->assignments_stale)
     {
       read_assignments (orders);
-      look_again (orders, now);
+      recheck_done_targets (orders, now);
     }
   if (orders->n_assignments == 0 && orders->targets == NULL)
     return;
   if (orders->fence == 0)
-    ask_fence (orders, now);
+    propose_fence (orders, now);
   else
-    pass (orders, now);
+    reconcile_targets (orders, now);
   order_status_write (orders, now);
 }
 
@@ -239,7 +240,7 @@
 changed (struct store_listener *listener, const struct store_event *event)
 {
   if (event == NULL || event->kind == RESOURCE_ASSIGNMENT)
-    CONTAINER_OF (listener, struct orders, listener)->stale = true;
+    CONTAINER_OF (listener, struct orders, listener)->assignments_stale = true;
 }
 
 static void
@@ -266,7 +267,7 @@
                     "targets", targets);
 }
 
-static const struct timer_ops timer_ops = { .fire = due };
+static const struct timer_ops timer_ops = { .fire = timer_fired };
 static const struct store_listener_ops listener_ops = { .changed = changed, .replaced = replaced };
 static const struct proposal_ops fence_ops = { .done = fence_done };
 static const struct dump_source_ops source_ops = { .describe = describe };
@@ -306,7 +307,7 @@
   orders->status_proposal.ops = &order_status_ops;
   orders->source.ops = &source_ops;
   orders->source.name = "orders";
-  orders->stale = true;
+  orders->assignments_stale = true;
   orders->sent =
       counter_get (config->counters, "cherryarch_orders_sent_total", "Orders to targets.", NULL);
   orders->done = counter_get (config->counters, "cherryarch_orders_done_total",
--- a/src/order.h
+++ b/src/order.h
@@ -19,7 +19,7 @@
 
 BEGIN_DECLS
 
-#define ORDER_CALL_WITHIN (5 * USEC_PER_SEC)  /* deadline of one call to a target */
+#define ORDER_CALL_TIMEOUT (5 * USEC_PER_SEC) /* deadline of one call to a target */
 #define ORDER_FORMER_LEASE (3 * USEC_PER_SEC) /* longest lease of a leader, with clock drift */
 
 struct orders;
--- a/src/order_plan.c
+++ b/src/order_plan.c
@@ -63,7 +63,7 @@
 }
 
 static bool
-has (const char (*names)[RESOURCE_NAME_SIZE], uint32_t count, const char *name)
+contains_name (const char (*names)[RESOURCE_NAME_SIZE], uint32_t count, const char *name)
 {
   uint32_t i;
 
@@ -75,7 +75,7 @@
 
 /* The first of `names` that is not among `others`; NULL when all are. */
 static const char *
-first_without (const char (*names)[RESOURCE_NAME_SIZE],
+first_missing (const char (*names)[RESOURCE_NAME_SIZE],
                uint32_t count,
                const char (*others)[RESOURCE_NAME_SIZE],
                uint32_t n_others)
@@ -83,13 +83,13 @@
   uint32_t i;
 
   for (i = 0; i < count; i++)
-    if (!has (others, n_others, names[i]))
+    if (!contains_name (others, n_others, names[i]))
       return names[i];
   return NULL;
 }
 
 static bool
-step (struct order_step *out, enum order_kind kind, const char *value)
+set_step (struct order_step *out, enum order_kind kind, const char *value)
 {
   out->kind = kind;
   text_copy_cut (out->value, sizeof out->value, value);
@@ -97,24 +97,24 @@
 }
 
 bool
-order_next (const struct assignment_spec *wanted,
-            const struct order_state *state,
-            struct order_step *out)
+order_next_step (const struct assignment_spec *wanted,
+                 const struct order_state *state,
+                 struct order_step *out)
 {
   const char *name;
 
   if (wanted->version[0] != '\0' && strcmp (wanted->version, state->version) != 0)
-    return step (out, ORDER_SET_VERSION, wanted->version);
-  name = first_without (wanted->models, wanted->n_models, state->models, state->n_models);
+    return set_step (out, ORDER_SET_VERSION, wanted->version);
+  name = first_missing (wanted->models, wanted->n_models, state->models, state->n_models);
   if (name != NULL)
-    return step (out, ORDER_LOAD_MODEL, name);
-  name = first_without (wanted->adapters, wanted->n_adapters, state->adapters, state->n_adapters);
+    return set_step (out, ORDER_LOAD_MODEL, name);
+  name = first_missing (wanted->adapters, wanted->n_adapters, state->adapters, state->n_adapters);
   if (name != NULL)
-    return step (out, ORDER_LOAD_ADAPTER, name);
+    return set_step (out, ORDER_LOAD_ADAPTER, name);
   if (wanted->role[0] != '\0' && strcmp (wanted->role, state->role) != 0)
-    return step (out, ORDER_SET_ROLE, wanted->role);
-  name = first_without (state->models, state->n_models, wanted->models, wanted->n_models);
+    return set_step (out, ORDER_SET_ROLE, wanted->role);
+  name = first_missing (state->models, state->n_models, wanted->models, wanted->n_models);
   if (wanted->n_models > 0 && name != NULL)
-    return step (out, ORDER_UNLOAD_MODEL, name);
+    return set_step (out, ORDER_UNLOAD_MODEL, name);
   return false;
 }
--- a/src/order_plan.h
+++ b/src/order_plan.h
@@ -53,9 +53,9 @@
  * first, because setting it may reload the rest; unloading comes last, so that the target serves
  * meanwhile.  What an assignment does not name stays as it is: without models in it, none is loaded
  * or unloaded. */
-bool order_next (const struct assignment_spec *wanted,
-                 const struct order_state *state,
-                 struct order_step *out);
+bool order_next_step (const struct assignment_spec *wanted,
+                      const struct order_state *state,
+                      struct order_step *out);
 
 END_DECLS
 
--- a/src/order_status.c
+++ b/src/order_status.c
@@ -8,10 +8,11 @@
 #include <utlist.h>
 
 #define STATUS_PERIOD (2 * USEC_PER_SEC) /* between two writes, of any assignment */
-#define STATUS_WITHIN (2 * USEC_PER_SEC)
-#define NAMED_MAX 8
+#define STATUS_PROPOSAL_TIMEOUT (2 * USEC_PER_SEC)
+#define STATUS_WAITING_MAX 8
 
-/* Counts, and the first NAMED_MAX targets that are not as wanted, each with its last fault. */
+/* Counts, and the first STATUS_WAITING_MAX targets that are not as wanted, each with its last
+ * fault. */
 static json_t *
 build_status (const struct orders *orders, const char *assignment)
 {
@@ -27,7 +28,7 @@
       targets++;
       if (target->phase == ORDER_PHASE_DONE)
         done++;
-      else if (json_array_size (waiting) < NAMED_MAX)
+      else if (json_array_size (waiting) < STATUS_WAITING_MAX)
         json_array_append_new (
             waiting, json_pack ("{s:s,s:s}", "target", target->name, "fault", target->fault));
     }
@@ -69,10 +70,10 @@
   orders->status_proposed =
       !bytes_failed (&entry)
       && consensus->ops->propose (consensus, entry.data, entry.length, &orders->status_proposal,
-                                  now + STATUS_WITHIN, now)
+                                  now + STATUS_PROPOSAL_TIMEOUT, now)
              == STATUS_OK;
   bytes_clear (&entry);
-  orders->status_at = now;
+  orders->status_proposed_at = now;
 }
 
 void
@@ -80,10 +81,11 @@
 {
   const struct store *store = orders->config.store;
   const struct store_object *object = store_after (store, RESOURCE_ASSIGNMENT, "");
-  const struct store_object *first = store_after (store, RESOURCE_ASSIGNMENT, orders->status_after);
+  const struct store_object *first =
+      store_after (store, RESOURCE_ASSIGNMENT, orders->status_cursor);
   uint32_t left = store_count (store, RESOURCE_ASSIGNMENT);
 
-  if (orders->status_proposed || now < orders->status_at + STATUS_PERIOD)
+  if (orders->status_proposed || now < orders->status_proposed_at + STATUS_PERIOD)
     return;
   /* Round robin, so that an assignment that changes constantly does not starve the others. */
   for (object = first != NULL ? first : object; object != NULL && left > 0; left--)
@@ -93,7 +95,7 @@
       bool differs = text != NULL && (object->status == NULL || strcmp (object->status, text) != 0);
 
       json_decref (status);
-      text_copy_cut (orders->status_after, sizeof orders->status_after, object->name);
+      text_copy_cut (orders->status_cursor, sizeof orders->status_cursor, object->name);
       if (differs)
         propose (orders, object, text, now);
       free (text);
--- a/src/order_target.c
+++ b/src/order_target.c
@@ -6,10 +6,12 @@
 #include <string.h>
 #include <utlist.h>
 
-#define LOOK_PERIOD (15 * USEC_PER_SEC) /* between reads of the state of a target as wanted */
-#define SETTLE_FIRST (USEC_PER_SEC)
-#define SETTLE_MAX (15 * USEC_PER_SEC)
-#define ORDER_AGAIN (60 * USEC_PER_SEC) /* until an order that has no effect is sent again */
+#define STATE_READ_PERIOD (15 * USEC_PER_SEC) /* between reads of the state of a target as wanted  \
+                                               */
+#define BACKOFF_MIN (USEC_PER_SEC)
+#define BACKOFF_MAX (15 * USEC_PER_SEC)
+#define ORDER_RESEND_AFTER (60 * USEC_PER_SEC) /* until an order that has no effect is sent again  \
+                                                */
 #define IN_FLIGHT_MAX 64
 #define STATE_BYTES_MAX (64u << 10)
 
@@ -46,18 +48,18 @@
 }
 
 static void
-slow_down (struct order_target *target, int64_t now)
+back_off (struct order_target *target, int64_t now)
 {
-  target->next_at = now + target->pause;
-  target->pause = target->pause * 2 < SETTLE_MAX ? target->pause * 2 : SETTLE_MAX;
+  target->next_at = now + target->backoff;
+  target->backoff = target->backoff * 2 < BACKOFF_MAX ? target->backoff * 2 : BACKOFF_MAX;
 }
 
 static void
 fail (struct order_target *target, const char *message, int64_t now)
 {
   text_copy_cut (target->fault, sizeof target->fault, message);
-  target->phase = target->stepped ? ORDER_PHASE_SETTLING : ORDER_PHASE_IDLE;
-  slow_down (target, now);
+  target->phase = target->step_pending ? ORDER_PHASE_SETTLING : ORDER_PHASE_IDLE;
+  back_off (target, now);
 }
 
 static void
@@ -78,7 +80,7 @@
     .n_headers = body == NULL ? 0 : 1,
     .body = body,
     .body_length = body == NULL ? 0 : strlen (body),
-    .deadline = now + ORDER_CALL_WITHIN,
+    .deadline = now + ORDER_CALL_TIMEOUT,
     .max_body_bytes = STATE_BYTES_MAX,
   };
 
@@ -94,15 +96,15 @@
 }
 
 static void
-look (struct order_target *target, const struct board_target *entry, int64_t now)
+read_state (struct order_target *target, const struct board_target *entry, int64_t now)
 {
-  target->posting = false;
-  target->phase = target->stepped ? ORDER_PHASE_SETTLING : ORDER_PHASE_READING;
+  target->sending_order = false;
+  target->phase = target->step_pending ? ORDER_PHASE_SETTLING : ORDER_PHASE_READING;
   start (target, entry, "GET", "/v1/state", NULL, now);
 }
 
 static void
-order (struct order_target *target, const struct board_target *entry, int64_t now)
+send_order (struct order_target *target, const struct board_target *entry, int64_t now)
 {
   json_t *body = json_pack ("{s:I,s:s,s:s}", "fence", (json_int_t) target->orders->fence, "order",
                             order_kind_text (target->step.kind), "value", target->step.value);
@@ -114,12 +116,12 @@
       fail (target, "out of memory", now);
       return;
     }
-  target->posting = true;
+  target->sending_order = true;
   target->phase = ORDER_PHASE_ORDERING;
-  target->stepped = true;
+  target->step_pending = true;
   target->ordered_at = now;
-  target->pause = SETTLE_FIRST;
-  target->sent++;
+  target->backoff = BACKOFF_MIN;
+  target->n_sent++;
   counter_add (target->orders->sent, 1);
   log_event (LOG_MODULE_AUDIT, LOG_LEVEL_INFO, "order", "{s:s,s:s,s:s,s:I}", "target", target->name,
              "order", order_kind_text (target->step.kind), "value", target->step.value, "fence",
@@ -129,38 +131,38 @@
 }
 
 void
-order_target_step (struct order_target *target, const struct board_target *entry, int64_t now)
+order_target_advance (struct order_target *target, const struct board_target *entry, int64_t now)
 {
   if (target->call != NULL || now < target->next_at || target->orders->in_flight >= IN_FLIGHT_MAX)
     return;
   if (target->phase == ORDER_PHASE_ORDERING)
-    order (target, entry, now);
+    send_order (target, entry, now);
   else
-    look (target, entry, now);
+    read_state (target, entry, now);
 }
 
 static void
-as_wanted (struct order_target *target, int64_t now)
+mark_done (struct order_target *target, int64_t now)
 {
   if (target->phase != ORDER_PHASE_DONE)
-    counter_add (target->orders->done, target->sent > 0);
+    counter_add (target->orders->done, target->n_sent > 0);
   target->phase = ORDER_PHASE_DONE;
-  target->stepped = false;
-  target->sent = 0;
-  target->pause = SETTLE_FIRST;
-  target->next_at = now + LOOK_PERIOD;
+  target->step_pending = false;
+  target->n_sent = 0;
+  target->backoff = BACKOFF_MIN;
+  target->next_at = now + STATE_READ_PERIOD;
   target->fault[0] = '\0';
 }
 
 /* Handle the state that the target reports: prepare the next order, unless the same order was sent
- * less than ORDER_AGAIN ago, as the target may still be carrying it out. */
+ * less than ORDER_RESEND_AFTER ago, as the target may still be carrying it out. */
 static void
-take_state (struct order_target *target, int64_t now)
+handle_state (struct order_target *target, int64_t now)
 {
   const struct board_target *entry =
       board_find_target (target->orders->config.board, target->name, NULL);
   const struct assignment_spec *wanted =
-      entry == NULL ? NULL : order_wanted (target->orders, entry);
+      entry == NULL ? NULL : order_find_assignment (target->orders, entry);
   struct order_state state;
   struct order_step step;
 
@@ -173,20 +175,21 @@
     }
   if (state.fence > target->orders->fence_seen)
     target->orders->fence_seen = state.fence;
-  if (!order_next (wanted, &state, &step))
+  if (!order_next_step (wanted, &state, &step))
     {
-      as_wanted (target, now);
+      mark_done (target, now);
       return;
     }
-  if (target->stepped && step.kind == target->step.kind
-      && strcmp (step.value, target->step.value) == 0 && now < target->ordered_at + ORDER_AGAIN)
+  if (target->step_pending && step.kind == target->step.kind
+      && strcmp (step.value, target->step.value) == 0
+      && now < target->ordered_at + ORDER_RESEND_AFTER)
     {
       target->phase = ORDER_PHASE_SETTLING;
-      slow_down (target, now);
+      back_off (target, now);
       return;
     }
   target->step = step;
-  target->stepped = false;
+  target->step_pending = false;
   target->phase = ORDER_PHASE_ORDERING;
   target->next_at = now;
 }
@@ -194,13 +197,13 @@
 /* 409: the target has seen a higher fencing number than ours, from another leader or from an
  * earlier installation of the system whose log had advanced further.  A new number is requested. */
 static void
-take_refusal (struct order_target *target, int64_t now)
+handle_refusal (struct order_target *target, int64_t now)
 {
   struct orders *orders = target->orders;
 
   counter_add (orders->refused, 1);
-  target->stepped = false;
-  if (target->code == 409 && now >= orders->fence_asked_at + ORDER_CALL_WITHIN)
+  target->step_pending = false;
+  if (target->code == 409 && now >= orders->fence_proposed_at + ORDER_CALL_TIMEOUT)
     orders->fence = 0;
   fail (target, target->code == 409 ? "refused: old fencing number" : "refused", now);
 }
@@ -231,15 +234,15 @@
   struct order_target *target = (struct order_target *) sink;
 
   end_call (target);
-  if (target->code == 200 && target->posting)
+  if (target->code == 200 && target->sending_order)
     {
       target->phase = ORDER_PHASE_SETTLING;
       target->next_at = now;
     }
   else if (target->code == 200)
-    take_state (target, now);
-  else if (target->posting)
-    take_refusal (target, now);
+    handle_state (target, now);
+  else if (target->sending_order)
+    handle_refusal (target, now);
   else
     fail (target, "GET /v1/state was not answered with status 200", now);
 }
@@ -251,8 +254,8 @@
   struct order_target *target = (struct order_target *) sink;
 
   end_call (target);
-  if (target->posting && !sent)
-    target->stepped = false;
+  if (target->sending_order && !sent)
+    target->step_pending = false;
   fail (target, status_text (why), now);
 }
 
--- a/src/quarantine_entry.c
+++ b/src/quarantine_entry.c
@@ -83,7 +83,7 @@
                         const struct quarantine_suspect *suspect,
                         int64_t now)
 {
-  enum target_fate known = target_watch_broke (entry->watch, target, now);
+  enum target_fate known = target_watch_connection_broke (entry->watch, target, now);
 
   if (known == TARGET_FATE_ENDED)
     quarantine_control_learn (entry->control, suspect, now);
--- a/src/target_watch.c
+++ b/src/target_watch.c
@@ -17,9 +17,9 @@
   char address[ROUTING_NAME_SIZE];
   uint64_t started;
   uint64_t incarnation;
-  int64_t broke;      /* the first break that the target is not known to have outlived */
-  int64_t last_broke; /* the last break */
-  int64_t probed;     /* when the last probe began */
+  int64_t broke_at;      /* the first break that the target is not known to have outlived */
+  int64_t last_broke_at; /* the last break */
+  int64_t probed_at;     /* when the last probe began */
   uint32_t breaks;
   enum target_fate fate;
   struct tcp_stream probe;
@@ -35,7 +35,7 @@
   uint32_t n;
   struct timer timer;
   struct counter *fates[TARGET_FATE_COUNT];
-  struct counter *passed_over;
+  struct counter *unwatched;
 };
 
 static const char *const fate_texts[] = {
@@ -52,7 +52,7 @@
 
 /* Report the fate at the breaks up to `until`. */
 static void
-tell_fate (
+report_fate (
     struct watched *watched, enum target_fate fate, const char *by, int64_t until, int64_t now)
 {
   struct target_watch *watch = watched->watch;
@@ -61,7 +61,7 @@
   log_event (LOG_MODULE_FLOW, LOG_LEVEL_INFO, "target-fate", "{s:s,s:s,s:s,s:s,s:i,s:I}", "target",
              watched->id, "address", watched->address, "fate", fate_texts[fate], "by", by, "breaks",
              (int) watched->breaks, "after_ms",
-             (json_int_t) ((now - watched->broke) / USEC_PER_MSEC));
+             (json_int_t) ((now - watched->broke_at) / USEC_PER_MSEC));
   if (watch->config.listener != NULL)
     watch->config.listener->ops->fate (watch->config.listener, watched->incarnation, fate, until,
                                        now);
@@ -72,7 +72,7 @@
 set_fate (struct watched *watched, enum target_fate fate, const char *by, int64_t now)
 {
   watched->fate = fate;
-  tell_fate (watched, fate, by, now, now);
+  report_fate (watched, fate, by, now, now);
 }
 
 /* ---- the probe ---- */
@@ -132,14 +132,14 @@
 {
   struct loop *loop = watched->watch->config.loop;
 
-  watched->probed = now;
+  watched->probed_at = now;
   if (tcp_connect (&watched->probe, &probe_ops, loop, watched->address) != STATUS_OK)
     {
       log_event (LOG_MODULE_FLOW, LOG_LEVEL_WARNING, "probe-failed", "{s:s,s:s}", "address",
                  watched->address, "message", status_message ());
       return;
     }
-  timer_arm (loop_timers (loop), &watched->probe_timer, now + TARGET_WATCH_PROBE);
+  timer_arm (loop_timers (loop), &watched->probe_timer, now + TARGET_WATCH_PROBE_TIMEOUT);
 }
 
 /* Probe again if a connection broke after the last probe began, which shows nothing about it. */
@@ -147,7 +147,8 @@
 probe_again (struct watched *watched, int64_t now)
 {
   if (watched->fate == TARGET_FATE_UNKNOWN && !watched->probe.open
-      && watched->last_broke > watched->probed && now >= watched->probed + TARGET_WATCH_PERIOD)
+      && watched->last_broke_at > watched->probed_at
+      && now >= watched->probed_at + TARGET_WATCH_PERIOD)
     begin_probe (watched, now);
 }
 
@@ -157,18 +158,18 @@
 static void
 note_alive (struct watched *watched, int64_t alive, int64_t now)
 {
-  bool all = alive >= watched->last_broke;
+  bool all = alive >= watched->last_broke_at;
 
-  if (!all && (watched->fate != TARGET_FATE_UNKNOWN || alive < watched->broke))
+  if (!all && (watched->fate != TARGET_FATE_UNKNOWN || alive < watched->broke_at))
     return;
   if (all)
     watched->fate = TARGET_FATE_LIVES;
-  tell_fate (watched, TARGET_FATE_LIVES, "it renewed its registration", alive, now);
-  watched->broke = alive + 1;
+  report_fate (watched, TARGET_FATE_LIVES, "it renewed its registration", alive, now);
+  watched->broke_at = alive + 1;
 }
 
 static void
-look_up (struct watched *watched, int64_t now)
+check_registry (struct watched *watched, int64_t now)
 {
   const struct registry_target *record =
       registry_find (watched->watch->config.registry, watched->id);
@@ -183,11 +184,11 @@
   if (ended != NULL && watched->fate == TARGET_FATE_UNKNOWN)
     set_fate (watched, TARGET_FATE_ENDED, ended, now);
   if (ended == NULL && watched->fate != TARGET_FATE_LIVES)
-    note_alive (watched, record->heard - TARGET_WATCH_LIVES - 1, now);
+    note_alive (watched, record->heard - TARGET_WATCH_RENEWAL_DELAY_MAX - 1, now);
 }
 
 static void
-forget (struct watched *watched)
+drop_watched (struct watched *watched)
 {
   struct target_watch *watch = watched->watch;
 
@@ -206,13 +207,13 @@
 
   DL_FOREACH_SAFE (watch->watched, watched, next)
     {
-      look_up (watched, now);
+      check_registry (watched, now);
       probe_again (watched, now);
-      if (watched->fate != TARGET_FATE_LIVES && now < watched->broke + TARGET_WATCH_FOR)
+      if (watched->fate != TARGET_FATE_LIVES && now < watched->broke_at + TARGET_WATCH_DURATION)
         continue;
       if (watched->fate == TARGET_FATE_UNKNOWN)
         set_fate (watched, TARGET_FATE_UNKNOWN, "neither shown before the watch ended", now);
-      forget (watched);
+      drop_watched (watched);
     }
   if (watch->watched != NULL)
     timer_arm (loop_timers (watch->config.loop), timer, now + TARGET_WATCH_PERIOD);
@@ -256,7 +257,7 @@
   text_copy_cut (watched->address, sizeof watched->address, target->address);
   watched->started = target->started;
   watched->incarnation = target->id_hash;
-  watched->broke = now;
+  watched->broke_at = now;
   watched->probe_timer.ops = &probe_timer_ops;
   DL_APPEND (watch->watched, watched);
   watch->n++;
@@ -264,7 +265,9 @@
 }
 
 enum target_fate
-target_watch_broke (struct target_watch *watch, const struct balance_target *target, int64_t now)
+target_watch_connection_broke (struct target_watch *watch,
+                               const struct balance_target *target,
+                               int64_t now)
 {
   struct watched *watched = find (watch, target->id_hash);
 
@@ -276,20 +279,20 @@
       watched = add (watch, target, now);
       if (watched == NULL)
         {
-          counter_add (watch->passed_over, 1);
+          counter_add (watch->unwatched, 1);
           log_event (LOG_MODULE_FLOW, LOG_LEVEL_WARNING, "target-not-watched", "{s:s,s:i}",
                      "target", target->id, "watched", (int) watch->n);
           return TARGET_FATE_UNKNOWN;
         }
-      watched->last_broke = now;
-      look_up (watched, now);
+      watched->last_broke_at = now;
+      check_registry (watched, now);
       if (watched->fate == TARGET_FATE_UNKNOWN)
         begin_probe (watched, now);
       if (!timer_is_armed (&watch->timer))
         timer_arm (loop_timers (watch->config.loop), &watch->timer, now + TARGET_WATCH_PERIOD);
     }
   watched->breaks++;
-  watched->last_broke = now;
+  watched->last_broke_at = now;
   probe_again (watched, now);
   return watched->fate;
 }
@@ -298,13 +301,13 @@
 free_watch (struct target_watch *watch)
 {
   while (watch->watched != NULL)
-    forget (watch->watched);
+    drop_watched (watch->watched);
   timer_disarm (loop_timers (watch->config.loop), &watch->timer);
   return 0;
 }
 
 static void
-take_counters (struct target_watch *watch)
+register_counters (struct target_watch *watch)
 {
   for (int fate = 0; fate < TARGET_FATE_COUNT; fate++)
     {
@@ -315,7 +318,7 @@
           counter_get (watch->config.counters, "cherryarch_target_fates_total",
                        "Incarnations whose connections broke, by what became of them.", label);
     }
-  watch->passed_over =
+  watch->unwatched =
       counter_get (watch->config.counters, "cherryarch_target_fates_passed_over_total",
                    "Broken connections whose target could not be watched.", NULL);
 }
@@ -329,7 +332,7 @@
     return NULL;
   watch->config = *config;
   watch->timer.ops = &timer_ops;
-  take_counters (watch);
+  register_counters (watch);
   talloc_set_destructor (watch, free_watch);
   return watch;
 }
--- a/src/target_watch.h
+++ b/src/target_watch.h
@@ -22,18 +22,18 @@
 #define TARGET_WATCHES_MAX 64
 
 /* Timeout of a probe that is neither accepted nor refused. */
-#define TARGET_WATCH_PROBE (1000 * USEC_PER_MSEC)
+#define TARGET_WATCH_PROBE_TIMEOUT (1000 * USEC_PER_MSEC)
 
 /* A renewal counts as made after a break if it is heard more than this later, since reports of
  * renewals may be delayed. */
-#define TARGET_WATCH_LIVES (1000 * USEC_PER_MSEC)
+#define TARGET_WATCH_RENEWAL_DELAY_MAX (1000 * USEC_PER_MSEC)
 
 /* While a target is watched, its registry record is checked this often, and it is probed at most
  * this often. */
 #define TARGET_WATCH_PERIOD (100 * USEC_PER_MSEC)
 
 /* A watch ends after this: the time of a lease plus that of a restart. */
-#define TARGET_WATCH_FOR (15 * USEC_PER_SEC)
+#define TARGET_WATCH_DURATION (15 * USEC_PER_SEC)
 
 /* name, text */
 #define TARGET_FATE_LIST(X)                                                                        \
@@ -84,9 +84,9 @@
 enum target_fate target_watch_fate (const struct target_watch *watch, uint64_t incarnation);
 
 /* A connection to the target broke during a request.  Returns the fate that is known already. */
-enum target_fate target_watch_broke (struct target_watch *watch,
-                                     const struct balance_target *target,
-                                     int64_t now);
+enum target_fate target_watch_connection_broke (struct target_watch *watch,
+                                                const struct balance_target *target,
+                                                int64_t now);
 
 END_DECLS
 
--- a/tests/unit_engine_load.cc
+++ b/tests/unit_engine_load.cc
@@ -46,15 +46,15 @@
 {
   struct engine_prompt p = prompt (1, 13000, 100);
 
-  EXPECT_EQ (cost (1, p).read_again, 0u);
+  EXPECT_EQ (cost (1, p).read_again_tokens, 0u);
   engine_load_started (load, 1, 500, &p, true, now);
   now += 300000;
   engine_load_began (load, 1, 500, now);
   now += 600000;
   engine_load_ended (load, 1, 500, now);
   EXPECT_LT (cost (1, p).wait, cost (2, p).wait / 10);
-  EXPECT_EQ (cost (2, p).read_again, 13000u);
-  EXPECT_EQ (cost (1, p).read_again, 0u);
+  EXPECT_EQ (cost (2, p).read_again_tokens, 13000u);
+  EXPECT_EQ (cost (1, p).read_again_tokens, 0u);
 }
 
 TEST_F (EngineLoad, ARequestWaitsForThePromptsBeforeIt)
@@ -84,9 +84,9 @@
   EXPECT_LE (cost (1, p).wait, idle);
 }
 
-// Beyond ENGINE_NEWS_ALL hosts only starts are sent to all.  The estimated queue of an engine that
-// is busy for four fifths of the time must not grow without end, or its prompts go to engines that
-// have to read their parts again.
+// Beyond ENGINE_BROADCAST_ALL_EVENTS_HOSTS_MAX hosts only starts are sent to all.  The estimated
+// queue of an engine that is busy for four fifths of the time must not grow without end, or its
+// prompts go to engines that have to read their parts again.
 TEST_F (EngineLoad, AQueueEstimatedFromStartsAloneStaysBounded)
 {
   struct engine_prompt p = prompt (1, 0, 6000); // 100 ms to read
@@ -225,13 +225,13 @@
   struct engine_prompt b = prompt (2, 1000, 0);
   struct engine_prompt c = prompt (3, 1000, 0);
 
-  engine_load_set_cache (load, 4000); // room for two
+  engine_load_set_cache_tokens (load, 4000); // room for two
   engine_load_started (load, 1, 1, &a, true, now);
   engine_load_started (load, 1, 2, &b, true, now);
   engine_load_started (load, 1, 3, &a, true, now);
   engine_load_started (load, 1, 4, &c, true, now);
-  EXPECT_EQ (cost (2, b).read_again, 0u); // no engine holds it any more
-  EXPECT_EQ (cost (2, a).read_again, 1000u);
+  EXPECT_EQ (cost (2, b).read_again_tokens, 0u); // no engine holds it any more
+  EXPECT_EQ (cost (2, a).read_again_tokens, 1000u);
 }
 
 // A start arrives twice, by two paths or because it was sent again.  Counted twice, the queue would
@@ -285,8 +285,8 @@
   struct engine_prompt p = prompt (1, 1000, 10);
 
   engine_load_started (load, 1, 1, &p, true, now);
-  engine_load_forget (load, 1);
-  EXPECT_EQ (cost (2, p).read_again, 0u);
+  engine_load_remove_target (load, 1);
+  EXPECT_EQ (cost (2, p).read_again_tokens, 0u);
   EXPECT_EQ (cost (1, p).running, 0u);
 }
 
--- a/tests/unit_order.cc
+++ b/tests/unit_order.cc
@@ -271,7 +271,7 @@
   clock.run (12 * SEC); // a has led for long enough to send orders
   b.log->leads = true;
   clock.run (ORDER_FORMER_LEASE - SEC);
-  target.hold_orders = ORDER_CALL_WITHIN - SEC / 2;
+  target.hold_orders = ORDER_CALL_TIMEOUT - SEC / 2;
   a.want ("\"m1\"");
   clock.run (SEC);
   a.log->leads = false;
@@ -330,9 +330,9 @@
   struct order_step step;
 
   ASSERT_EQ (order_state_parse ("{\"models\":[\"m\"],\"role\":\"r\"}", 27, &state), STATUS_OK);
-  EXPECT_FALSE (order_next (&wanted, &state, &step));
+  EXPECT_FALSE (order_next_step (&wanted, &state, &step));
   snprintf (wanted.role, sizeof wanted.role, "s");
-  ASSERT_TRUE (order_next (&wanted, &state, &step));
+  ASSERT_TRUE (order_next_step (&wanted, &state, &step));
   EXPECT_EQ (step.kind, ORDER_SET_ROLE);
   EXPECT_NE (order_state_parse ("{\"models\":7}", 12, &state), STATUS_OK);
   EXPECT_NE (order_state_parse ("", 0, &state), STATUS_OK);
--- a/tests/unit_target_watch.cc
+++ b/tests/unit_target_watch.cc
@@ -132,11 +132,12 @@
     address = was.address ();
   }
   loop_once (loop, 0);
-  EXPECT_EQ (target_watch_broke (watch, target ("t1", address, 1, now), now), TARGET_FATE_UNKNOWN);
+  EXPECT_EQ (target_watch_connection_broke (watch, target ("t1", address, 1, now), now),
+             TARGET_FATE_UNKNOWN);
   ASSERT_TRUE (run_until (loop, [&] { return !heard.fates.empty (); }));
   EXPECT_EQ (last (), TARGET_FATE_ENDED);
   // The next connection that breaks needs no probe.
-  EXPECT_EQ (target_watch_broke (watch, &at, now), TARGET_FATE_ENDED);
+  EXPECT_EQ (target_watch_connection_broke (watch, &at, now), TARGET_FATE_ENDED);
   EXPECT_EQ (heard.fates.size (), 1u);
 }
 
@@ -146,12 +147,12 @@
   listening there (loop);
 
   for (int i = 0; i < 5; i++)
-    target_watch_broke (watch, target ("t1", there.address (), 1, now), now);
+    target_watch_connection_broke (watch, target ("t1", there.address (), 1, now), now);
   ASSERT_TRUE (run_until (loop, [&] { return !there.taken.empty (); }));
   loop_once (loop, 0);
   EXPECT_TRUE (heard.fates.empty ());
-  target ("t1", there.address (), 2, now + TARGET_WATCH_LIVES + 1);
-  pass (TARGET_WATCH_LIVES + TARGET_WATCH_PERIOD);
+  target ("t1", there.address (), 2, now + TARGET_WATCH_RENEWAL_DELAY_MAX + 1);
+  pass (TARGET_WATCH_RENEWAL_DELAY_MAX + TARGET_WATCH_PERIOD);
   EXPECT_EQ (last (), TARGET_FATE_LIVES);
   EXPECT_EQ (heard.fates.size (), 1u);
   EXPECT_EQ (there.taken.size (), 1u);
@@ -162,12 +163,12 @@
 {
   auto there = std::make_unique<listening> (loop);
 
-  target_watch_broke (watch, target ("t1", there->address (), 1, now), now);
+  target_watch_connection_broke (watch, target ("t1", there->address (), 1, now), now);
   ASSERT_TRUE (run_until (loop, [&] { return !there->taken.empty (); }));
   loop_once (loop, 0);
   there.reset ();
   now += TARGET_WATCH_PERIOD;
-  target_watch_broke (watch, &at, now);
+  target_watch_connection_broke (watch, &at, now);
   ASSERT_TRUE (run_until (loop, [&] { return !heard.fates.empty (); }));
   EXPECT_EQ (last (), TARGET_FATE_ENDED);
 }
@@ -175,14 +176,14 @@
 // The target renewed between two breaks: that shows that it lived at the first one only.
 TEST_F (TargetWatch, ReportsAnEndAfterABreakThatTheTargetOutlived)
 {
-  const int64_t BETWEEN = TARGET_WATCH_LIVES + USEC_PER_MSEC;
+  const int64_t BETWEEN = TARGET_WATCH_RENEWAL_DELAY_MAX + USEC_PER_MSEC;
   listening there (loop);
 
-  target_watch_broke (watch, target ("t1", there.address (), 1, now), now);
+  target_watch_connection_broke (watch, target ("t1", there.address (), 1, now), now);
   ASSERT_TRUE (run_until (loop, [&] { return !there.taken.empty (); }));
   target ("t1", there.address (), 2, now + BETWEEN);
   now += BETWEEN - USEC_PER_MSEC;
-  target_watch_broke (watch, &at, now);
+  target_watch_connection_broke (watch, &at, now);
   pass (TARGET_WATCH_PERIOD);
   EXPECT_EQ (last (), TARGET_FATE_LIVES);
   registry_expire (registry, 3 * USEC_PER_SEC, now + 4 * USEC_PER_SEC);
@@ -196,7 +197,7 @@
 {
   listening there (loop);
 
-  target_watch_broke (watch, target ("t1", there.address (), 1, now), now);
+  target_watch_connection_broke (watch, target ("t1", there.address (), 1, now), now);
   ASSERT_TRUE (run_until (loop, [&] { return !there.taken.empty (); }));
   target ("t2", there.address (), 1, now + 1);
   pass (TARGET_WATCH_PERIOD);
@@ -208,7 +209,7 @@
 {
   listening there (loop);
 
-  target_watch_broke (watch, target ("t1", there.address (), 1, now), now);
+  target_watch_connection_broke (watch, target ("t1", there.address (), 1, now), now);
   registry_expire (registry, 3 * USEC_PER_SEC, now + 4 * USEC_PER_SEC);
   pass (4 * USEC_PER_SEC);
   EXPECT_EQ (last (), TARGET_FATE_ENDED);
@@ -225,18 +226,19 @@
     address = was.address ();
   }
   loop_once (loop, 0);
-  target_watch_broke (watch, target ("t1", address, 1, now), now);
+  target_watch_connection_broke (watch, target ("t1", address, 1, now), now);
   ASSERT_TRUE (run_until (loop, [&] { return last () == TARGET_FATE_ENDED; }));
-  target ("t1", address, 2, now + TARGET_WATCH_LIVES + 1);
-  pass (TARGET_WATCH_LIVES + TARGET_WATCH_PERIOD);
+  target ("t1", address, 2, now + TARGET_WATCH_RENEWAL_DELAY_MAX + 1);
+  pass (TARGET_WATCH_RENEWAL_DELAY_MAX + TARGET_WATCH_PERIOD);
   EXPECT_EQ (last (), TARGET_FATE_LIVES);
 }
 
 // A leaving target ends its connections, whatever requests run on them.
 TEST_F (TargetWatch, DoesNotWatchALeavingTarget)
 {
-  target_watch_broke (watch, target ("t1", "127.0.0.1:9", 1, now, REGISTRY_LEAVING), now);
-  pass (TARGET_WATCH_FOR);
+  target_watch_connection_broke (watch, target ("t1", "127.0.0.1:9", 1, now, REGISTRY_LEAVING),
+                                 now);
+  pass (TARGET_WATCH_DURATION);
   EXPECT_TRUE (heard.fates.empty ());
 }
 
@@ -245,8 +247,8 @@
 {
   listening there (loop);
 
-  target_watch_broke (watch, target ("t1", there.address (), 1, now), now);
-  pass (TARGET_WATCH_FOR);
+  target_watch_connection_broke (watch, target ("t1", there.address (), 1, now), now);
+  pass (TARGET_WATCH_DURATION);
   ASSERT_EQ (heard.fates.size (), 1u);
   EXPECT_EQ (last (), TARGET_FATE_UNKNOWN);
 }
