--- a/src/forward.c
+++ b/src/forward.c
@@ -12,22 +12,22 @@
 
 /* Share of the time from objective to deadline for which the stage work of a late request goes on.
  * A late answer is worth only a fraction of one in time, and the client has to wait for it. */
-#define LATE_SHARE 0.25
+#define LATE_WORK_SHARE 0.25
 
 /* Requests between two updates of what changes slowly: the number of entry hosts, and the list of
  * targets without those that are gone. */
-#define SWEEP_EVERY 32
+#define SWEEP_REQUESTS 32
 
 /* Retry-After, in seconds.  NOT_READY: the time that a start of the whole system takes, as a client
  * that retries too soon may not try a third time.  LEAVING: retry at once, at another host. */
-#define NOT_READY_RETRY_AFTER 2.0
-#define LEAVING_RETRY_AFTER 0.0
+#define NOT_READY_RETRY_AFTER_SEC 2.0
+#define SHUTTING_DOWN_RETRY_AFTER_SEC 0.0
 
-/* Jitter added to NOT_READY_RETRY_AFTER, in seconds.  Clients that all retried at one moment would
- * fill the stages' queues and delay requests that could still be in time.  Mean worth over 40 days:
- * 0.463 without jitter, 0.474 with 1 s, 0.468 with 2 s, 0.445 with a Retry-After that ends as soon
- * as a start should be over. */
-#define NOT_READY_SPREAD 1.0
+/* Jitter added to NOT_READY_RETRY_AFTER_SEC, in seconds.  Clients that all retried at one moment
+ * would fill the stages' queues and delay requests that could still be in time.  Mean worth over 40
+ * days: 0.463 without jitter, 0.474 with 1 s, 0.468 with 2 s, 0.445 with a Retry-After that ends as
+ * soon as a start should be over. */
+#define NOT_READY_JITTER_SEC 1.0
 
 void
 job_free (struct forward_job *job)
@@ -35,9 +35,9 @@
   struct forward *forward = job->forward;
 
   timer_disarm (loop_timers (forward->config.loop), &job->timer);
-  timer_disarm (loop_timers (forward->config.loop), &job->fetch);
-  job_drop_call (job);
-  job_drop_stages (job, loop_now (forward->config.loop));
+  timer_disarm (loop_timers (forward->config.loop), &job->fetch_timer);
+  job_cancel_call (job);
+  job_cancel_stages (job, loop_now (forward->config.loop));
   DL_DELETE (forward->jobs, job);
   forward->n_jobs--;
   talloc_free (job);
@@ -46,14 +46,14 @@
 static double
 not_ready_retry_after (struct forward *forward)
 {
-  return NOT_READY_RETRY_AFTER + NOT_READY_SPREAD * rng_unit (&forward->rng);
+  return NOT_READY_RETRY_AFTER_SEC + NOT_READY_JITTER_SEC * rng_unit (&forward->rng);
 }
 
 /* ---- arrival ---- */
 
 /* Reads the parts of the prompt.  All but the last may be shared with other requests. */
 static void
-take_prompt (struct forward_job *job)
+read_prompt (struct forward_job *job)
 {
   struct engine_prompt *prompt = &job->prompt.prompt;
   uint64_t key = 0;
@@ -88,7 +88,7 @@
    * must not go on accepting it. */
   if (subscriber_age (forward->config.subscriber) > forward->config.confirmed_for)
     {
-      job_refuse (job, FORWARD_STALE, NOT_READY_RETRY_AFTER);
+      job_refuse (job, FORWARD_STALE, NOT_READY_RETRY_AFTER_SEC);
       return false;
     }
   organisation = job->facts.has_key ? routing_organisation (routing, job->facts.key) : NULL;
@@ -104,7 +104,7 @@
 }
 
 static void
-take_times (struct forward_job *job)
+compute_deadlines (struct forward_job *job)
 {
   int64_t patience = job->route.timeout;
 
@@ -116,8 +116,8 @@
   job->objective_at = job->arrived - job->age + job->route.objective;
   job->give_up_at = job->deadline;
   if (job->objective_at < job->deadline)
-    job->give_up_at =
-        job->objective_at + (int64_t) (LATE_SHARE * (double) (job->deadline - job->objective_at));
+    job->give_up_at = job->objective_at
+                      + (int64_t) (LATE_WORK_SHARE * (double) (job->deadline - job->objective_at));
 }
 
 static void
@@ -131,7 +131,7 @@
 
   if (forward->refusing)
     {
-      job_refuse (job, FORWARD_LEAVING, LEAVING_RETRY_AFTER);
+      job_refuse (job, FORWARD_SHUTTING_DOWN, SHUTTING_DOWN_RETRY_AFTER_SEC);
       return;
     }
   if (routing == NULL)
@@ -147,16 +147,16 @@
       return;
     }
   job->route = *route;
-  if (!check_key (job, routing) || !job_is_let_in (job, now))
+  if (!check_key (job, routing) || !job_is_admitted (job, now))
     return;
   text_copy_cut (job->pool, sizeof job->pool,
                  routing->pools[route_draw_pool (route, rng_unit (&forward->rng))].name);
-  take_times (job);
-  take_prompt (job);
-  forward_earn_retry (forward, job->pool);
+  compute_deadlines (job);
+  read_prompt (job);
+  forward_credit_retry (forward, job->pool);
   if (job_plan_stages (job, routing) != STATUS_OK)
     {
-      job_refuse (job, FORWARD_STAGE, NOT_READY_RETRY_AFTER);
+      job_refuse (job, FORWARD_STAGE, NOT_READY_RETRY_AFTER_SEC);
       return;
     }
   timer_arm (loop_timers (forward->config.loop), &job->timer, job->deadline);
@@ -171,28 +171,28 @@
 {
   struct forward_job *job = CONTAINER_OF (timer, struct forward_job, timer);
 
-  if (now < job->deadline && job->first_at != 0)
+  if (now < job->deadline && job->first_byte_at != 0)
     {
       timer_arm (loop_timers (job->forward->config.loop), timer, job->deadline);
       return;
     }
   if (now < job->deadline)
     {
-      job_lose_patience (job, now);
+      job_time_out_attempt (job, now);
       return;
     }
   /* A request that was never written to a target's connection cannot have run. */
   if (job->target != NULL && !job->call.handed)
     job->runs--;
-  job_drop_call (job);
-  job_give_up (job, FORWARD_TIMEOUT, NOT_READY_RETRY_AFTER);
+  job_cancel_call (job);
+  job_give_up (job, FORWARD_TIMEOUT, NOT_READY_RETRY_AFTER_SEC);
 }
 
 static const struct timer_ops timer_ops = { .fire = timer_fired };
 
 /* Updates what changes slowly. */
 static void
-look_around (struct forward *forward)
+update_slow_state (struct forward *forward)
 {
   struct balance *balance = forward->config.balance;
 
@@ -221,8 +221,8 @@
   exchange->user = job;
   DL_APPEND (forward->jobs, job);
   forward->n_jobs++;
-  if (forward->arrivals++ % SWEEP_EVERY == 0)
-    look_around (forward);
+  if (forward->arrivals++ % SWEEP_REQUESTS == 0)
+    update_slow_state (forward);
   status = forward->config.dialect->ops->read_request (forward->config.dialect, exchange->head,
                                                        &job->facts);
   if (status == STATUS_OK)
@@ -233,7 +233,7 @@
 
 /* The client disconnected: closing the connections to targets stops their work for it. */
 static void
-on_gone (struct h1_handler *handler, struct h1_exchange *exchange, int64_t now)
+on_disconnect (struct h1_handler *handler, struct h1_exchange *exchange, int64_t now)
 {
   struct forward_job *job = exchange->user;
 
@@ -242,11 +242,11 @@
   if (job == NULL)
     return;
   job->exchange = NULL;
-  job_log (job, FORWARD_GONE, job_told_so_far (job));
+  job_log (job, FORWARD_CLIENT_GONE, job_answer_so_far (job));
   job_free (job);
 }
 
-static const struct h1_handler_ops handler_ops = { .request = on_request, .gone = on_gone };
+static const struct h1_handler_ops handler_ops = { .request = on_request, .gone = on_disconnect };
 
 /* ---- setup ---- */
 
@@ -269,7 +269,7 @@
 }
 
 static void
-take_counters (struct forward *forward)
+register_counters (struct forward *forward)
 {
   struct counters *counters = forward->config.counters;
 
@@ -315,7 +315,7 @@
       talloc_free (forward);
       return NULL;
     }
-  take_counters (forward);
+  register_counters (forward);
   talloc_set_destructor (forward, free_forward);
   return forward;
 }
--- a/src/forward_attempt.c
+++ b/src/forward_attempt.c
@@ -6,23 +6,24 @@
 #include <string.h>
 
 /* Least time left before the deadline for a retry. */
-#define SEND_AGAIN_TIME (30 * USEC_PER_MSEC)
+#define RETRY_MIN_TIME_LEFT (30 * USEC_PER_MSEC)
 
 /* An idempotent request without a first byte is sent to another target after this multiple of the
  * target's recent mean latency, but not before this share of its objective. */
-#define PATIENCE_FACTOR 4.0
-#define PATIENCE_OBJECTIVE_SHARE 0.5
+#define FIRST_BYTE_TIMEOUT_FACTOR 4.0
+#define FIRST_BYTE_TIMEOUT_OBJECTIVE_SHARE 0.5
 
 /* Retry-After, in seconds.  REFUSED: short, as one target's refusal says little about the others.
  * NO_TARGET: targets may have registered by then. */
-#define REFUSED_RETRY_AFTER 0.2
-#define NO_TARGET_RETRY_AFTER 0.3
+#define REFUSED_RETRY_AFTER_SEC 0.2
+#define NO_TARGET_RETRY_AFTER_SEC 0.3
 
 static bool
-may_repeat (const struct forward_job *job)
+is_repeatable (const struct forward_job *job)
 {
   return job->route.kind == ROUTE_IDEMPOTENT
-         || (job->route.kind == ROUTE_STREAM && job->route.resumable && !job->stream.place_lost);
+         || (job->route.kind == ROUTE_STREAM && job->route.resumable
+             && !job->stream.is_unresumable);
 }
 
 /* ---- writing the request ---- */
@@ -62,7 +63,7 @@
 /* ---- evaluating an answer ---- */
 
 static void
-tell_ended (struct forward_job *job, int64_t now)
+report_call_end (struct forward_job *job, int64_t now)
 {
   if (job->prompt.present)
     engine_broadcast_ended (job->forward->config.news, job->target->id_hash, job->send_id, now);
@@ -71,12 +72,12 @@
 static void
 release_target (struct forward_job *job, bool failed, int64_t now)
 {
-  int64_t first = job->first_at == 0 ? -1 : job->first_at - job->sent_at;
+  int64_t first = job->first_byte_at == 0 ? -1 : job->first_byte_at - job->sent_at;
 
   if (job->target == NULL)
     return;
-  tell_ended (job, now);
-  job_run_over (job);
+  report_call_end (job, now);
+  job_run_ended (job);
   balance_ended (job->target, failed, failed ? -1 : first, now);
   job->target = NULL;
 }
@@ -84,13 +85,13 @@
 /* Cancels the call because the client disconnected or the deadline passed.  This does not count as
  * a failure of the target. */
 void
-job_drop_call (struct forward_job *job)
+job_cancel_call (struct forward_job *job)
 {
   h1_call_cancel (&job->call);
   if (job->target == NULL)
     return;
-  tell_ended (job, loop_now (job->forward->config.loop));
-  job_run_over (job);
+  report_call_end (job, loop_now (job->forward->config.loop));
+  job_run_ended (job);
   job->target->in_flight--;
   job->target = NULL;
 }
@@ -115,11 +116,11 @@
 
 /* May the request go to another target after this attempt? */
 static bool
-may_send_again (struct forward_job *job, bool ran, int64_t now)
+may_retry (struct forward_job *job, bool ran, int64_t now)
 {
-  if (now + SEND_AGAIN_TIME >= job->deadline || job->sends >= FORWARD_SENDS_MAX)
+  if (now + RETRY_MIN_TIME_LEFT >= job->deadline || job->sends >= FORWARD_SENDS_MAX)
     return false;
-  if (ran && (!may_repeat (job) || job->runs >= job->route.attempts || job->is_suspected))
+  if (ran && (!is_repeatable (job) || job->runs >= job->route.attempts || job->is_suspected))
     return false;
   if (!job->call.handed)
     return true;
@@ -135,43 +136,43 @@
   job->is_signed = false;
   job->has_events = false;
   job->not_run = false;
-  job->first_at = 0;
+  job->first_byte_at = 0;
 }
 
 /* Sends the request to another target.  If stage results were freed already, the stages run again
  * first. */
 static void
-send_again (struct forward_job *job, int64_t now)
+resend (struct forward_job *job, int64_t now)
 {
   reset_answer (job);
   if (!job_lacks_results (job))
     job_send (job, now);
-  else if (!job_remake_stages (job, now))
-    job_give_up (job, FORWARD_BROKEN, REFUSED_RETRY_AFTER);
+  else if (!job_rerun_stages (job, now))
+    job_give_up (job, FORWARD_BROKEN, REFUSED_RETRY_AFTER_SEC);
 }
 
 /* The attempt gave no answer that can be passed on: retries it or gives the request up. */
 static void
 attempt_failed (struct forward_job *job, bool ran, enum forward_reason reason, int64_t now)
 {
-  if (may_send_again (job, ran, now))
-    send_again (job, now);
+  if (may_retry (job, ran, now))
+    resend (job, now);
   else
-    job_give_up (job, job->runs == 0 ? FORWARD_REFUSED : reason, REFUSED_RETRY_AFTER);
+    job_give_up (job, job->runs == 0 ? FORWARD_REFUSED : reason, REFUSED_RETRY_AFTER_SEC);
 }
 
 /* A complete answer that says the request did not run. */
 static void
-answer_refused (struct forward_job *job, int64_t now)
+handle_refusal (struct forward_job *job, int64_t now)
 {
   job->runs--;
   /* The target could not fetch an input: its stages run again. */
-  if (job->status == HTTP_STATUS_CONFLICT && job_has_stages (job) && !job->remade)
+  if (job->status == HTTP_STATUS_CONFLICT && job_has_stages (job) && !job->stages_rerun)
     {
       /* The target itself is sound and may be chosen again. */
       job->n_tried--;
       reset_answer (job);
-      job_remake_stages (job, now);
+      job_rerun_stages (job, now);
       return;
     }
   attempt_failed (job, false, FORWARD_REFUSED, now);
@@ -180,16 +181,16 @@
 /* A signed failure answer is passed on unchanged if the request cannot be retried.  A 503 is not
  * passed on: it would promise that the request has not run, which the target did not say. */
 static void
-answer_failure (struct forward_job *job, int64_t now)
+handle_failure (struct forward_job *job, int64_t now)
 {
   bool passes = job->is_signed && job->status != HTTP_STATUS_SERVICE_UNAVAILABLE
                 && job->status != HTTP_STATUS_TOO_MANY_REQUESTS
                 && job->status != HTTP_STATUS_REQUEST_TIMEOUT
                 && job->status != HTTP_STATUS_MISDIRECTED_REQUEST;
 
-  if (job->status >= 500 && may_send_again (job, true, now))
+  if (job->status >= 500 && may_retry (job, true, now))
     {
-      send_again (job, now);
+      resend (job, now);
       return;
     }
   if (passes)
@@ -216,11 +217,11 @@
 /* Only the proper end of a stream completes the stream that the client has the beginning of.  Any
  * other answer, even a complete one, does not contain the events that are still missing. */
 static void
-answer_within_stream (struct forward_job *job, int64_t now)
+handle_answer_within_stream (struct forward_job *job, int64_t now)
 {
   if (is_stream_answer (job) && !ends_inside_event (job))
     {
-      job_note_whole (job, now);
+      job_note_complete_answer (job, now);
       job_end_stream (job);
     }
   else
@@ -228,7 +229,7 @@
 }
 
 static void
-answer_whole (struct forward_job *job, int64_t now)
+handle_complete_answer (struct forward_job *job, int64_t now)
 {
   bool success = job->status >= 200 && job->status < 300;
   bool cut = ends_inside_event (job);
@@ -240,18 +241,18 @@
     job->target->ejected_until = now + BALANCE_EJECT;
   release_target (job, failed, now);
   if (job->not_run)
-    answer_refused (job, now);
+    handle_refusal (job, now);
   else if (job->stream.begun)
-    answer_within_stream (job, now);
+    handle_answer_within_stream (job, now);
   else if (success && job->is_signed)
     {
-      job_note_whole (job, now);
+      job_note_complete_answer (job, now);
       job_serve (job);
     }
   else if (success)
     attempt_failed (job, true, FORWARD_BROKEN, now);
   else
-    answer_failure (job, now);
+    handle_failure (job, now);
 }
 
 /* Cancels the call, counts it as a failure of the target and retries or gives up. */
@@ -268,9 +269,9 @@
 /* ---- calls of the client ---- */
 
 static bool
-is_ours (const struct forward_job *job,
-         const struct h1_head *head,
-         const struct answer_facts *facts)
+answers_this_request (const struct forward_job *job,
+                      const struct h1_head *head,
+                      const struct answer_facts *facts)
 {
   if (facts->id != NULL)
     return strcmp (facts->id, job->facts.id) == 0;
@@ -291,7 +292,7 @@
 }
 
 static void
-keep_fields (struct forward_job *job, const struct h1_head *head)
+copy_fields (struct forward_job *job, const struct h1_head *head)
 {
   for (uint32_t i = 0; i < head->n_fields; i++)
     if (!h1_is_hop_by_hop (head, head->fields[i].name))
@@ -310,14 +311,14 @@
 
   job->heard_at = now;
   dialect->ops->read_answer (dialect, head, &facts);
-  if (!is_ours (job, head, &facts))
+  if (!answers_this_request (job, head, &facts))
     return false;
   job->status = head->status;
   job->is_signed = facts.is_signed;
   job->has_events = h1_has_events (head);
   job->not_run = is_refusal (job, head, &facts);
   if (!job->stream.begun)
-    keep_fields (job, head);
+    copy_fields (job, head);
   return true;
 }
 
@@ -335,18 +336,18 @@
   struct forward_job *job = CONTAINER_OF (call, struct forward_job, call);
 
   job->heard_at = now;
-  if (job->first_at == 0)
+  if (job->first_byte_at == 0)
     {
-      job->first_at = now;
+      job->first_byte_at = now;
       histogram_record (job->forward->first_byte, (double) (now - job->arrived));
       if (job->status == HTTP_STATUS_OK)
-        job_drop_stages (job, now);
+        job_cancel_stages (job, now);
       if (job->prompt.present)
         engine_broadcast_began (job->forward->config.news, job->target->id_hash, job->send_id, now);
     }
   if (!is_stream_answer (job))
     {
-      bytes_append_within (&job->body, data, length, FORWARD_ANSWER_MAX);
+      bytes_append_within (&job->body, data, length, FORWARD_ANSWER_MAX_BYTES);
       return;
     }
   if (bytes_failed (&job->fields))
@@ -369,7 +370,7 @@
 
   if (end == H1_END_WHOLE && job->status != 0 && kept)
     {
-      answer_whole (job, now);
+      handle_complete_answer (job, now);
       return;
     }
   broke = call->handed && (end == H1_END_CUT || end == H1_END_RESET);
@@ -394,10 +395,10 @@
 /* ---- sending ---- */
 
 static int64_t
-patience (const struct forward_job *job)
+first_byte_timeout (const struct forward_job *job)
 {
-  int64_t least = (int64_t) (PATIENCE_OBJECTIVE_SHARE * (double) job->route.objective);
-  int64_t usual = (int64_t) (PATIENCE_FACTOR * job->target->latency);
+  int64_t least = (int64_t) (FIRST_BYTE_TIMEOUT_OBJECTIVE_SHARE * (double) job->route.objective);
+  int64_t usual = (int64_t) (FIRST_BYTE_TIMEOUT_FACTOR * job->target->latency);
 
   return usual > least ? usual : least;
 }
@@ -408,8 +409,8 @@
   int64_t due = job->deadline;
 
   if (job->route.kind == ROUTE_IDEMPOTENT && job->runs < job->route.attempts
-      && now + patience (job) < due)
-    due = now + patience (job);
+      && now + first_byte_timeout (job) < due)
+    due = now + first_byte_timeout (job);
   timer_arm (loop_timers (job->forward->config.loop), &job->timer, due);
 }
 
@@ -446,7 +447,7 @@
     return;
   if (job_has_stages (job))
     job_locate_results (job);
-  if (job_runs_apart (job, now))
+  if (job_needs_isolation (job, now))
     job->target = balance_choose_apart (config->balance, job->pool, &job->prompt, job->tried,
                                         job->n_tried, now);
   else
@@ -454,7 +455,7 @@
         balance_choose (config->balance, job->pool, &job->prompt, job->tried, job->n_tried, now);
   if (job->target == NULL)
     {
-      job_give_up (job, FORWARD_NO_TARGET, NO_TARGET_RETRY_AFTER);
+      job_give_up (job, FORWARD_NO_TARGET, NO_TARGET_RETRY_AFTER_SEC);
       return;
     }
   job->tried[job->n_tried % BALANCE_TRIED_MAX] = job->target;
@@ -484,7 +485,7 @@
     {
       arm_timer (job, now);
       if (job_has_stages (job))
-        job_inputs_taken (job, &job->fetched_at, now);
+        job_expect_fetch (job, &job->fetched_at, now);
       return;
     }
   log_attempt (job, status_message (), now);
@@ -495,7 +496,7 @@
 
 /* The first-byte time-out passed: the target may be dead. */
 void
-job_lose_patience (struct forward_job *job, int64_t now)
+job_time_out_attempt (struct forward_job *job, int64_t now)
 {
   abandon_attempt (job, "no first byte within the time-out", FORWARD_TIMEOUT, now);
 }
--- a/src/forward_budget.c
+++ b/src/forward_budget.c
@@ -9,19 +9,19 @@
 /* Share of the allowed retries that is used.  The rest is a margin for sliding windows and a
  * changing number of hosts. */
 #define BUDGET_SAFETY 0.6
-#define BUDGET_LEAST 2.0
+#define BUDGET_MIN_RETRIES 2.0
 
 static double
-most (const struct forward *forward)
+budget_limit (const struct forward *forward)
 {
   uint32_t hosts = forward->config.balance->n_entry_hosts;
   double part = BUDGET_SAFETY * forward->config.retry_spare / (hosts == 0 ? 1 : hosts);
 
-  return part > BUDGET_LEAST ? part : BUDGET_LEAST;
+  return part > BUDGET_MIN_RETRIES ? part : BUDGET_MIN_RETRIES;
 }
 
 static struct retry_budget *
-find (struct forward *forward, const char *pool)
+find_budget (struct forward *forward, const char *pool)
 {
   struct retry_budget *budget;
 
@@ -32,30 +32,30 @@
     return NULL;
   budget = &forward->budgets[forward->n_budgets++];
   text_copy_cut (budget->pool, sizeof budget->pool, pool);
-  budget->held = most (forward);
+  budget->retries_left = budget_limit (forward);
   return budget;
 }
 
 void
-forward_earn_retry (struct forward *forward, const char *pool)
+forward_credit_retry (struct forward *forward, const char *pool)
 {
-  struct retry_budget *budget = find (forward, pool);
+  struct retry_budget *budget = find_budget (forward, pool);
 
   if (budget == NULL)
     return;
-  budget->held += BUDGET_SAFETY * forward->config.retry_share;
-  if (budget->held > most (forward))
-    budget->held = most (forward);
+  budget->retries_left += BUDGET_SAFETY * forward->config.retry_share;
+  if (budget->retries_left > budget_limit (forward))
+    budget->retries_left = budget_limit (forward);
 }
 
 bool
 forward_take_retry (struct forward *forward, const char *pool)
 {
-  struct retry_budget *budget = find (forward, pool);
+  struct retry_budget *budget = find_budget (forward, pool);
 
-  if (budget == NULL || budget->held < 1)
+  if (budget == NULL || budget->retries_left < 1)
     return false;
-  budget->held -= 1;
+  budget->retries_left -= 1;
   counter_add (forward->retries, 1);
   return true;
 }
--- a/src/forward_end.c
+++ b/src/forward_end.c
@@ -17,14 +17,16 @@
   return reason_texts[reason];
 }
 
-struct forward_told
-job_told_so_far (const struct forward_job *job)
+struct forward_client_answer
+job_answer_so_far (const struct forward_job *job)
 {
-  return (struct forward_told){ .status = job->stream.status, .whole = false };
+  return (struct forward_client_answer){ .status = job->stream.status, .whole = false };
 }
 
 void
-job_log (const struct forward_job *job, enum forward_reason reason, struct forward_told told)
+job_log (const struct forward_job *job,
+         enum forward_reason reason,
+         struct forward_client_answer client_answer)
 {
   const struct forward *forward = job->forward;
   int64_t now = loop_now (forward->config.loop);
@@ -34,33 +36,37 @@
   log_event (LOG_MODULE_FLOW, LOG_LEVEL_INFO, "request-ended",
              "{s:s,s:s,s:s,s:s,s:i,s:b,s:I,s:I,s:I,s:i,s:i,s:I,s:I,s:I,s:i}", "id", job->facts.id,
              "route", job->route.name, "pool", job->pool, "outcome", reason_texts[reason], "status",
-             (int) told.status, "whole", told.whole, "age_ms",
+             (int) client_answer.status, "whole", client_answer.whole, "age_ms",
              (json_int_t) (job->age / USEC_PER_MSEC), "version", (json_int_t) job->version,
              "version_age_ms", (json_int_t) (age == USEC_NEVER ? -1 : age / USEC_PER_MSEC), "sends",
              (int) job->sends, "runs", (int) job->runs, "stages_us",
              (json_int_t) (job->stages_done == 0 ? -1 : job->stages_done - job->arrived),
-             "first_us", (json_int_t) (job->first_at == 0 ? -1 : job->first_at - job->arrived),
+             "first_us",
+             (json_int_t) (job->first_byte_at == 0 ? -1 : job->first_byte_at - job->arrived),
              "took_us", (json_int_t) (now - job->arrived), "events", (int) job->stream.events);
 }
 
 /* Sends an answer of this host, without a body.  The exchange is valid until the job is freed. */
 static void
-answer (struct forward_job *job, enum forward_reason reason, unsigned status, const char *fields)
+reply_without_body (struct forward_job *job,
+                    enum forward_reason reason,
+                    unsigned status,
+                    const char *fields)
 {
-  job_log (job, reason, (struct forward_told){ .status = status, .whole = true });
+  job_log (job, reason, (struct forward_client_answer){ .status = status, .whole = true });
   h1_reply (job->exchange, status, fields, NULL, 0);
   job->exchange = NULL;
 }
 
 /* The request has not run and will not run. */
 void
-job_refuse (struct forward_job *job, enum forward_reason reason, double retry_after)
+job_refuse (struct forward_job *job, enum forward_reason reason, double retry_after_seconds)
 {
   char field[48];
 
   INVARIANT (!job->stream.begun && job->runs == 0);
-  snprintf (field, sizeof field, "Retry-After: %.3f\r\n", retry_after);
-  answer (job, reason, HTTP_STATUS_SERVICE_UNAVAILABLE, field);
+  snprintf (field, sizeof field, "Retry-After: %.3f\r\n", retry_after_seconds);
+  reply_without_body (job, reason, HTTP_STATUS_SERVICE_UNAVAILABLE, field);
   job_free (job);
 }
 
@@ -73,20 +79,20 @@
 
   if (job->stream.begun)
     {
-      job_log (job, reason, job_told_so_far (job));
+      job_log (job, reason, job_answer_so_far (job));
       h1_reply_end (job->exchange, false);
       job->exchange = NULL;
     }
   else
-    answer (job, reason, status, NULL);
+    reply_without_body (job, reason, status, NULL);
   job_free (job);
 }
 
 void
-job_give_up (struct forward_job *job, enum forward_reason reason, double retry_after)
+job_give_up (struct forward_job *job, enum forward_reason reason, double retry_after_seconds)
 {
   if (job->runs == 0 && !job->stream.begun)
-    job_refuse (job, reason, retry_after);
+    job_refuse (job, reason, retry_after_seconds);
   else
     job_fail (job, reason);
 }
@@ -95,7 +101,7 @@
 void
 job_reject (struct forward_job *job, enum forward_reason reason, unsigned status)
 {
-  answer (job, reason, status, NULL);
+  reply_without_body (job, reason, status, NULL);
   job_free (job);
 }
 
@@ -103,7 +109,8 @@
 job_serve (struct forward_job *job)
 {
   INVARIANT (!job->stream.begun);
-  job_log (job, FORWARD_SERVED, (struct forward_told){ .status = job->status, .whole = true });
+  job_log (job, FORWARD_SERVED,
+           (struct forward_client_answer){ .status = job->status, .whole = true });
   h1_reply (job->exchange, job->status, job->fields.data, job->body.data, job->body.length);
   job->exchange = NULL;
   job_free (job);
@@ -114,7 +121,7 @@
 {
   INVARIANT (job->stream.begun);
   job_log (job, FORWARD_SERVED,
-           (struct forward_told){ .status = job->stream.status, .whole = true });
+           (struct forward_client_answer){ .status = job->stream.status, .whole = true });
   h1_reply_data (job->exchange, job->body.data, job->body.length);
   h1_reply_end (job->exchange, true);
   job->exchange = NULL;
--- a/src/forward_place.c
+++ b/src/forward_place.c
@@ -7,7 +7,7 @@
 /* Least transfer between failure domains, in bytes, for which a stage asks for a certain domain.
  * Waiting for a target in one domain takes about half a call, which costs more than the transfer of
  * a few hundred kilobytes. */
-#define CROSSING_LEAST 500000
+#define CROSSING_MIN_BYTES 500000
 
 /* Bytes held in, or needed by, each failure domain; they cross if the stage runs in another one. */
 struct places
@@ -49,16 +49,16 @@
 }
 
 void
-job_choose_place (const struct forward_job *job, uint32_t number, char out[ROUTING_NAME_SIZE])
+job_choose_domain (const struct forward_job *job, uint32_t number, char out[ROUTING_NAME_SIZE])
 {
   const struct route_stage *stage = &job->route.stages[number];
   struct places places = { .n = 0 };
-  uint64_t most = CROSSING_LEAST;
+  uint64_t most = CROSSING_MIN_BYTES;
 
   out[0] = '\0';
-  add_results (job, job_through_left_out (job, stage->after), job_pieces (job, number), &places);
-  if (job_is_read_by_engine (job, number) && job->near[0] != '\0')
-    add_place (&places, job->near, job_pieces (job, number) * stage->result_size);
+  add_results (job, job_replace_skipped (job, stage->after), job_pieces (job, number), &places);
+  if (job_is_read_by_engine (job, number) && job->engine_domain[0] != '\0')
+    add_place (&places, job->engine_domain, job_pieces (job, number) * stage->result_size);
   for (uint32_t i = 0; i < places.n; i++)
     if (places.at[i].bytes > most)
       {
@@ -72,7 +72,7 @@
 {
   struct places places = { .n = 0 };
 
-  add_results (job, job_through_left_out (job, route_last_stages (&job->route)), 1, &places);
+  add_results (job, job_replace_skipped (job, route_last_stages (&job->route)), 1, &places);
   memcpy (job->prompt.places, places.at, sizeof places.at);
   job->prompt.n_places = places.n;
 }
--- a/src/forward_private.h
+++ b/src/forward_private.h
@@ -10,10 +10,10 @@
 
 /* Largest answer that is buffered, in bytes.  Answers other than streams are buffered completely,
  * so that the request can be retried where that is allowed if the answer breaks off. */
-#define FORWARD_ANSWER_MAX (16u << 20)
+#define FORWARD_ANSWER_MAX_BYTES (16u << 20)
 
 /* Largest event of a stream, in bytes.  An event is buffered until it is complete. */
-#define FORWARD_EVENT_MAX (1u << 20)
+#define FORWARD_EVENT_MAX_BYTES (1u << 20)
 
 /* Most sends of one request, including those that a target refused. */
 #define FORWARD_SENDS_MAX 4
@@ -23,21 +23,21 @@
   X (SERVED, "served")                                                                             \
   X (NOT_READY, "no confirmed configuration yet")                                                  \
   X (STALE, "configuration not confirmed lately")                                                  \
-  X (LEAVING, "shutting down")                                                                     \
+  X (SHUTTING_DOWN, "shutting down")                                                               \
   X (NO_ROUTE, "no route")                                                                         \
   X (NO_KEY, "unknown or missing key")                                                             \
   X (BAD_REQUEST, "request cannot be read")                                                        \
   X (NO_TARGET, "no target")                                                                       \
   X (NO_TIME, "cannot end in time")                                                                \
-  X (BUSY, "too much waits to be in time")                                                         \
-  X (HELD, "targets ended under it")                                                               \
+  X (OVERLOADED, "too much waits to be in time")                                                   \
+  X (QUARANTINED, "targets ended under it")                                                        \
   X (SUSPECTED, "targets ended under it, and a run of it is out")                                  \
   X (STAGE, "a stage could not be made")                                                           \
   X (REFUSED, "targets refused it")                                                                \
   X (FAILED, "target failed")                                                                      \
   X (BROKEN, "answer broke off")                                                                   \
   X (TIMEOUT, "time is up")                                                                        \
-  X (GONE, "client left")
+  X (CLIENT_GONE, "client left")
 
 enum forward_reason
 {
@@ -68,9 +68,9 @@
   enum stage_state state;
   char pool[ROUTING_NAME_SIZE];
   uint32_t pieces;
-  int64_t begun;
+  int64_t started_at;
   int64_t fetched_at; /* its targets have its inputs by then; 0: not all pieces are in calls */
-  bool let_go;        /* its results may be evicted where memory is short */
+  bool is_evictable;  /* its results may be evicted where memory is short */
   int64_t expected;   /* duration on an idle target, in us */
   int64_t tail;       /* expected time from its end to the answer's first byte, in us */
   struct stage_result *results;
@@ -79,7 +79,7 @@
 struct retry_budget
 {
   char pool[ROUTING_NAME_SIZE];
-  double held; /* retries left; fractions accumulate */
+  double retries_left; /* retries left; fractions accumulate */
 };
 
 /* The event stream being sent to the client; it may continue over several attempts. */
@@ -89,11 +89,11 @@
   unsigned status;                  /* the status in that head */
   uint32_t events;                  /* number sent to the client */
   char last_event[DIALECT_ID_SIZE]; /* id of the newest event with an id; "" for none */
-  bool place_lost; /* the newest event has no id: no other target can resume after it */
+  bool is_unresumable; /* the newest event has no id: no other target can resume after it */
 };
 
 /* What the client had received at the end of its request. */
-struct forward_told
+struct forward_client_answer
 {
   unsigned status; /* 0: no answer */
   bool whole;      /* the answer is complete */
@@ -110,7 +110,7 @@
   char organisation[ROUTING_NAME_SIZE];
   bool has_digest;
   struct request_digest digest; /* set by job_digest() */
-  bool is_try;                  /* admitted as a trial although targets ended while running it */
+  bool is_trial;                /* admitted as a trial although targets ended while running it */
   bool is_suspected;            /* its last run broke, and it was a suspect even before that */
   bool is_counted;              /* its current run is counted among the runs of a suspect */
   uint64_t version;             /* of the routing that it was admitted under */
@@ -120,15 +120,17 @@
   int64_t give_up_at;   /* stage work not done by then is abandoned */
   int64_t objective_at; /* later answers are late; counted from the client's first try */
   struct timer timer;
-  struct timer fetch; /* fires when inputs should have been fetched */
+  struct timer fetch_timer; /* fires when inputs should have been fetched */
   struct balance_prompt prompt;
-  char near[ROUTING_NAME_SIZE]; /* failure domain of the likely engine; "" without stages */
-  uint64_t send_id;             /* identifies the newest send in engine_broadcast */
+  char
+      engine_domain[ROUTING_NAME_SIZE]; /* failure domain of the likely engine; "" without stages */
+  uint64_t send_id;                     /* identifies the newest send in engine_broadcast */
 
   /* Stages. */
   struct forward_stage stages[ROUTING_STAGES_MAX];
-  bool remade;  /* its stages were run a second time */
-  int64_t path; /* expected time from the start of its stages to the first byte, in us */
+  bool stages_rerun; /* its stages were run a second time */
+  int64_t
+      critical_path_time; /* expected time from the start of its stages to the first byte, in us */
   int64_t stages_done;
 
   /* The current attempt and the earlier ones. */
@@ -139,9 +141,9 @@
   uint32_t sends;
   uint32_t runs; /* sends that may have run */
   int64_t sent_at;
-  int64_t heard_at;   /* the newest data from the target; the send before any */
-  int64_t fetched_at; /* when the target has fetched the stages' results; 0 before a send */
-  int64_t first_at;   /* when the first byte of the answer arrived; 0: not yet */
+  int64_t heard_at;      /* the newest data from the target; the send before any */
+  int64_t fetched_at;    /* when the target has fetched the stages' results; 0 before a send */
+  int64_t first_byte_at; /* when the first byte of the answer arrived; 0: not yet */
 
   /* The answer of the current attempt. */
   unsigned status;
@@ -178,11 +180,11 @@
 void job_free (struct forward_job *job);
 
 /* forward_end.c: each of these ends the request and frees the job. */
-void job_refuse (struct forward_job *job, enum forward_reason reason, double retry_after);
+void job_refuse (struct forward_job *job, enum forward_reason reason, double retry_after_seconds);
 void job_fail (struct forward_job *job, enum forward_reason reason);
 
 /* Refuses the request if it has not run, else fails it. */
-void job_give_up (struct forward_job *job, enum forward_reason reason, double retry_after);
+void job_give_up (struct forward_job *job, enum forward_reason reason, double retry_after_seconds);
 void job_reject (struct forward_job *job, enum forward_reason reason, unsigned status);
 
 /* Sends the target's complete answer, none of which was sent to the client yet. */
@@ -190,15 +192,17 @@
 
 /* Ends the client's stream as complete. */
 void job_end_stream (struct forward_job *job);
-void job_log (const struct forward_job *job, enum forward_reason reason, struct forward_told told);
+void job_log (const struct forward_job *job,
+              enum forward_reason reason,
+              struct forward_client_answer client_answer);
 
 /* For a request that ends before its answer is complete. */
-struct forward_told job_told_so_far (const struct forward_job *job);
+struct forward_client_answer job_answer_so_far (const struct forward_job *job);
 
 /* forward_attempt.c */
 void job_send (struct forward_job *job, int64_t now);
-void job_drop_call (struct forward_job *job);
-void job_lose_patience (struct forward_job *job, int64_t now);
+void job_cancel_call (struct forward_job *job);
+void job_time_out_attempt (struct forward_job *job, int64_t now);
 
 /* forward_stage.c */
 bool job_has_stages (const struct forward_job *job);
@@ -207,41 +211,41 @@
 void job_write_inputs (const struct forward_job *job, uint32_t stages, struct bytes *out);
 
 /* Runs the stages again because their results are lost; false if that was done before. */
-bool job_remake_stages (struct forward_job *job, int64_t now);
+bool job_rerun_stages (struct forward_job *job, int64_t now);
 
 /* Number of pieces that this request has in the stage; 0: the stage is skipped. */
 uint32_t job_pieces (const struct forward_job *job, uint32_t stage);
 
 /* The set of stages, with each skipped stage replaced by the stages that it depends on. */
-uint32_t job_through_left_out (const struct forward_job *job, uint32_t stages);
+uint32_t job_replace_skipped (const struct forward_job *job, uint32_t stages);
 
 /* Whether the engine, rather than a later stage, fetches this stage's results. */
 bool job_is_read_by_engine (const struct forward_job *job, uint32_t stage);
 
 /* forward_result.c */
-bool job_is_made (const struct forward_job *job, uint32_t stage);
+bool job_stage_is_done (const struct forward_job *job, uint32_t stage);
 
 /* Whether all stages of a set are made. */
-bool job_all_made (const struct forward_job *job, uint32_t stages);
+bool job_stages_are_done (const struct forward_job *job, uint32_t stages);
 
 /* Frees the results that no stage or engine still has to fetch. */
-void job_give_back_used (struct forward_job *job, int64_t now);
+void job_free_used_results (struct forward_job *job, int64_t now);
 
 /* Cancels the stages that run and frees all results. */
-void job_drop_stages (struct forward_job *job, int64_t now);
+void job_cancel_stages (struct forward_job *job, int64_t now);
 
 /* Whether results were freed that another attempt would need. */
 bool job_lacks_results (const struct forward_job *job);
 
 /* Called when the calls that read some results were sent: sets `fetched_at` to the time at which
  * the results should have been fetched. */
-void job_inputs_taken (struct forward_job *job, int64_t *fetched_at, int64_t now);
+void job_expect_fetch (struct forward_job *job, int64_t *fetched_at, int64_t now);
 
 /* forward_place.c */
 
 /* The failure domain that avoids the most transfer between domains; "" where little would be
  * transferred, as waiting for a target in one domain would cost more. */
-void job_choose_place (const struct forward_job *job, uint32_t stage, char out[ROUTING_NAME_SIZE]);
+void job_choose_domain (const struct forward_job *job, uint32_t stage, char out[ROUTING_NAME_SIZE]);
 
 /* Records in `job->prompt` which failure domains hold the results that the engine has to fetch. */
 void job_locate_results (struct forward_job *job);
@@ -265,28 +269,28 @@
 
 /* Whether the request may go on to stages and targets.  If false, it was refused and the job
  * freed. */
-bool job_is_let_in (struct forward_job *job, int64_t now);
+bool job_is_admitted (struct forward_job *job, int64_t now);
 
 /* Whether the request may be sent to a target now.  If false, it was given up and the job freed. */
 bool job_may_run (struct forward_job *job, int64_t now);
 
 /* Whether to choose the target where the least else runs, as the request may crash it. */
-bool job_runs_apart (struct forward_job *job, int64_t now);
+bool job_needs_isolation (struct forward_job *job, int64_t now);
 void job_run_began (struct forward_job *job);
-void job_run_over (struct forward_job *job);
+void job_run_ended (struct forward_job *job);
 
 /* The connection broke, or was abandoned, while the target may have been running the request. */
 void job_note_break (struct forward_job *job, enum h1_end end, int64_t now);
 
 /* Targets ended one after the other while running its stage work: quarantines the request at all
  * hosts, gives it up and frees the job. */
-void job_hold (struct forward_job *job, int64_t now);
+void job_quarantine (struct forward_job *job, int64_t now);
 
 /* A target gave it a complete answer. */
-void job_note_whole (struct forward_job *job, int64_t now);
+void job_note_complete_answer (struct forward_job *job, int64_t now);
 
 /* forward_budget.c */
-void forward_earn_retry (struct forward *forward, const char *pool);
+void forward_credit_retry (struct forward *forward, const char *pool);
 bool forward_take_retry (struct forward *forward, const char *pool);
 
 #endif
--- a/src/forward_quarantine.c
+++ b/src/forward_quarantine.c
@@ -4,12 +4,12 @@
 
 /* A connection that was silent for at least this long before its reset was timed out by this host's
  * kernel: its target may have ended at any time since it was last heard. */
-#define SILENCE (2500 * USEC_PER_MSEC)
+#define TIMEOUT_RESET_SILENCE (2500 * USEC_PER_MSEC)
 
 /* Retry-After, in seconds.  HELD: the request may have been cleared by then.  SUSPECTED: the run
  * that is under way may have ended. */
-#define HELD_RETRY_AFTER 60.0
-#define SUSPECTED_RETRY_AFTER 1.0
+#define QUARANTINED_RETRY_AFTER_SEC 60.0
+#define SUSPECTED_RETRY_AFTER_SEC 1.0
 
 const struct request_digest *
 job_digest (struct forward_job *job)
@@ -35,17 +35,17 @@
 }
 
 bool
-job_is_let_in (struct forward_job *job, int64_t now)
+job_is_admitted (struct forward_job *job, int64_t now)
 {
   enum quarantine_verdict verdict = QUARANTINE_PASS;
 
   if (!quarantine_entry_is_empty (quarantine_of (job)))
     verdict = quarantine_entry_judge (quarantine_of (job), job_digest (job), now);
-  job->is_try = verdict == QUARANTINE_TRY;
+  job->is_trial = verdict == QUARANTINE_TRY;
   if (verdict == QUARANTINE_REFUSE)
-    job_refuse (job, FORWARD_HELD, HELD_RETRY_AFTER);
+    job_refuse (job, FORWARD_QUARANTINED, QUARANTINED_RETRY_AFTER_SEC);
   else if (verdict == QUARANTINE_WAIT)
-    job_refuse (job, FORWARD_SUSPECTED, SUSPECTED_RETRY_AFTER);
+    job_refuse (job, FORWARD_SUSPECTED, SUSPECTED_RETRY_AFTER_SEC);
   return verdict != QUARANTINE_REFUSE && verdict != QUARANTINE_WAIT;
 }
 
@@ -55,17 +55,17 @@
 {
   enum quarantine_verdict verdict = judge_again (job, now);
 
-  if (job->is_try || (verdict != QUARANTINE_REFUSE && verdict != QUARANTINE_WAIT))
+  if (job->is_trial || (verdict != QUARANTINE_REFUSE && verdict != QUARANTINE_WAIT))
     return true;
   if (verdict == QUARANTINE_REFUSE)
-    job_give_up (job, FORWARD_HELD, HELD_RETRY_AFTER);
+    job_give_up (job, FORWARD_QUARANTINED, QUARANTINED_RETRY_AFTER_SEC);
   else
-    job_give_up (job, FORWARD_SUSPECTED, SUSPECTED_RETRY_AFTER);
+    job_give_up (job, FORWARD_SUSPECTED, SUSPECTED_RETRY_AFTER_SEC);
   return false;
 }
 
 bool
-job_runs_apart (struct forward_job *job, int64_t now)
+job_needs_isolation (struct forward_job *job, int64_t now)
 {
   return judge_again (job, now) != QUARANTINE_PASS;
 }
@@ -78,7 +78,7 @@
 }
 
 void
-job_run_over (struct forward_job *job)
+job_run_ended (struct forward_job *job)
 {
   if (job->is_counted)
     quarantine_entry_over (quarantine_of (job), &job->digest);
@@ -98,7 +98,7 @@
 void
 job_note_break (struct forward_job *job, enum h1_end end, int64_t now)
 {
-  bool silent = end == H1_END_RESET && now - job->heard_at >= SILENCE;
+  bool silent = end == H1_END_RESET && now - job->heard_at >= TIMEOUT_RESET_SILENCE;
   int64_t instant = now - QUARANTINE_INSTANT;
   struct quarantine_suspect suspect = suspect_of (job, now);
 
@@ -118,7 +118,7 @@
  * recorded here are synthetic: random ids that no incarnation has, at times too far apart for one
  * cause. */
 void
-job_hold (struct forward_job *job, int64_t now)
+job_quarantine (struct forward_job *job, int64_t now)
 {
   struct quarantine_suspect suspect = suspect_of (job, now);
 
@@ -133,11 +133,11 @@
       };
     }
   quarantine_control_learn (quarantine_entry_control (quarantine_of (job)), &suspect, now);
-  job_give_up (job, FORWARD_HELD, HELD_RETRY_AFTER);
+  job_give_up (job, FORWARD_QUARANTINED, QUARANTINED_RETRY_AFTER_SEC);
 }
 
 void
-job_note_whole (struct forward_job *job, int64_t now)
+job_note_complete_answer (struct forward_job *job, int64_t now)
 {
   if (!quarantine_entry_is_empty (quarantine_of (job)))
     quarantine_entry_whole (quarantine_of (job), job_digest (job), now);
--- a/src/forward_result.c
+++ b/src/forward_result.c
@@ -14,19 +14,19 @@
 /* Time from sending a call until its target has fetched the call's inputs.  Megabytes at 10 Gbit/s
  * take a few milliseconds; network latency and scheduling delay take as much again.  If a target is
  * slower, the results are made again: 0 to 7 of about 2,600 requests on days with bursts. */
-#define FETCH_TIME (25 * USEC_PER_MSEC)
+#define INPUT_FETCH_TIME (25 * USEC_PER_MSEC)
 
 bool
-job_is_made (const struct forward_job *job, uint32_t stage)
+job_stage_is_done (const struct forward_job *job, uint32_t stage)
 {
   return job_pieces (job, stage) == 0 || job->stages[stage].state >= STAGE_DONE;
 }
 
 bool
-job_all_made (const struct forward_job *job, uint32_t stages)
+job_stages_are_done (const struct forward_job *job, uint32_t stages)
 {
   for (uint32_t i = 0; i < job->route.n_stages; i++)
-    if ((stages & (UINT32_C (1) << i)) != 0 && !job_is_made (job, i))
+    if ((stages & (UINT32_C (1) << i)) != 0 && !job_stage_is_done (job, i))
       return false;
   return true;
 }
@@ -37,7 +37,7 @@
 {
   const struct forward_stage *stage = &job->stages[number];
 
-  return job_is_made (job, number)
+  return job_stage_is_done (job, number)
          || (stage->state == STAGE_RUNNING && stage->fetched_at != 0 && now >= stage->fetched_at);
 }
 
@@ -51,7 +51,7 @@
 }
 
 static void
-give_back (struct forward_job *job, uint32_t stage, int64_t now)
+free_results (struct forward_job *job, uint32_t stage, int64_t now)
 {
   struct forward_stage *at = &job->stages[stage];
 
@@ -63,33 +63,33 @@
 }
 
 static uint32_t
-users_of (const struct forward_job *job, uint32_t stage)
+readers_of (const struct forward_job *job, uint32_t stage)
 {
-  uint32_t users = 0;
+  uint32_t readers = 0;
 
   for (uint32_t i = stage + 1; i < job->route.n_stages; i++)
-    if ((job_through_left_out (job, job->route.stages[i].after) & (UINT32_C (1) << stage)) != 0)
-      users |= UINT32_C (1) << i;
-  return users;
+    if ((job_replace_skipped (job, job->route.stages[i].after) & (UINT32_C (1) << stage)) != 0)
+      readers |= UINT32_C (1) << i;
+  return readers;
 }
 
 /* A result is not needed again once all stages that read it are done: if a later result is lost,
  * the whole chain runs again. */
 void
-job_give_back_used (struct forward_job *job, int64_t now)
+job_free_used_results (struct forward_job *job, int64_t now)
 {
   for (uint32_t i = 0; i < job->route.n_stages; i++)
     {
-      uint32_t users = users_of (job, i);
+      uint32_t readers = readers_of (job, i);
 
-      if (users != 0 && !job_is_read_by_engine (job, i) && job_all_made (job, users))
-        give_back (job, i, now);
+      if (readers != 0 && !job_is_read_by_engine (job, i) && job_stages_are_done (job, readers))
+        free_results (job, i, now);
     }
 }
 
 /* Marks the results as evictable that all their readers have fetched. */
 static void
-let_go_fetched (struct forward_job *job, int64_t now)
+mark_fetched_evictable (struct forward_job *job, int64_t now)
 {
   bool engine = job->target != NULL && job->fetched_at != 0 && now >= job->fetched_at;
 
@@ -97,17 +97,18 @@
     {
       struct forward_stage *stage = &job->stages[i];
 
-      if (stage->state != STAGE_DONE || stage->let_go || !all_fetched (job, users_of (job, i), now)
+      if (stage->state != STAGE_DONE || stage->is_evictable
+          || !all_fetched (job, readers_of (job, i), now)
           || (job_is_read_by_engine (job, i) && !engine))
         continue;
-      stage->let_go = true;
+      stage->is_evictable = true;
       work_release_results (job->forward->config.work, BATCH_RELEASE_EVICTABLE, stage->order.pool,
                             stage->order.domain, stage->results, job_pieces (job, i), now);
     }
 }
 
 void
-job_drop_stages (struct forward_job *job, int64_t now)
+job_cancel_stages (struct forward_job *job, int64_t now)
 {
   for (uint32_t i = 0; i < job->route.n_stages; i++)
     {
@@ -115,7 +116,7 @@
       if (job->stages[i].state == STAGE_RUNNING)
         work_cancel (&job->stages[i].order, now);
       else
-        give_back (job, i, now);
+        free_results (job, i, now);
       job->stages[i].state = STAGE_IDLE;
     }
 }
@@ -133,36 +134,36 @@
 /* ---- timer for the fetching of inputs ---- */
 
 static void
-arm_fetch (struct forward_job *job, int64_t at)
+arm_fetch_timer (struct forward_job *job, int64_t at)
 {
   struct timer_service *timers = loop_timers (job->forward->config.loop);
 
-  if (!timer_is_armed (&job->fetch) || at < job->fetch.due)
-    timer_arm (timers, &job->fetch, at);
+  if (!timer_is_armed (&job->fetch_timer) || at < job->fetch_timer.due)
+    timer_arm (timers, &job->fetch_timer, at);
 }
 
 static void
 fetch_fired (struct timer *timer, int64_t now)
 {
-  struct forward_job *job = CONTAINER_OF (timer, struct forward_job, fetch);
+  struct forward_job *job = CONTAINER_OF (timer, struct forward_job, fetch_timer);
 
   /* The connection may still be opening: the fetch has not begun. */
   if (job->target != NULL && !job->call.handed)
-    job_inputs_taken (job, &job->fetched_at, now);
-  let_go_fetched (job, now);
+    job_expect_fetch (job, &job->fetched_at, now);
+  mark_fetched_evictable (job, now);
   for (uint32_t i = 0; i < job->route.n_stages; i++)
     if (job->stages[i].state == STAGE_RUNNING && job->stages[i].fetched_at > now)
-      arm_fetch (job, job->stages[i].fetched_at);
+      arm_fetch_timer (job, job->stages[i].fetched_at);
   if (job->target != NULL && job->fetched_at > now)
-    arm_fetch (job, job->fetched_at);
+    arm_fetch_timer (job, job->fetched_at);
 }
 
 static const struct timer_ops fetch_ops = { .fire = fetch_fired };
 
 void
-job_inputs_taken (struct forward_job *job, int64_t *fetched_at, int64_t now)
+job_expect_fetch (struct forward_job *job, int64_t *fetched_at, int64_t now)
 {
-  job->fetch.ops = &fetch_ops;
-  *fetched_at = now + FETCH_TIME;
-  arm_fetch (job, *fetched_at);
+  job->fetch_timer.ops = &fetch_ops;
+  *fetched_at = now + INPUT_FETCH_TIME;
+  arm_fetch_timer (job, *fetched_at);
 }
--- a/src/forward_stage.c
+++ b/src/forward_stage.c
@@ -8,25 +8,26 @@
 #include <string.h>
 #include <talloc.h>
 
-/* Time from the last result to the answer's first byte: READING_TIME is the prefill of the prompt
- * where no estimate exists, FETCHING_TIME the fetching of results and the network latency. */
-#define READING_TIME (160 * USEC_PER_MSEC)
-#define FETCHING_TIME (40 * USEC_PER_MSEC)
+/* Time from the last result to the answer's first byte: DEFAULT_PREFILL_TIME is the prefill of the
+ * prompt where no estimate exists, RESULT_FETCH_TIME the fetching of results and the network
+ * latency. */
+#define DEFAULT_PREFILL_TIME (160 * USEC_PER_MSEC)
+#define RESULT_FETCH_TIME (40 * USEC_PER_MSEC)
 
 /* Least queueing delay assumed for a stage, added to the duration of its work. */
-#define STAGE_WAIT (100 * USEC_PER_MSEC)
+#define STAGE_MIN_QUEUE_TIME (100 * USEC_PER_MSEC)
 
 /* Margin for the variation of call durations and queueing delays. */
 #define EARLY_MARGIN (100 * USEC_PER_MSEC)
 
 /* Retry-After, in seconds: the stage targets may have caught up after about two calls. */
-#define STAGE_RETRY_AFTER 0.5
+#define STAGE_RETRY_AFTER_SEC 0.5
 
-/* The Retry-After of a shed request is at least RETURN_LEAST_SHARE of the longest delay after which
- * it can still meet its objective.  Where that delay is RETURN_LEAST or less, the request is not
- * shed. */
-#define RETURN_LEAST_SHARE 0.5
-#define RETURN_LEAST (150 * USEC_PER_MSEC)
+/* The Retry-After of a shed request is at least SHED_RETRY_MIN_SHARE of the longest delay after
+ * which it can still meet its objective.  Where that delay is SHED_RETRY_MIN_DELAY or less, the
+ * request is not shed. */
+#define SHED_RETRY_MIN_SHARE 0.5
+#define SHED_RETRY_MIN_DELAY (150 * USEC_PER_MSEC)
 
 uint32_t
 job_pieces (const struct forward_job *job, uint32_t stage)
@@ -45,17 +46,17 @@
 
 /* The stages are in topological order, so one pass from the last to the first is enough. */
 static void
-plan_tails (struct forward_job *job, int64_t reading, int64_t now)
+plan_tails (struct forward_job *job, int64_t prefill, int64_t now)
 {
   for (uint32_t i = job->route.n_stages; i-- > 0;)
     {
-      int64_t tail = reading + FETCHING_TIME;
+      int64_t tail = prefill + RESULT_FETCH_TIME;
 
       for (uint32_t j = i + 1; j < job->route.n_stages; j++)
         {
           int64_t wait = work_smoothed_wait (job->forward->config.work, job->stages[j].pool, now);
           int64_t through = job->stages[j].tail + job->stages[j].expected
-                            + (wait > STAGE_WAIT ? wait : STAGE_WAIT);
+                            + (wait > STAGE_MIN_QUEUE_TIME ? wait : STAGE_MIN_QUEUE_TIME);
 
           if ((job->route.stages[j].after & (UINT32_C (1) << i)) != 0 && through > tail)
             tail = through;
@@ -104,7 +105,7 @@
 
 /* Replaces each skipped stage by the stages that it depends on. */
 uint32_t
-job_through_left_out (const struct forward_job *job, uint32_t stages)
+job_replace_skipped (const struct forward_job *job, uint32_t stages)
 {
   for (uint32_t i = job->route.n_stages; i-- > 0;)
     if ((stages & (UINT32_C (1) << i)) != 0 && job_pieces (job, i) == 0)
@@ -118,7 +119,7 @@
 bool
 job_is_read_by_engine (const struct forward_job *job, uint32_t stage)
 {
-  uint32_t last = job_through_left_out (job, route_last_stages (&job->route));
+  uint32_t last = job_replace_skipped (job, route_last_stages (&job->route));
 
   return (last & (UINT32_C (1) << stage)) != 0;
 }
@@ -126,7 +127,7 @@
 void
 job_write_inputs (const struct forward_job *job, uint32_t stages, struct bytes *out)
 {
-  uint32_t from = job_through_left_out (job, stages);
+  uint32_t from = job_replace_skipped (job, stages);
 
   for (uint32_t i = 0; i < job->route.n_stages; i++)
     for (uint32_t j = 0; (from & (UINT32_C (1) << i)) != 0 && j < job_pieces (job, i); j++)
@@ -141,28 +142,29 @@
 
 /* The longest delay of a retry after which the request can still meet its objective. */
 static int64_t
-time_to_return (const struct forward_job *job, int64_t now)
+longest_retry_delay (const struct forward_job *job, int64_t now)
 {
-  return job->objective_at - now - job->path;
+  return job->objective_at - now - job->critical_path_time;
 }
 
 /* Only a first try is shed: a client that is refused a second time does not retry. */
 static bool
 may_turn_away (const struct forward_job *job, int64_t now)
 {
-  return job->age == 0 && !job->remade && time_to_return (job, now) > RETURN_LEAST;
+  return job->age == 0 && !job->stages_rerun
+         && longest_retry_delay (job, now) > SHED_RETRY_MIN_DELAY;
 }
 
 /* Sheds the request with a random delay, so that requests shed together do not return together. */
 static void
-turn_away (struct forward_job *job, int64_t now)
+shed (struct forward_job *job, int64_t now)
 {
-  double share = RETURN_LEAST_SHARE + (1 - RETURN_LEAST_SHARE) * rng_unit (&job->forward->rng);
-  int64_t away = time_to_return (job, now);
+  double share = SHED_RETRY_MIN_SHARE + (1 - SHED_RETRY_MIN_SHARE) * rng_unit (&job->forward->rng);
+  int64_t delay = longest_retry_delay (job, now);
 
-  if (away < RETURN_LEAST)
-    away = RETURN_LEAST;
-  job_give_up (job, FORWARD_BUSY, share * (double) away / (double) USEC_PER_SEC);
+  if (delay < SHED_RETRY_MIN_DELAY)
+    delay = SHED_RETRY_MIN_DELAY;
+  job_give_up (job, FORWARD_OVERLOADED, share * (double) delay / (double) USEC_PER_SEC);
 }
 
 static void
@@ -178,24 +180,24 @@
   if (end == PIECE_DONE)
     {
       stage->state = STAGE_DONE;
-      job_give_back_used (job, now);
+      job_free_used_results (job, now);
       advance (job, now);
       return;
     }
   stage->state = STAGE_IDLE;
   if (end == PIECE_BUSY)
     {
-      turn_away (job, now);
+      shed (job, now);
       return;
     }
   if (end == PIECE_ENDS_TARGETS)
     {
-      job_hold (job, now);
+      job_quarantine (job, now);
       return;
     }
-  if (end != PIECE_LATE && job_remake_stages (job, now))
+  if (end != PIECE_LATE && job_rerun_stages (job, now))
     return;
-  job_give_up (job, end == PIECE_LATE ? FORWARD_NO_TIME : FORWARD_STAGE, STAGE_RETRY_AFTER);
+  job_give_up (job, end == PIECE_LATE ? FORWARD_NO_TIME : FORWARD_STAGE, STAGE_RETRY_AFTER_SEC);
 }
 
 static void
@@ -203,7 +205,7 @@
 {
   struct forward_stage *stage = CONTAINER_OF (order, struct forward_stage, order);
 
-  job_inputs_taken (stage->job, &stage->fetched_at, now);
+  job_expect_fetch (stage->job, &stage->fetched_at, now);
 }
 
 static const struct work_order_ops stage_ops = { .done = stage_done, .taken = stage_taken };
@@ -215,7 +217,7 @@
 
   /* The refusal may come so late that no time is left for a retry. */
   if (may_turn_away (job, now))
-    turn_away (job, now);
+    shed (job, now);
 }
 
 static const struct work_booking_ops booking_ops = { .refused = booking_refused };
@@ -228,7 +230,7 @@
     {
       struct forward_stage *stage = &job->stages[i];
 
-      if (job_pieces (job, i) == 0 || job_through_left_out (job, job->route.stages[i].after) == 0)
+      if (job_pieces (job, i) == 0 || job_replace_skipped (job, job->route.stages[i].after) == 0)
         continue;
       stage->booking = (struct work_booking){
         .ops = &booking_ops,
@@ -240,7 +242,7 @@
       };
       memcpy (stage->booking.request, job->facts.id, sizeof stage->booking.request);
       memcpy (stage->booking.pool, stage->pool, sizeof stage->booking.pool);
-      memcpy (stage->booking.home_domain, job->near, sizeof stage->booking.home_domain);
+      memcpy (stage->booking.home_domain, job->engine_domain, sizeof stage->booking.home_domain);
       work_book (job->forward->config.work, &stage->booking, now);
     }
 }
@@ -268,21 +270,21 @@
   };
   memcpy (stage->order.request, job->facts.id, sizeof stage->order.request);
   memcpy (stage->order.key, job->facts.piece_key, sizeof stage->order.key);
-  job_choose_place (job, number, stage->order.preferred_domain);
-  memcpy (stage->order.home_domain, job->near, sizeof stage->order.home_domain);
+  job_choose_domain (job, number, stage->order.preferred_domain);
+  memcpy (stage->order.home_domain, job->engine_domain, sizeof stage->order.home_domain);
   memcpy (stage->order.pool, stage->pool, sizeof stage->order.pool);
   work_use_booking (&stage->booking, &stage->order);
   stage->state = STAGE_RUNNING;
-  stage->begun = now;
+  stage->started_at = now;
   stage->fetched_at = 0;
-  stage->let_go = false;
+  stage->is_evictable = false;
   work_submit (job->forward->config.work, &stage->order, now);
   bytes_clear (&inputs);
 }
 
 /* The longest time to the answer's first byte over the other stages that are not done. */
 static int64_t
-rest_without (const struct forward_job *job, uint32_t stage, int64_t now)
+longest_rest_without (const struct forward_job *job, uint32_t stage, int64_t now)
 {
   int64_t longest = 0;
 
@@ -291,10 +293,10 @@
       const struct forward_stage *other = &job->stages[i];
       int64_t rest = other->expected + other->tail;
 
-      if (i == stage || job_is_made (job, i))
+      if (i == stage || job_stage_is_done (job, i))
         continue;
       if (other->state == STAGE_RUNNING)
-        rest -= now - other->begun;
+        rest -= now - other->started_at;
       if (rest > longest)
         longest = rest;
     }
@@ -305,13 +307,13 @@
  * depends starts when the rest of the path is not much longer than its own, so that its results are
  * held for a fraction of a second and not for the duration of the whole chain. */
 static bool
-is_early (const struct forward_job *job, uint32_t stage, int64_t now)
+starts_too_early (const struct forward_job *job, uint32_t stage, int64_t now)
 {
   const struct forward_stage *at = &job->stages[stage];
   uint32_t last = route_last_stages (&job->route);
 
   return (last & (UINT32_C (1) << stage)) != 0
-         && rest_without (job, stage, now) > at->expected + at->tail + EARLY_MARGIN;
+         && longest_rest_without (job, stage, now) > at->expected + at->tail + EARLY_MARGIN;
 }
 
 static void
@@ -321,10 +323,10 @@
 
   for (uint32_t i = 0; i < job->route.n_stages; i++)
     if (job->stages[i].state == STAGE_IDLE && job_pieces (job, i) > 0
-        && job_all_made (job, job_through_left_out (job, job->route.stages[i].after))
-        && !is_early (job, i, now))
+        && job_stages_are_done (job, job_replace_skipped (job, job->route.stages[i].after))
+        && !starts_too_early (job, i, now))
       order_stage (job, i, now);
-  if (!job_all_made (job, all))
+  if (!job_stages_are_done (job, all))
     return;
   job->stages_done = now;
   histogram_record (job->forward->stage_time, (double) (now - job->arrived));
@@ -334,12 +336,12 @@
 /* Expected prefill time.  It is seconds for a long prompt, whose stages are therefore due earlier
  * than those of a short one. */
 static int64_t
-expect_reading (const struct forward_job *job, const struct balance_target *likely, int64_t now)
+expected_prefill (const struct forward_job *job, const struct balance_target *likely, int64_t now)
 {
   struct engine_cost cost;
 
   if (likely == NULL || !job->prompt.present)
-    return READING_TIME;
+    return DEFAULT_PREFILL_TIME;
   engine_load_cost (job->forward->config.balance->engines, likely->id_hash, &job->prompt.prompt,
                     now, &cost);
   return cost.wait;
@@ -354,13 +356,13 @@
   likely = balance_choose (job->forward->config.balance, job->pool, &job->prompt, NULL, 0, now);
   /* All stages should run in one failure domain: that of the engine which would be chosen for the
    * request now. */
-  if (likely != NULL && job->near[0] == '\0')
-    text_copy_cut (job->near, sizeof job->near, likely->domain);
-  plan_tails (job, expect_reading (job, likely, now), now);
-  job->path = critical_path (job);
-  if (now + job->path > job->give_up_at)
+  if (likely != NULL && job->engine_domain[0] == '\0')
+    text_copy_cut (job->engine_domain, sizeof job->engine_domain, likely->domain);
+  plan_tails (job, expected_prefill (job, likely, now), now);
+  job->critical_path_time = critical_path (job);
+  if (now + job->critical_path_time > job->give_up_at)
     {
-      job_give_up (job, FORWARD_NO_TIME, STAGE_RETRY_AFTER);
+      job_give_up (job, FORWARD_NO_TIME, STAGE_RETRY_AFTER_SEC);
       return;
     }
   if (may_turn_away (job, now))
@@ -369,12 +371,12 @@
 }
 
 bool
-job_remake_stages (struct forward_job *job, int64_t now)
+job_rerun_stages (struct forward_job *job, int64_t now)
 {
-  if (job->remade || !job_has_stages (job))
+  if (job->stages_rerun || !job_has_stages (job))
     return false;
-  job->remade = true;
-  job_drop_stages (job, now);
+  job->stages_rerun = true;
+  job_cancel_stages (job, now);
   job->stages_done = 0;
   job_begin_stages (job, now);
   return true;
--- a/src/forward_stream.c
+++ b/src/forward_stream.c
@@ -68,7 +68,7 @@
 /* Whether an event with this id may follow one with the id `last`.  Numeric ids must increase;
  * other ids only have to differ. */
 static bool
-comes_behind (const char *last, const char *id)
+id_may_follow (const char *last, const char *id)
 {
   if (is_number (last) && is_number (id))
     return compare_numbers (last, id) < 0;
@@ -115,7 +115,7 @@
 /* False if the event's id does not follow the last one: a target that starts over, or whose ids go
  * back, generates a different text from the one that the client has the beginning of. */
 static bool
-take_event (struct forward_job *job, const char *event, size_t length)
+accept_event (struct forward_job *job, const char *event, size_t length)
 {
   struct forward_stream *stream = &job->stream;
   const char *last = job->route.resumable ? job_last_event (job) : stream->last_event;
@@ -124,11 +124,11 @@
 
   if (!holds_event (event, length))
     return true;
-  if (named && last != NULL && !comes_behind (last, id))
+  if (named && last != NULL && !id_may_follow (last, id))
     return false;
   if (named)
     memcpy (stream->last_event, id, sizeof id);
-  stream->place_lost = !named;
+  stream->is_unresumable = !named;
   stream->events++;
   return true;
 }
@@ -140,12 +140,12 @@
   size_t event;
   bool follows = true;
 
-  bytes_append_within (&job->body, data, length, FORWARD_EVENT_MAX);
+  bytes_append_within (&job->body, data, length, FORWARD_EVENT_MAX_BYTES);
   if (bytes_failed (&job->body))
     return false;
   while (follows && (event = event_length (job->body.data + whole, job->body.length - whole)) > 0)
     {
-      follows = take_event (job, job->body.data + whole, event);
+      follows = accept_event (job, job->body.data + whole, event);
       whole += follows ? event : 0;
     }
   if (whole > 0)
