--- a/src/flow.c
+++ b/src/flow.c
@@ -42,7 +42,7 @@
 }
 
 void
-flow_set_load (struct flow *flow)
+flow_update_load (struct flow *flow)
 {
   struct board *board = flow->config.board;
   uint32_t bound = flow->config.settings->requests_in_flight;
@@ -60,7 +60,7 @@
   uint32_t bound = flow->config.settings->requests_in_flight;
 
   flow->requests = table_new (flow, sizeof (struct flow_request), bound);
-  flow->attempts = table_new (flow, sizeof (struct flow_attempt), bound * FLOW_LIVE_MAX);
+  flow->attempts = table_new (flow, sizeof (struct flow_attempt), bound * FLOW_LIVE_ATTEMPTS_MAX);
   flow->counts = flow_counts_new (flow, flow->config.counters);
   return flow->requests != NULL && flow->attempts != NULL && flow->counts != NULL
          && flow_cancel_init (flow);
@@ -123,7 +123,7 @@
 }
 
 bool
-flow_idle (const struct flow *flow)
+flow_is_idle (const struct flow *flow)
 {
   return table_count (flow->requests) == 0 && table_count (flow->cancels) == 0;
 }
@@ -148,8 +148,8 @@
                  "request_id", request->id, "organisation", request->organisation, "why", why,
                  "repeatable", request->decide.repeatable);
       if (request->awaits_claim)
-        flow_claim_forget (request);
-      flow_end_for (request, FLOW_REASON_ABORTED, 0, now);
+        flow_claim_withdraw (request);
+      flow_end_with_reason (request, FLOW_REASON_ABORTED, 0, now);
     }
   return count;
 }
--- a/src/flow.h
+++ b/src/flow.h
@@ -108,7 +108,7 @@
 
 /* True when no request and no cancel call is in flight, including requests whose caller has been
  * answered but whose call still runs: the host can shut down. */
-bool flow_idle (const struct flow *flow);
+bool flow_is_idle (const struct flow *flow);
 
 /* Arrival time of the last request, including refused ones; 0 before the first. */
 int64_t flow_last_arrival (const struct flow *flow);
--- a/src/flow_answer.c
+++ b/src/flow_answer.c
@@ -57,7 +57,7 @@
   json_t *stages = json_array ();
   uint32_t i;
 
-  for (i = 0; i < request->n_begun_stages; i++)
+  for (i = 0; i < request->n_started_stages; i++)
     json_array_append_new (stages, describe_stage (&request->spec->stages[i], &request->stages[i]));
   return stages;
 }
@@ -65,7 +65,7 @@
 /* Names and ids rarely need JSON escapes.  Building a JSON string object for each would be most of
  * the cost of an answer. */
 static void
-append_text (struct bytes *out, const char *text)
+append_json_string (struct bytes *out, const char *text)
 {
   const char *at;
   json_t *json;
@@ -90,9 +90,9 @@
   int64_t span = record->ended > 0 ? record->ended - record->started : 0;
 
   bytes_append_text (out, "{\"name\":");
-  append_text (out, spec->name);
+  append_json_string (out, spec->name);
   bytes_append_text (out, ",\"target\":");
-  append_text (out, record->target);
+  append_json_string (out, record->target);
   bytes_append_format (out,
                        ",\"attempts\":%" PRIu32 ",\"ms\":%" PRId64 ".%03" PRId64
                        ",\"cost\":%.9g,\"input_tokens\":%" PRIu32 ",\"cached_tokens\":%" PRIu32
@@ -108,7 +108,7 @@
   uint32_t i;
 
   bytes_append_text (out, ",\"stages\":[");
-  for (i = 0; i < request->n_begun_stages; i++)
+  for (i = 0; i < request->n_started_stages; i++)
     {
       if (i > 0)
         bytes_append_text (out, ",");
@@ -139,7 +139,7 @@
       return;
     }
   bytes_append_text (out, "{\"request_id\":");
-  append_text (out, request->id);
+  append_json_string (out, request->id);
   bytes_append_format (out, ",\"outcome\":\"%s\"", flow_outcome_text (verdict->outcome));
   if (whole)
     {
@@ -244,9 +244,9 @@
   json_decref (json);
   if (data == NULL)
     return false;
-  if (!request->begun)
+  if (!request->stream_begun)
     begin_stream (exchange, request->id);
-  request->begun = true;
+  request->stream_begun = true;
   write_text (exchange, "event: token\ndata: ");
   write_text (exchange, data);
   write_text (exchange, "\n\n");
--- a/src/flow_arrive.c
+++ b/src/flow_arrive.c
@@ -21,12 +21,12 @@
     .reason = reason,
     .retry_after = retry_after,
   };
-  struct flow_request nobody = { .flow = flow };
+  struct flow_request placeholder = { .flow = flow };
   struct bytes body;
 
-  text_copy_cut (nobody.id, sizeof nobody.id, id);
+  text_copy_cut (placeholder.id, sizeof placeholder.id, id);
   bytes_init (&body, flow);
-  flow_answer_body (&nobody, &verdict, &body);
+  flow_answer_body (&placeholder, &verdict, &body);
   flow_count_outcome (flow, &verdict);
   log_event (LOG_MODULE_FLOW, LOG_LEVEL_INFO, "refused", "{s:s,s:s,s:s}", "request_id", id,
              "outcome", flow_outcome_text (verdict.outcome), "reason", flow_reason_code (reason));
@@ -55,7 +55,7 @@
  * XXX: linear in the requests in flight, for unrepeatable arrivals only; add an index when it shows
  * in a profile. */
 static const struct flow_request *
-find_twin (const struct flow *flow, const struct flow_request *request)
+find_duplicate (const struct flow *flow, const struct flow_request *request)
 {
   uint32_t cursor = 0;
   const struct flow_request *other;
@@ -142,7 +142,7 @@
   if (request->memory == NULL)
     return false;
   bytes_init (&request->text.text, request->memory);
-  bytes_init (&request->text.ends, request->memory);
+  bytes_init (&request->text.piece_ends, request->memory);
   request->spec = talloc_memdup (request->memory, spec, sizeof *spec);
   if (caller->service)
     {
@@ -189,7 +189,7 @@
     }
   request->exchange = exchange;
   exchange->watcher = &request->watcher;
-  flow_set_load (flow);
+  flow_update_load (flow);
   return request;
 }
 
@@ -220,13 +220,13 @@
   struct decide_admission admission;
 
   if (flow->config.board->refusing)
-    return flow_end_for (request, FLOW_REASON_LEAVING, 0, now);
+    return flow_end_with_reason (request, FLOW_REASON_LEAVING, 0, now);
   if (flow->config.board->targets_unknown)
-    return flow_end_for (request, FLOW_REASON_NOT_READY, FLOW_RETRY_AFTER, now);
+    return flow_end_with_reason (request, FLOW_REASON_NOT_READY, FLOW_RETRY_AFTER_DEFAULT, now);
   admission = decide_admit (flow->config.decide, &request->decide, now);
   if (admission.reason != DECIDE_ADMITTED)
-    return flow_end_for (request, reason_of_admission (admission.reason), admission.retry_after,
-                         now);
+    return flow_end_with_reason (request, reason_of_admission (admission.reason),
+                                 admission.retry_after, now);
   request->admitted = true;
   flow_stage_begin (request, now);
 }
@@ -234,17 +234,17 @@
 /* An unrepeatable request is claimed before any check that can refuse it: it may be a resend, and
  * "not-run" from a host that is full or has no target could be wrong about the first run. */
 static void
-claim_first (struct flow_request *request, int64_t now)
+start_unrepeatable (struct flow_request *request, int64_t now)
 {
-  const struct flow_request *twin = find_twin (request->flow, request);
+  const struct flow_request *duplicate = find_duplicate (request->flow, request);
   struct flow_verdict verdict = { .outcome = FLOW_UNKNOWN,
                                   .reason = FLOW_REASON_IN_FLIGHT,
-                                  .retry_after = FLOW_RETRY_AFTER };
+                                  .retry_after = FLOW_RETRY_AFTER_DEFAULT };
 
-  if (twin == NULL)
-    flow_claim_take (request, now);
-  else if (memcmp (twin->body_hash, request->body_hash, CLAIM_HASH_SIZE) != 0)
-    flow_end_for (request, FLOW_REASON_MISMATCH, 0, now);
+  if (duplicate == NULL)
+    flow_claim_acquire (request, now);
+  else if (memcmp (duplicate->body_hash, request->body_hash, CLAIM_HASH_SIZE) != 0)
+    flow_end_with_reason (request, FLOW_REASON_MISMATCH, 0, now);
   else
     flow_end (request, &verdict, now);
 }
@@ -257,16 +257,16 @@
   if (request->decide.repeatable)
     flow_admit (request, now);
   else
-    claim_first (request, now);
+    start_unrepeatable (request, now);
 }
 
 static void
-take_request (struct flow *flow,
-              struct http_exchange *exchange,
-              struct caller_request *caller,
-              struct handle organisation,
-              const char *organisation_name,
-              int64_t now)
+handle_request (struct flow *flow,
+                struct http_exchange *exchange,
+                struct caller_request *caller,
+                struct handle organisation,
+                const char *organisation_name,
+                int64_t now)
 {
   struct handle handle;
   const struct board_pipeline *pipeline =
@@ -285,7 +285,7 @@
     make_id (flow, caller->id, sizeof caller->id);
   request = add_request (flow, exchange, &pipeline->spec, caller);
   if (request == NULL)
-    return refuse (flow, exchange, caller->id, FLOW_REASON_FULL, FLOW_RETRY_AFTER);
+    return refuse (flow, exchange, caller->id, FLOW_REASON_FULL, FLOW_RETRY_AFTER_DEFAULT);
   text_copy (request->organisation, sizeof request->organisation, organisation_name);
   fill_decide (request, caller, handle, organisation, now);
   if (!request->decide.repeatable)
@@ -313,8 +313,8 @@
     refuse_invalid (flow, exchange, http_header (exchange, "authorization") == NULL ? 401 : 403,
                     "authorization", status_message ());
   else if (!board->config_ready)
-    refuse (flow, exchange, caller.id, FLOW_REASON_NOT_READY, FLOW_RETRY_AFTER);
+    refuse (flow, exchange, caller.id, FLOW_REASON_NOT_READY, FLOW_RETRY_AFTER_DEFAULT);
   else
-    take_request (flow, exchange, &caller, organisation, name, now);
+    handle_request (flow, exchange, &caller, organisation, name, now);
   caller_clear (&caller);
 }
--- a/src/flow_attempt.c
+++ b/src/flow_attempt.c
@@ -18,25 +18,25 @@
 {
   int i;
 
-  for (i = 0; i < FLOW_LIVE_MAX; i++)
+  for (i = 0; i < FLOW_LIVE_ATTEMPTS_MAX; i++)
     {
-      if (!handle_is_none (request->live[i]))
+      if (!handle_is_none (request->live_attempts[i]))
         continue;
-      request->live[i] = attempt;
+      request->live_attempts[i] = attempt;
       return true;
     }
   return false;
 }
 
 static void
-drop_live (struct flow_request *request, struct handle attempt)
+remove_live (struct flow_request *request, struct handle attempt)
 {
   int i;
 
-  for (i = 0; i < FLOW_LIVE_MAX; i++)
+  for (i = 0; i < FLOW_LIVE_ATTEMPTS_MAX; i++)
     {
-      if (handle_equal (request->live[i], attempt))
-        request->live[i] = (struct handle){ 0 };
+      if (handle_equal (request->live_attempts[i], attempt))
+        request->live_attempts[i] = (struct handle){ 0 };
     }
 }
 
@@ -45,9 +45,9 @@
 {
   int i;
 
-  for (i = 0; i < FLOW_LIVE_MAX; i++)
+  for (i = 0; i < FLOW_LIVE_ATTEMPTS_MAX; i++)
     {
-      struct flow_attempt *attempt = flow_find_attempt (request->flow, request->live[i]);
+      struct flow_attempt *attempt = flow_find_attempt (request->flow, request->live_attempts[i]);
 
       if (attempt != NULL)
         flow_attempt_cancel (attempt, DECIDE_END_LOST, now);
@@ -80,7 +80,7 @@
   if (end == DECIDE_END_WHOLE)
     {
       record->usage = attempt->usage;
-      record->whole_seconds = seconds;
+      record->successful_slot_seconds = seconds;
     }
   else
     flow_count_wasted (flow, seconds);
@@ -88,10 +88,10 @@
 }
 
 static void
-tell_decide (struct flow_request *request,
-             const struct flow_attempt *attempt,
-             enum decide_end end,
-             int64_t now)
+report_to_decide (struct flow_request *request,
+                  const struct flow_attempt *attempt,
+                  enum decide_end end,
+                  int64_t now)
 {
   struct decide_result result = {
     .target = attempt->choice.target,
@@ -110,9 +110,9 @@
 
 /* True for a call that may have had an effect and whose result is not known. */
 static bool
-puts_in_doubt (const struct flow_request *request,
-               const struct flow_attempt *attempt,
-               enum decide_end end)
+result_is_unknown (const struct flow_request *request,
+                   const struct flow_attempt *attempt,
+                   enum decide_end end)
 {
   return !request->decide.repeatable
          && flow_stage_has_effect (request->spec->stages[attempt->stage].kind)
@@ -131,10 +131,10 @@
   if (target != NULL && target->in_flight > 0)
     target->in_flight--;
   record_end (request, attempt, end, now);
-  tell_decide (request, attempt, end, now);
-  if (attempt->sent && puts_in_doubt (request, attempt, end))
+  report_to_decide (request, attempt, end, now);
+  if (attempt->sent && result_is_unknown (request, attempt, end))
     request->in_doubt = true;
-  drop_live (request, attempt->self);
+  remove_live (request, attempt->self);
   timer_disarm (flow->config.timers, &attempt->give_up);
   timer_disarm (flow->config.timers, &attempt->hedge);
   sse_clear (&attempt->sse);
@@ -186,12 +186,12 @@
 }
 
 void
-flow_attempt_win (struct flow_attempt *attempt, struct flow_request *request, int64_t now)
+flow_attempt_complete (struct flow_attempt *attempt, struct flow_request *request, int64_t now)
 {
   close_call (attempt);
   flow_attempt_finish (attempt, DECIDE_END_WHOLE, now);
   flow_attempts_cancel (request, now);
-  flow_stage_done (request, now);
+  flow_stage_complete (request, now);
 }
 
 /* ---- timers ---- */
@@ -241,7 +241,7 @@
 /* An engine may accept a call and never answer, so an attempt without data by `first_by` ends.
  * After the first data it has until `give_up`. */
 void
-flow_attempt_gives (struct flow_attempt *attempt, int64_t now)
+flow_attempt_note_data (struct flow_attempt *attempt, int64_t now)
 {
   struct timer_service *timers = attempt->flow->config.timers;
 
@@ -265,7 +265,7 @@
   struct stage_call call = {
     .max_tokens = spec->max_tokens,
     .priority = request->decide.priority,
-    .resume_from = request->text.pieces,
+    .resume_from = request->text.n_pieces,
   };
 
   if (request->max_tokens > 0 && request->max_tokens < spec->max_tokens)
@@ -282,16 +282,16 @@
 {
   struct http_client *client = attempt->flow->config.client;
   const struct stage_spec *spec = flow_stage_spec (request);
-  int64_t left = request->decide.deadline - now;
+  int64_t remaining = request->decide.deadline - now;
   char number[NUMBER_SIZE];
-  char left_ms[NUMBER_SIZE];
+  char remaining_ms[NUMBER_SIZE];
   char priority[NUMBER_SIZE];
   struct http_field headers[HEADERS_MAX] = {
     { .name = "content-type", .value = "application/json" },
     { .name = "x-request-id", .value = request->id },
     { .name = "x-attempt", .value = number },
     { .name = "x-stage", .value = spec->name },
-    { .name = "x-deadline-ms", .value = left_ms },
+    { .name = "x-deadline-ms", .value = remaining_ms },
     { .name = "x-priority", .value = priority },
     { .name = "x-organisation", .value = request->organisation },
     { .name = "accept",
@@ -309,7 +309,8 @@
   };
 
   snprintf (number, sizeof number, "%" PRIu32, attempt->number);
-  snprintf (left_ms, sizeof left_ms, "%" PRId64, left > 0 ? left / USEC_PER_MSEC : 0);
+  snprintf (remaining_ms, sizeof remaining_ms, "%" PRId64,
+            remaining > 0 ? remaining / USEC_PER_MSEC : 0);
   snprintf (priority, sizeof priority, "%" PRIu32, request->decide.priority);
   return client->ops->start (client, &call, &attempt->sink, now, &attempt->call);
 }
@@ -327,7 +328,7 @@
   if (attempt == NULL)
     return NULL;
   attempt->sink.ops = &flow_reply_ops;
-  attempt->pieces.ops = &flow_stream_ops;
+  attempt->event_sink.ops = &flow_stream_ops;
   attempt->give_up.ops = &give_up_ops;
   attempt->hedge.ops = &hedge_ops;
   attempt->flow = flow;
@@ -339,8 +340,8 @@
   attempt->input_tokens = request->raw != NULL
                               ? request->decide.input_tokens
                               : stage_tokens (flow_stage_spec (request), &request->data);
-  attempt->resumed_from = request->text.pieces;
-  attempt->n_pieces = request->text.pieces;
+  attempt->resumed_from = request->text.n_pieces;
+  attempt->n_pieces = request->text.n_pieces;
   attempt->started = now;
   text_copy (attempt->target, sizeof attempt->target, target->name);
   text_copy (attempt->address, sizeof attempt->address, target->address);
--- a/src/flow_cancel.c
+++ b/src/flow_cancel.c
@@ -21,7 +21,7 @@
 }
 
 static void
-forget (struct http_call_sink *sink)
+remove_cancel (struct http_call_sink *sink)
 {
   struct flow_cancel *cancel = CONTAINER_OF (sink, struct flow_cancel, sink);
 
@@ -55,7 +55,7 @@
 end (struct http_call_sink *sink, int64_t now)
 {
   (void) now;
-  forget (sink);
+  remove_cancel (sink);
 }
 
 static void
@@ -64,7 +64,7 @@
   (void) why;
   (void) sent;
   (void) now;
-  forget (sink);
+  remove_cancel (sink);
 }
 
 static const struct http_call_sink_ops sink_ops = {
@@ -91,7 +91,7 @@
     .n_headers = 1,
     .body = body,
     .body_length = strlen (body),
-    .deadline = now + FLOW_CANCEL_TIME,
+    .deadline = now + FLOW_CANCEL_TIMEOUT,
   };
 
   return client->ops->start (client, &spec, &cancel->sink, now, &cancel->call);
--- a/src/flow_claim.c
+++ b/src/flow_claim.c
@@ -5,11 +5,11 @@
 #include <talloc.h>
 
 static void
-end_unclaimed (struct flow_request *request,
-               enum flow_outcome outcome,
-               enum flow_reason reason,
-               int64_t retry_after,
-               int64_t now)
+end_without_claim (struct flow_request *request,
+                   enum flow_outcome outcome,
+                   enum flow_reason reason,
+                   int64_t retry_after,
+                   int64_t now)
 {
   struct flow_verdict verdict = { .outcome = outcome,
                                   .reason = reason,
@@ -26,7 +26,7 @@
   struct http_exchange *exchange = request->exchange;
   int outcome;
 
-  if (request->refused)
+  if (request->ended)
     return flow_end (request, &verdict, now);
   for (outcome = 0; outcome < FLOW_OUTCOME_COUNT; outcome++)
     {
@@ -45,13 +45,13 @@
 }
 
 static void
-granted (struct flow_request *request, int64_t now)
+handle_grant (struct flow_request *request, int64_t now)
 {
   request->claimed = true;
   /* The caller disconnected or the deadline passed, and nothing was sent: the caller may resend the
    * request, so the claim is released. */
-  if (request->refused || request->exchange == NULL)
-    return flow_end_for (request, FLOW_REASON_CALLER_GONE, 0, now);
+  if (request->ended || request->exchange == NULL)
+    return flow_end_with_reason (request, FLOW_REASON_CALLER_GONE, 0, now);
   flow_admit (request, now);
 }
 
@@ -64,28 +64,30 @@
   switch (answer->verdict)
     {
     case CLAIM_GRANTED:
-      return granted (request, now);
+      return handle_grant (request, now);
     case CLAIM_SETTLED:
       return replay (request, answer, now);
     case CLAIM_IN_FLIGHT:
       /* Not run by this host, but "not-run" would allow the caller to send it elsewhere while the
        * claim's holder may be running it. */
-      return end_unclaimed (request, FLOW_UNKNOWN, FLOW_REASON_IN_FLIGHT, FLOW_RETRY_AFTER, now);
+      return end_without_claim (request, FLOW_UNKNOWN, FLOW_REASON_IN_FLIGHT,
+                                FLOW_RETRY_AFTER_DEFAULT, now);
     case CLAIM_MISMATCH:
-      return end_unclaimed (request, FLOW_NOT_RUN, FLOW_REASON_MISMATCH, 0, now);
+      return end_without_claim (request, FLOW_NOT_RUN, FLOW_REASON_MISMATCH, 0, now);
     case CLAIM_EXPIRED:
-      return end_unclaimed (request, FLOW_NOT_RUN, FLOW_REASON_EXPIRED, 0, now);
+      return end_without_claim (request, FLOW_NOT_RUN, FLOW_REASON_EXPIRED, 0, now);
     case CLAIM_FULL:
-      return end_unclaimed (request, FLOW_NOT_RUN, FLOW_REASON_CLAIMS_FULL, FLOW_RETRY_AFTER, now);
+      return end_without_claim (request, FLOW_NOT_RUN, FLOW_REASON_CLAIMS_FULL,
+                                FLOW_RETRY_AFTER_DEFAULT, now);
     case CLAIM_UNREACHABLE:
       /* This host sent nothing, but without a quorum it is not known whether this is a resend of a
        * request that ran. */
-      return end_unclaimed (request, FLOW_UNKNOWN, FLOW_REASON_CLAIMS_UNREACHABLE, FLOW_RETRY_AFTER,
-                            now);
+      return end_without_claim (request, FLOW_UNKNOWN, FLOW_REASON_CLAIMS_UNREACHABLE,
+                                FLOW_RETRY_AFTER_DEFAULT, now);
     case CLAIM_UNKNOWN:
     case CLAIM_VERDICT_COUNT:
     default:
-      return end_unclaimed (request, FLOW_UNKNOWN, FLOW_REASON_HOLDER_LOST, 0, now);
+      return end_without_claim (request, FLOW_UNKNOWN, FLOW_REASON_HOLDER_LOST, 0, now);
     }
 }
 
@@ -102,7 +104,7 @@
 }
 
 void
-flow_claim_take (struct flow_request *request, int64_t now)
+flow_claim_acquire (struct flow_request *request, int64_t now)
 {
   struct flow *flow = request->flow;
   struct claims *claims = flow->config.claims;
@@ -112,17 +114,18 @@
   };
 
   if (claims == NULL)
-    return flow_end_for (request, FLOW_REASON_CLAIMS_OFF, 0, now);
+    return flow_end_with_reason (request, FLOW_REASON_CLAIMS_OFF, 0, now);
   memcpy (ask.body_hash, request->body_hash, CLAIM_HASH_SIZE);
   request->waiter.ops = &waiter_ops;
   if (claims->ops->take (claims, &ask, &request->waiter, claim_deadline (request, now), now)
       != STATUS_OK)
-    return flow_end_for (request, FLOW_REASON_CLAIMS_UNREACHABLE, FLOW_RETRY_AFTER, now);
+    return flow_end_with_reason (request, FLOW_REASON_CLAIMS_UNREACHABLE, FLOW_RETRY_AFTER_DEFAULT,
+                                 now);
   request->awaits_claim = true;
 }
 
 void
-flow_claim_forget (struct flow_request *request)
+flow_claim_withdraw (struct flow_request *request)
 {
   struct claims *claims = request->flow->config.claims;
 
@@ -133,25 +136,25 @@
 }
 
 static void
-stored (struct claim_waiter *waiter, const struct claim_answer *answer, int64_t now)
+handle_stored (struct claim_waiter *waiter, const struct claim_answer *answer, int64_t now)
 {
   (void) answer;
   flow_finish (CONTAINER_OF (waiter, struct flow_request, waiter), now);
 }
 
-static const struct claim_waiter_ops stored_ops = { .answered = stored };
+static const struct claim_waiter_ops stored_ops = { .answered = handle_stored };
 
-/* The answer is held until the outcome is in the claim log, for FLOW_STORE_TIME and until the
+/* The answer is held until the outcome is in the claim log, for FLOW_STORE_TIMEOUT and until the
  * deadline at most.  If this host failed before that, a resend would get "unknown" although the
  * caller had received the complete answer. */
 static struct claim_waiter *
 wait_for_store (struct flow_request *request, int64_t now)
 {
-  int64_t due = now + FLOW_STORE_TIME;
+  int64_t due = now + FLOW_STORE_TIMEOUT;
 
   if (due >= request->decide.deadline)
     due = request->decide.deadline - 1;
-  if (request->told || request->exchange == NULL || due <= now
+  if (request->outcome_reported || request->exchange == NULL || due <= now
       || request->verdict.reason == FLOW_REASON_ABORTED)
     return NULL;
   request->phase = FLOW_PHASE_STORING;
@@ -178,10 +181,10 @@
 /* A truncated answer must not be replayed as complete: an answer over the size limit is stored as a
  * failure whose reason says that the request ran. */
 static enum status
-settle_too_long (struct flow_request *request,
-                 const struct claim_key *key,
-                 struct claim_waiter *waiter,
-                 int64_t now)
+settle_as_not_kept (struct flow_request *request,
+                    const struct claim_key *key,
+                    struct claim_waiter *waiter,
+                    int64_t now)
 {
   struct flow_verdict verdict = { .outcome = FLOW_FAILED, .reason = FLOW_REASON_ANSWER_NOT_KEPT };
   struct bytes body;
@@ -195,7 +198,7 @@
 }
 
 bool
-flow_claim_end (struct flow_request *request, int64_t now)
+flow_claim_settle (struct flow_request *request, int64_t now)
 {
   struct flow *flow = request->flow;
   struct claims *claims = flow->config.claims;
@@ -212,7 +215,7 @@
   if (request->n_sent == 0)
     status = claims->ops->release (claims, &key, now);
   else if (bytes_failed (body) || body->length > flow->config.settings->claim_answer_bytes)
-    status = settle_too_long (request, &key, waiter, now);
+    status = settle_as_not_kept (request, &key, waiter, now);
   else
     status = settle (request, &key, &request->verdict, body, waiter, now);
   if (status == STATUS_OK)
--- a/src/flow_count.c
+++ b/src/flow_count.c
@@ -84,7 +84,7 @@
 }
 
 void
-flow_count_time (struct flow *flow, enum flow_outcome outcome, int64_t span)
+flow_count_duration (struct flow *flow, enum flow_outcome outcome, int64_t span)
 {
   struct flow_counts *counts = flow->counts;
   struct histogram **times = &counts->times[outcome];
@@ -144,25 +144,25 @@
 }
 
 static struct stage_counts *
-stage_counts_of (struct flow_counts *counts, const struct flow_request *request, uint32_t stage)
+find_stage_counts (struct flow_counts *counts, const struct flow_request *request, uint32_t stage)
 {
   struct handle pipeline = request->decide.pipeline;
-  struct pipeline_counts *of;
+  struct pipeline_counts *entry;
   uint32_t i;
 
   if (pipeline.index >= BOARD_PIPELINES_MAX)
     return NULL;
-  of = &counts->pipelines[pipeline.index];
-  if (!handle_equal (of->pipeline, pipeline))
+  entry = &counts->pipelines[pipeline.index];
+  if (!handle_equal (entry->pipeline, pipeline))
     {
       for (i = 0; i < RESOURCE_STAGES_MAX; i++)
-        TALLOC_FREE (of->stages[i]);
-      of->pipeline = pipeline;
+        TALLOC_FREE (entry->stages[i]);
+      entry->pipeline = pipeline;
     }
-  if (of->stages[stage] == NULL)
-    of->stages[stage] =
+  if (entry->stages[stage] == NULL)
+    entry->stages[stage] =
         new_stage_counts (counts, request->spec->name, request->spec->stages[stage].name);
-  return of->stages[stage];
+  return entry->stages[stage];
 }
 
 void
@@ -173,7 +173,7 @@
                     double cost,
                     int64_t span)
 {
-  struct stage_counts *counts = stage_counts_of (flow->counts, request, attempt->stage);
+  struct stage_counts *counts = find_stage_counts (flow->counts, request, attempt->stage);
 
   if (counts == NULL)
     return;
--- a/src/flow_dump.c
+++ b/src/flow_dump.c
@@ -22,9 +22,9 @@
   json_t *attempts = json_array ();
   int i;
 
-  for (i = 0; i < FLOW_LIVE_MAX; i++)
+  for (i = 0; i < FLOW_LIVE_ATTEMPTS_MAX; i++)
     {
-      const struct flow_attempt *attempt = flow_find_attempt (flow, request->live[i]);
+      const struct flow_attempt *attempt = flow_find_attempt (flow, request->live_attempts[i]);
 
       if (attempt != NULL)
         json_array_append_new (attempts, describe_attempt (attempt, now));
@@ -34,10 +34,10 @@
                     request->spec->name, "phase", phases[request->phase], "stage",
                     flow_stage_spec (request)->name, "repeatable", request->decide.repeatable,
                     "sent", request->n_sent > 0, "caller_there", request->exchange != NULL,
-                    "waiting", request->waiting, "age_us",
+                    "waiting", request->waiting_for_target, "age_us",
                     (json_int_t) (now - request->decide.arrived), "left_us",
                     (json_int_t) (request->decide.deadline - now), "pieces",
-                    (json_int_t) request->text.pieces, "attempts", attempts);
+                    (json_int_t) request->text.n_pieces, "attempts", attempts);
 }
 
 json_t *
--- a/src/flow_end.c
+++ b/src/flow_end.c
@@ -19,39 +19,39 @@
 }
 
 static void
-tell (struct flow_request *request,
-      const struct flow_verdict *verdict,
-      const struct bytes *body,
-      int64_t now)
+report_outcome (struct flow_request *request,
+                const struct flow_verdict *verdict,
+                const struct bytes *body,
+                int64_t now)
 {
   struct flow *flow = request->flow;
   struct http_exchange *exchange = request->exchange;
 
-  if (request->told)
+  if (request->outcome_reported)
     {
       log_outcome (request, verdict, "settled", now);
       return;
     }
-  request->told = true;
+  request->outcome_reported = true;
   log_outcome (request, verdict, "outcome", now);
   flow_count_outcome (flow, verdict);
-  flow_count_time (flow, verdict->outcome, now - request->decide.arrived);
+  flow_count_duration (flow, verdict->outcome, now - request->decide.arrived);
   if (exchange == NULL)
     return;
   request->exchange = NULL;
   exchange->watcher = NULL;
-  flow_answer_send (exchange, request->id, verdict, request->stream, request->begun,
+  flow_answer_send (exchange, request->id, verdict, request->stream, request->stream_begun,
                     bytes_failed (body) ? NULL : body->data, body->length);
 }
 
 void
-flow_tell (struct flow_request *request, const struct flow_verdict *verdict, int64_t now)
+flow_report_outcome (struct flow_request *request, const struct flow_verdict *verdict, int64_t now)
 {
   struct bytes body;
 
   bytes_init (&body, request->memory);
   flow_answer_body (request, verdict, &body);
-  tell (request, verdict, &body, now);
+  report_outcome (request, verdict, &body, now);
   bytes_clear (&body);
 }
 
@@ -61,13 +61,13 @@
   double seconds = 0;
   uint32_t i;
 
-  for (i = 0; i < request->n_begun_stages; i++)
-    seconds += request->stages[i].whole_seconds;
+  for (i = 0; i < request->n_started_stages; i++)
+    seconds += request->stages[i].successful_slot_seconds;
   return seconds;
 }
 
 static void
-forget (struct flow_request *request)
+free_request (struct flow_request *request)
 {
   struct flow *flow = request->flow;
 
@@ -76,7 +76,7 @@
   stage_data_clear (&request->data);
   talloc_free (request->memory);
   table_remove (flow->requests, request->self);
-  flow_set_load (flow);
+  flow_update_load (flow);
 }
 
 void
@@ -84,16 +84,16 @@
 {
   struct flow *flow = request->flow;
 
-  tell (request, &request->verdict, &request->answer, now);
+  report_outcome (request, &request->verdict, &request->answer, now);
   bytes_clear (&request->answer);
   if (request->admitted)
     decide_finish (flow->config.decide, &request->decide, request->verdict.outcome == FLOW_WHOLE,
                    now);
   request->admitted = false;
   /* While the claims hold the waiter, the entry stays in the table without its caller. */
-  request->refused = true;
+  request->ended = true;
   if (!request->awaits_claim)
-    forget (request);
+    free_request (request);
 }
 
 void
@@ -102,12 +102,12 @@
   /* The outcome is already known and only being stored; the new verdict does not apply. */
   if (request->phase == FLOW_PHASE_STORING)
     {
-      flow_claim_forget (request);
+      flow_claim_withdraw (request);
       flow_finish (request, now);
       return;
     }
   flow_attempts_cancel (request, now);
-  if (request->n_begun_stages > 0 && flow_stage_record (request)->ended == 0)
+  if (request->n_started_stages > 0 && flow_stage_record (request)->ended == 0)
     flow_stage_record (request)->ended = now;
   if (verdict->outcome != FLOW_WHOLE)
     flow_count_wasted (request->flow, stage_seconds (request));
@@ -115,7 +115,7 @@
   bytes_init (&request->answer, request->memory);
   if (verdict->reason != FLOW_REASON_REPLAYED)
     flow_answer_body (request, verdict, &request->answer);
-  if (!flow_claim_end (request, now))
+  if (!flow_claim_settle (request, now))
     flow_finish (request, now);
 }
 
@@ -130,10 +130,10 @@
 }
 
 void
-flow_end_for (struct flow_request *request,
-              enum flow_reason reason,
-              int64_t retry_after,
-              int64_t now)
+flow_end_with_reason (struct flow_request *request,
+                      enum flow_reason reason,
+                      int64_t retry_after,
+                      int64_t now)
 {
   struct flow_verdict verdict = { .reason = reason, .retry_after = retry_after };
 
@@ -148,9 +148,9 @@
 {
   int i;
 
-  for (i = 0; i < FLOW_LIVE_MAX; i++)
+  for (i = 0; i < FLOW_LIVE_ATTEMPTS_MAX; i++)
     {
-      if (!handle_is_none (request->live[i]))
+      if (!handle_is_none (request->live_attempts[i]))
         return flow_stage_has_effect (flow_stage_spec (request)->kind);
     }
   return false;
@@ -160,26 +160,26 @@
  * once.  Closing the call would make that final, so it continues for FLOW_SETTLE_GRACE and a resend
  * gets its actual outcome. */
 static void
-go_on_settling (struct flow_request *request, int64_t now)
+settle_after_deadline (struct flow_request *request, int64_t now)
 {
   struct flow_verdict verdict = { .outcome = FLOW_UNKNOWN,
                                   .reason = FLOW_REASON_WINDOW,
-                                  .retry_after = FLOW_RETRY_AFTER };
+                                  .retry_after = FLOW_RETRY_AFTER_DEFAULT };
 
   request->phase = FLOW_PHASE_SETTLING;
   timer_disarm (request->flow->config.timers, &request->check);
   timer_arm (request->flow->config.timers, &request->deadline, now + FLOW_SETTLE_GRACE);
-  flow_tell (request, &verdict, now);
+  flow_report_outcome (request, &verdict, now);
 }
 
 /* The deadline passed before the claims answered.  This host sent nothing, but the request may be a
  * resend whose first run is in flight elsewhere, so the outcome is "unknown". */
 static void
-end_unclaimed (struct flow_request *request, int64_t now)
+end_without_claim (struct flow_request *request, int64_t now)
 {
   struct flow_verdict verdict = { .outcome = FLOW_UNKNOWN,
                                   .reason = FLOW_REASON_CLAIMS_UNREACHABLE,
-                                  .retry_after = FLOW_RETRY_AFTER };
+                                  .retry_after = FLOW_RETRY_AFTER_DEFAULT };
 
   flow_end (request, &verdict, now);
 }
@@ -190,25 +190,25 @@
   struct flow_request *request = CONTAINER_OF (timer, struct flow_request, deadline);
 
   if (request->awaits_claim)
-    end_unclaimed (request, now);
+    end_without_claim (request, now);
   else if (request->phase == FLOW_PHASE_SETTLING || request->phase == FLOW_PHASE_STORING)
-    flow_end_for (request, FLOW_REASON_TARGET_TIMEOUT, 0, now);
+    flow_end_with_reason (request, FLOW_REASON_TARGET_TIMEOUT, 0, now);
   else if (!request->decide.repeatable && has_live_effect (request))
-    go_on_settling (request, now);
+    settle_after_deadline (request, now);
   else
-    flow_end_for (request, FLOW_REASON_WINDOW, 0, now);
+    flow_end_with_reason (request, FLOW_REASON_WINDOW, 0, now);
 }
 
 /* A request whose caller has disconnected is ended, except an unrepeatable one that was sent: it
  * may have its effect regardless, so it continues and a resend gets its outcome. */
 static void
-go_on_without_caller (struct flow_request *request, enum flow_reason reason, int64_t now)
+continue_without_caller (struct flow_request *request, enum flow_reason reason, int64_t now)
 {
   request->exchange = NULL;
   if (request->awaits_claim || request->phase == FLOW_PHASE_STORING)
     return;
   if (request->decide.repeatable || request->n_sent == 0)
-    flow_end_for (request, reason, 0, now);
+    flow_end_with_reason (request, reason, 0, now);
 }
 
 void
@@ -216,15 +216,15 @@
 {
   struct flow_request *request = CONTAINER_OF (watcher, struct flow_request, watcher);
 
-  go_on_without_caller (request, FLOW_REASON_CALLER_GONE, now);
+  continue_without_caller (request, FLOW_REASON_CALLER_GONE, now);
 }
 
 void
-flow_break_answer (struct flow_request *request, int64_t now)
+flow_abort_answer (struct flow_request *request, int64_t now)
 {
   struct http_exchange *exchange = request->exchange;
 
   exchange->watcher = NULL;
   exchange->ops->abort (exchange);
-  go_on_without_caller (request, FLOW_REASON_NO_MEMORY, now);
+  continue_without_caller (request, FLOW_REASON_NO_MEMORY, now);
 }
--- a/src/flow_private.h
+++ b/src/flow_private.h
@@ -26,19 +26,19 @@
 
 BEGIN_DECLS
 
-#define FLOW_LIVE_MAX 2                     /* concurrent attempts of a stage: one and its hedge */
-#define FLOW_CANCELS_MAX 256                /* concurrent cancel calls */
-#define FLOW_CANCEL_TIME (1 * USEC_PER_SEC) /* of a cancel call */
-#define FLOW_STORE_TIME (1 * USEC_PER_SEC)  /* for an answer held until its outcome is stored */
-#define FLOW_SETTLE_GRACE (10 * USEC_PER_SEC) /* after the deadline, to learn the outcome */
-#define FLOW_WAIT_TIME (50 * USEC_PER_MSEC)   /* between searches for a usable target */
-#define FLOW_WAITS_MAX 40 /* per stage; a target that lost its home host is back sooner */
+#define FLOW_LIVE_ATTEMPTS_MAX 2 /* concurrent attempts of a stage: one and its hedge */
+#define FLOW_CANCELS_MAX 256     /* concurrent cancel calls */
+#define FLOW_CANCEL_TIMEOUT (1 * USEC_PER_SEC) /* of a cancel call */
+#define FLOW_STORE_TIMEOUT (1 * USEC_PER_SEC)  /* for an answer held until its outcome is stored */
+#define FLOW_SETTLE_GRACE (10 * USEC_PER_SEC)  /* after the deadline, to learn the outcome */
+#define FLOW_TARGET_WAIT_INTERVAL (50 * USEC_PER_MSEC) /* between searches for a usable target */
+#define FLOW_TARGET_WAITS_MAX 40 /* per stage; a target that lost its home host is back sooner */
 #define FLOW_CLAIM_MARGIN (20 * USEC_PER_MSEC) /* from the claim's deadline to the request's */
-#define FLOW_CHECK_MIN (20 * USEC_PER_MSEC)    /* between checks of the deadline */
-#define FLOW_CHECK_SHARE 16                    /* the interval is the time left divided by this */
-#define FLOW_FRAMING_TIME (50 * USEC_PER_MSEC) /* from the last piece to the stream's end */
-#define FLOW_RETRY_AFTER (1 * USEC_PER_SEC)    /* default where decide.c gives none */
-#define FLOW_EVENT_BYTES_MAX (1u << 20)        /* of one SSE event of a generation */
+#define FLOW_CHECK_INTERVAL_MIN (20 * USEC_PER_MSEC) /* between checks of the deadline */
+#define FLOW_CHECK_INTERVAL_DIVISOR 16 /* the interval is the time left divided by this */
+#define FLOW_STREAM_END_TIMEOUT (50 * USEC_PER_MSEC) /* from the last piece to the stream's end */
+#define FLOW_RETRY_AFTER_DEFAULT (1 * USEC_PER_SEC)  /* default where decide.c gives none */
+#define FLOW_EVENT_BYTES_MAX (1u << 20)              /* of one SSE event of a generation */
 
 /* Usage and cost of a stage, for the answer and the log. */
 struct flow_stage_record
@@ -48,9 +48,9 @@
   uint32_t hedges;
   uint32_t waits; /* for a usable target */
   int64_t started;
-  int64_t ended;        /* 0 while it runs */
-  double cost;          /* of all attempts, in the operator's currency */
-  double whole_seconds; /* slot seconds of the successful attempt */
+  int64_t ended;                  /* 0 while it runs */
+  double cost;                    /* of all attempts, in the operator's currency */
+  double successful_slot_seconds; /* slot seconds of the successful attempt */
   struct stage_usage usage;
 };
 
@@ -58,10 +58,10 @@
 struct flow_text
 {
   struct bytes text;
-  struct bytes ends; /* uint32_t per piece: its end offset in the text */
-  uint32_t pieces;
+  struct bytes piece_ends; /* uint32_t per piece: its end offset in the text */
+  uint32_t n_pieces;
   bool finished;        /* the last piece and all before it were received */
-  struct handle feeder; /* the attempt whose pieces are accepted; none before the first piece */
+  struct handle source; /* the attempt whose pieces are accepted; none before the first piece */
 };
 
 /* name, text: state of a request */
@@ -98,20 +98,20 @@
   struct http_exchange *exchange; /* NULL: answered, or the caller disconnected */
   void *memory;                   /* talloc parent of the request's allocations */
   enum flow_phase phase;
-  bool stream; /* the caller asked for SSE */
-  bool begun;  /* the head of the stream was sent */
+  bool stream;       /* the caller asked for SSE */
+  bool stream_begun; /* the head of the stream was sent */
   bool admitted;
-  bool awaits_claim; /* `waiter` is registered with the claims: the entry must not be freed */
-  bool claimed;      /* the claim was granted and must be settled or released */
-  bool waiting;      /* for a usable target, no attempt runs */
-  bool told;         /* the outcome was logged, and sent unless the caller had disconnected */
+  bool awaits_claim;       /* `waiter` is registered with the claims: the entry must not be freed */
+  bool claimed;            /* the claim was granted and must be settled or released */
+  bool waiting_for_target; /* for a usable target, no attempt runs */
+  bool outcome_reported;   /* the outcome was logged, and sent unless the caller had disconnected */
   bool in_doubt; /* unrepeatable, and a call that may have had an effect ended without a result */
-  bool refused;  /* the request ended: a claim granted later is released */
+  bool ended;    /* the request ended: a claim granted later is released */
 
   /* Attempts of which a byte may have been sent.  While 0 the request cannot have run. */
   uint32_t n_sent;
   uint32_t n_attempts; /* the last attempt number, over all stages */
-  struct handle live[FLOW_LIVE_MAX];
+  struct handle live_attempts[FLOW_LIVE_ATTEMPTS_MAX];
   struct handle tried[DECIDE_TRIED_MAX]; /* targets that failed the current stage */
   uint32_t n_tried;
 
@@ -122,7 +122,7 @@
   struct flow_verdict verdict; /* set when the request ends */
   struct bytes answer;         /* set when the request ends */
   struct flow_stage_record stages[RESOURCE_STAGES_MAX];
-  uint32_t n_begun_stages;
+  uint32_t n_started_stages;
   char *raw; /* a service's request body, then its answer, unchanged */
   size_t raw_length;
   uint32_t max_tokens; /* as requested by the caller, 0 for the pipeline's */
@@ -135,7 +135,7 @@
 struct flow_attempt
 {
   struct http_call_sink sink;
-  struct sse_sink pieces;
+  struct sse_sink event_sink;
   struct timer give_up;
   struct timer hedge;
   struct flow *flow;
@@ -186,7 +186,7 @@
 
 struct flow_request *flow_find_request (const struct flow *flow, struct handle handle);
 struct flow_attempt *flow_find_attempt (const struct flow *flow, struct handle handle);
-void flow_set_load (struct flow *flow);
+void flow_update_load (struct flow *flow);
 
 /* ---- flow_arrive.c ---- */
 
@@ -198,14 +198,14 @@
 /* ---- flow_claim.c ---- */
 
 /* Request the claim; flow_admit() is called when it is granted. */
-void flow_claim_take (struct flow_request *request, int64_t now);
+void flow_claim_acquire (struct flow_request *request, int64_t now);
 
 /* Withdraw the waiter from the claims. */
-void flow_claim_forget (struct flow_request *request);
+void flow_claim_withdraw (struct flow_request *request);
 
 /* Settle or release the claim if it was granted.  True when flow_finish() will be called later,
- * after the outcome is stored or FLOW_STORE_TIME has passed. */
-bool flow_claim_end (struct flow_request *request, int64_t now);
+ * after the outcome is stored or FLOW_STORE_TIMEOUT has passed. */
+bool flow_claim_settle (struct flow_request *request, int64_t now);
 
 /* ---- flow_stage.c ---- */
 
@@ -234,7 +234,7 @@
 void flow_stage_begin (struct flow_request *request, int64_t now);
 
 /* The stage's complete answer is in the request's data. */
-void flow_stage_done (struct flow_request *request, int64_t now);
+void flow_stage_complete (struct flow_request *request, int64_t now);
 
 /* An attempt that ended without a complete answer. */
 struct flow_failure
@@ -250,7 +250,7 @@
                         int64_t now);
 
 /* May another attempt be sent after one that ended? */
-bool flow_may_send_again (const struct flow_request *request, bool certainly_not_run);
+bool flow_can_send_again (const struct flow_request *request, bool certainly_not_run);
 
 void flow_stage_hedge (struct flow_request *request, struct flow_attempt *slow, int64_t now);
 void flow_check_arm (struct flow_request *request, int64_t now);
@@ -271,7 +271,7 @@
 void flow_attempt_finish (struct flow_attempt *attempt, enum decide_end end, int64_t now);
 
 /* Data of the attempt's answer was received. */
-void flow_attempt_gives (struct flow_attempt *attempt, int64_t now);
+void flow_attempt_note_data (struct flow_attempt *attempt, int64_t now);
 
 /* Close the call if it still runs, send its target a cancel if the request is repeatable, and
  * finish the attempt. */
@@ -282,7 +282,9 @@
     struct flow_attempt *attempt, enum decide_end end, bool not_run, bool rejected, int64_t now);
 
 /* The attempt's complete answer is in the request's data: finish the stage. */
-void flow_attempt_win (struct flow_attempt *attempt, struct flow_request *request, int64_t now);
+void flow_attempt_complete (struct flow_attempt *attempt,
+                            struct flow_request *request,
+                            int64_t now);
 
 /* ---- flow_reply.c ---- */
 
@@ -292,7 +294,7 @@
 
 void flow_stream_data (struct flow_attempt *attempt, const void *data, size_t length, int64_t now);
 bool flow_stream_is_whole (const struct flow_attempt *attempt, const struct flow_request *request);
-void flow_stream_end (struct flow_attempt *attempt, enum decide_end otherwise, int64_t now);
+void flow_stream_end (struct flow_attempt *attempt, enum decide_end end_if_incomplete, int64_t now);
 extern const struct sse_sink_ops flow_stream_ops;
 
 /* ---- flow_cancel.c ---- */
@@ -314,17 +316,19 @@
 
 /* End the request with a reason: not-run when nothing was sent, unknown when it is in doubt, else
  * failed. */
-void flow_end_for (struct flow_request *request,
-                   enum flow_reason reason,
-                   int64_t retry_after,
-                   int64_t now);
+void flow_end_with_reason (struct flow_request *request,
+                           enum flow_reason reason,
+                           int64_t retry_after,
+                           int64_t now);
 
 /* Answer the caller while the request continues. */
-void flow_tell (struct flow_request *request, const struct flow_verdict *verdict, int64_t now);
+void flow_report_outcome (struct flow_request *request,
+                          const struct flow_verdict *verdict,
+                          int64_t now);
 
 /* Abort the caller's connection because the answer cannot be continued: nothing else would show
  * the caller that it is incomplete. */
-void flow_break_answer (struct flow_request *request, int64_t now);
+void flow_abort_answer (struct flow_request *request, int64_t now);
 
 void flow_deadline_fire (struct timer *timer, int64_t now);
 void flow_caller_closed (struct http_watcher *watcher, int64_t now);
@@ -362,7 +366,7 @@
 
 struct flow_counts *flow_counts_new (void *parent, struct counters *counters);
 void flow_count_outcome (struct flow *flow, const struct flow_verdict *verdict);
-void flow_count_time (struct flow *flow, enum flow_outcome outcome, int64_t span);
+void flow_count_duration (struct flow *flow, enum flow_outcome outcome, int64_t span);
 void flow_count_invalid (struct flow *flow, int code);
 void flow_count_attempt (struct flow *flow,
                          const struct flow_request *request,
--- a/src/flow_reply.c
+++ b/src/flow_reply.c
@@ -7,7 +7,7 @@
 #define NUMBER_SIZE 24
 
 static const char *
-field_of (const struct http_field *headers, size_t n, const char *name)
+find_header (const struct http_field *headers, size_t n, const char *name)
 {
   size_t i;
 
@@ -23,13 +23,13 @@
  * of it, may mix up answers; one to another request or to an abandoned attempt must not be
  * delivered. */
 static bool
-is_ours (const struct flow_attempt *attempt,
-         const struct flow_request *request,
-         const struct http_field *headers,
-         size_t n)
+answer_is_for_attempt (const struct flow_attempt *attempt,
+                       const struct flow_request *request,
+                       const struct http_field *headers,
+                       size_t n)
 {
-  const char *id = field_of (headers, n, "x-request-id");
-  const char *number = field_of (headers, n, "x-attempt");
+  const char *id = find_header (headers, n, "x-request-id");
+  const char *number = find_header (headers, n, "x-attempt");
   char expected[NUMBER_SIZE];
 
   snprintf (expected, sizeof expected, "%" PRIu32, attempt->number);
@@ -39,23 +39,23 @@
 
 /* The request itself is invalid: every target would reject it. */
 static bool
-is_rejection (int code)
+code_is_rejection (int code)
 {
   return code == 400 || code == 413 || code == 422;
 }
 
 static void
-take_head (struct http_call_sink *sink,
-           int code,
-           const struct http_field *headers,
-           size_t n_headers,
-           int64_t now)
+handle_head (struct http_call_sink *sink,
+             int code,
+             const struct http_field *headers,
+             size_t n_headers,
+             int64_t now)
 {
   struct flow_attempt *attempt = CONTAINER_OF (sink, struct flow_attempt, sink);
   struct flow_request *request = flow_find_request (attempt->flow, attempt->request);
-  const char *not_run = field_of (headers, n_headers, "x-not-run");
+  const char *not_run = find_header (headers, n_headers, "x-not-run");
 
-  if (!is_ours (attempt, request, headers, n_headers))
+  if (!answer_is_for_attempt (attempt, request, headers, n_headers))
     {
       flow_count_dropped (attempt->flow);
       return flow_attempt_fail (attempt, DECIDE_END_WRONG, false, false, now);
@@ -67,24 +67,24 @@
    * was not started.  The byte still counts as sent, so the caller never gets "not-run" for it. */
   if (code == 503 && not_run != NULL && strcmp (not_run, "yes") == 0)
     return flow_attempt_fail (attempt, DECIDE_END_REFUSED, true, false, now);
-  flow_attempt_fail (attempt, DECIDE_END_FAILED, false, is_rejection (code), now);
+  flow_attempt_fail (attempt, DECIDE_END_FAILED, false, code_is_rejection (code), now);
 }
 
 static void
-take_data (struct http_call_sink *sink, const void *data, size_t length, int64_t now)
+handle_data (struct http_call_sink *sink, const void *data, size_t length, int64_t now)
 {
   struct flow_attempt *attempt = CONTAINER_OF (sink, struct flow_attempt, sink);
   struct flow_request *request = flow_find_request (attempt->flow, attempt->request);
 
   if (request->spec->stages[attempt->stage].kind == STAGE_GENERATE)
     return flow_stream_data (attempt, data, length, now);
-  flow_attempt_gives (attempt, now);
+  flow_attempt_note_data (attempt, now);
   bytes_append (&attempt->body, data, length);
 }
 
 /* Keeps a service's answer unchanged, after a syntax check. */
 static enum status
-take_raw (struct flow_request *request, const struct bytes *body)
+store_raw_answer (struct flow_request *request, const struct bytes *body)
 {
   char *copy;
 
@@ -100,7 +100,7 @@
 }
 
 static void
-take_end (struct http_call_sink *sink, int64_t now)
+handle_end (struct http_call_sink *sink, int64_t now)
 {
   struct flow_attempt *attempt = CONTAINER_OF (sink, struct flow_attempt, sink);
   struct flow_request *request = flow_find_request (attempt->flow, attempt->request);
@@ -113,12 +113,12 @@
   if (attempt->body.length == 0 || bytes_failed (&attempt->body))
     status = STATUS_MALFORMED;
   else if (request->spec->service)
-    status = take_raw (request, &attempt->body);
+    status = store_raw_answer (request, &attempt->body);
   else
     status = stage_take (spec, &request->data, attempt->body.data, attempt->body.length,
                          &attempt->usage);
   if (status == STATUS_OK)
-    return flow_attempt_win (attempt, request, now);
+    return flow_attempt_complete (attempt, request, now);
   log_event (LOG_MODULE_FLOW, LOG_LEVEL_WARNING, "answer-malformed", "{s:s,s:s,s:s,s:s}",
              "request_id", request->id, "target", attempt->target, "stage", spec->name, "error",
              status_message ());
@@ -127,7 +127,7 @@
 }
 
 static void
-take_failure (struct http_call_sink *sink, enum status why, bool sent, int64_t now)
+handle_failure (struct http_call_sink *sink, enum status why, bool sent, int64_t now)
 {
   struct flow_attempt *attempt = CONTAINER_OF (sink, struct flow_attempt, sink);
   struct flow_request *request = flow_find_request (attempt->flow, attempt->request);
@@ -145,8 +145,8 @@
 }
 
 const struct http_call_sink_ops flow_reply_ops = {
-  .head = take_head,
-  .data = take_data,
-  .end = take_end,
-  .failed = take_failure,
+  .head = handle_head,
+  .data = handle_data,
+  .end = handle_end,
+  .failed = handle_failure,
 };
--- a/src/flow_stage.c
+++ b/src/flow_stage.c
@@ -17,7 +17,7 @@
 };
 
 static uint32_t
-tokens_now (const struct flow_request *request)
+stage_input_tokens (const struct flow_request *request)
 {
   if (request->raw != NULL)
     return request->decide.input_tokens;
@@ -55,20 +55,20 @@
 }
 
 static bool
-has_live (const struct flow_request *request)
+has_live_attempt (const struct flow_request *request)
 {
   int i;
 
-  for (i = 0; i < FLOW_LIVE_MAX; i++)
+  for (i = 0; i < FLOW_LIVE_ATTEMPTS_MAX; i++)
     {
-      if (!handle_is_none (request->live[i]))
+      if (!handle_is_none (request->live_attempts[i]))
         return true;
     }
   return false;
 }
 
 bool
-flow_may_send_again (const struct flow_request *request, bool certainly_not_run)
+flow_can_send_again (const struct flow_request *request, bool certainly_not_run)
 {
   /* An unrepeatable request runs at most once.  Another attempt may start only when the last one
    * certainly did not run: no byte of it was sent, or its target answered, with our id and attempt
@@ -83,36 +83,36 @@
 
 /* ---- target selection ---- */
 
-/* No target is usable.  A request that has work done waits up to FLOW_WAITS_MAX times for a target
- * to come back, since failing would lose that work; one that has sent nothing is refused at once,
- * which costs nothing. */
+/* No target is usable.  A request that has work done waits up to FLOW_TARGET_WAITS_MAX times for a
+ * target to come back, since failing would lose that work; one that has sent nothing is refused at
+ * once, which costs nothing. */
 static void
-no_target (struct flow_request *request, enum decide_reason reason, int64_t now)
+handle_no_target (struct flow_request *request, enum decide_reason reason, int64_t now)
 {
   struct flow_stage_record *record = flow_stage_record (request);
-  bool may_pass = reason == DECIDE_NO_TARGET || reason == DECIDE_FULL;
+  bool can_recover = reason == DECIDE_NO_TARGET || reason == DECIDE_FULL;
 
-  if (may_pass && request->n_sent > 0 && record->waits < FLOW_WAITS_MAX)
+  if (can_recover && request->n_sent > 0 && record->waits < FLOW_TARGET_WAITS_MAX)
     {
       record->waits++;
       request->n_tried = 0;
-      request->waiting = true;
-      timer_arm (request->flow->config.timers, &request->check, now + FLOW_WAIT_TIME);
+      request->waiting_for_target = true;
+      timer_arm (request->flow->config.timers, &request->check, now + FLOW_TARGET_WAIT_INTERVAL);
       return;
     }
   if (reason == DECIDE_WINDOW)
-    flow_end_for (request, FLOW_REASON_WINDOW, 0, now);
+    flow_end_with_reason (request, FLOW_REASON_WINDOW, 0, now);
   else if (reason == DECIDE_FULL)
-    flow_end_for (request, FLOW_REASON_FULL, FLOW_RETRY_AFTER, now);
+    flow_end_with_reason (request, FLOW_REASON_FULL, FLOW_RETRY_AFTER_DEFAULT, now);
   else
-    flow_end_for (request, FLOW_REASON_NO_TARGET, FLOW_RETRY_AFTER, now);
+    flow_end_with_reason (request, FLOW_REASON_NO_TARGET, FLOW_RETRY_AFTER_DEFAULT, now);
 }
 
 /* An attempt that certainly did not run used no capacity, so its retry is not charged to the retry
  * budget: a single full target would otherwise exhaust the retries needed for failures, and fail
  * requests that other targets have room for.  The limit on attempts still applies. */
 static enum decide_reason
-ask_retry (const struct flow_request *request, uint32_t attempts, bool not_run, int64_t now)
+check_retry (const struct flow_request *request, uint32_t attempts, bool not_run, int64_t now)
 {
   if (!not_run)
     return decide_retry (request->flow->config.decide, &request->decide, attempts, now);
@@ -120,10 +120,10 @@
 }
 
 static bool
-take_retry (struct flow_request *request, enum decide_end end, bool not_run, int64_t now)
+admit_retry (struct flow_request *request, enum decide_end end, bool not_run, int64_t now)
 {
   enum decide_reason reason =
-      ask_retry (request, flow_stage_record (request)->attempts, not_run, now);
+      check_retry (request, flow_stage_record (request)->attempts, not_run, now);
 
   if (reason == DECIDE_ADMITTED)
     {
@@ -131,11 +131,11 @@
       return true;
     }
   if (reason == DECIDE_WINDOW)
-    flow_end_for (request, FLOW_REASON_WINDOW, 0, now);
+    flow_end_with_reason (request, FLOW_REASON_WINDOW, 0, now);
   else if (reason == DECIDE_BUDGET)
-    flow_end_for (request, FLOW_REASON_BUDGET, FLOW_RETRY_AFTER, now);
+    flow_end_with_reason (request, FLOW_REASON_BUDGET, FLOW_RETRY_AFTER_DEFAULT, now);
   else
-    flow_end_for (request, reasons_of_end[end], FLOW_RETRY_AFTER, now);
+    flow_end_with_reason (request, reasons_of_end[end], FLOW_RETRY_AFTER_DEFAULT, now);
   return false;
 }
 
@@ -148,15 +148,15 @@
 
   do
     {
-      reason = decide_choose (decide, &request->decide, tokens_now (request), request->tried,
-                              request->n_tried, now, &choice);
+      reason = decide_choose (decide, &request->decide, stage_input_tokens (request),
+                              request->tried, request->n_tried, now, &choice);
       if (reason != DECIDE_ADMITTED)
-        return no_target (request, reason, now);
+        return handle_no_target (request, reason, now);
       if (flow_attempt_start (request, &choice, false, now) == STATUS_OK)
         return;
       add_tried (request, choice.target);
     }
-  while (take_retry (request, DECIDE_END_BROKEN, true, now));
+  while (admit_retry (request, DECIDE_END_BROKEN, true, now));
 }
 
 /* ---- start and end of a stage ---- */
@@ -167,24 +167,24 @@
   struct flow_stage_record *record = flow_stage_record (request);
 
   request->phase = FLOW_PHASE_RUNNING;
-  request->n_begun_stages = request->decide.stage + 1;
+  request->n_started_stages = request->decide.stage + 1;
   request->n_tried = 0;
   record->started = now;
   bytes_clear (&request->text.text);
-  bytes_clear (&request->text.ends);
-  request->text.pieces = 0;
+  bytes_clear (&request->text.piece_ends);
+  request->text.n_pieces = 0;
   request->text.finished = false;
-  request->text.feeder = (struct handle){ 0 };
+  request->text.source = (struct handle){ 0 };
   if (flow_stage_spec (request)->kind == STAGE_GENERATE)
     hash_prefix (request);
   if (decide_hopeless (request->flow->config.decide, &request->decide, now))
-    return flow_end_for (request, FLOW_REASON_WINDOW, 0, now);
+    return flow_end_with_reason (request, FLOW_REASON_WINDOW, 0, now);
   flow_check_arm (request, now);
   try_targets (request, now);
 }
 
 void
-flow_stage_done (struct flow_request *request, int64_t now)
+flow_stage_complete (struct flow_request *request, int64_t now)
 {
   struct flow_verdict verdict = { .outcome = FLOW_WHOLE, .reason = FLOW_REASON_DONE };
 
@@ -193,7 +193,7 @@
     return flow_end (request, &verdict, now);
   /* The caller got "unknown" at the deadline, so the remaining stages are not run. */
   if (request->phase == FLOW_PHASE_SETTLING)
-    return flow_end_for (request, FLOW_REASON_WINDOW, 0, now);
+    return flow_end_with_reason (request, FLOW_REASON_WINDOW, 0, now);
   request->decide.stage++;
   flow_stage_begin (request, now);
 }
@@ -201,16 +201,16 @@
 void
 flow_stage_failed (struct flow_request *request, const struct flow_failure *failure, int64_t now)
 {
-  if (has_live (request))
+  if (has_live_attempt (request))
     return;
   add_tried (request, failure->target);
   if (failure->rejected)
-    return flow_end_for (request, FLOW_REASON_TARGET_REJECTED, 0, now);
-  if (!flow_may_send_again (request, failure->not_run) || request->phase == FLOW_PHASE_SETTLING)
-    return flow_end_for (request, reasons_of_end[failure->end], 0, now);
+    return flow_end_with_reason (request, FLOW_REASON_TARGET_REJECTED, 0, now);
+  if (!flow_can_send_again (request, failure->not_run) || request->phase == FLOW_PHASE_SETTLING)
+    return flow_end_with_reason (request, reasons_of_end[failure->end], 0, now);
   if (decide_hopeless (request->flow->config.decide, &request->decide, now))
-    return flow_end_for (request, FLOW_REASON_WINDOW, 0, now);
-  if (take_retry (request, failure->end, failure->not_run, now))
+    return flow_end_with_reason (request, FLOW_REASON_WINDOW, 0, now);
+  if (admit_retry (request, failure->end, failure->not_run, now))
     try_targets (request, now);
 }
 
@@ -224,12 +224,12 @@
   /* Unrepeatable work is never sent twice.  An attempt that has returned data makes progress, while
    * a hedge would start from the beginning. */
   if (!request->decide.repeatable || slow->first_data > 0 || request->phase != FLOW_PHASE_RUNNING
-      || !handle_is_none (request->live[0]) == !handle_is_none (request->live[1]))
+      || !handle_is_none (request->live_attempts[0]) == !handle_is_none (request->live_attempts[1]))
     return;
   memcpy (tried, request->tried, request->n_tried * sizeof *tried);
   tried[request->n_tried] = slow->choice.target;
-  if (decide_choose (decide, &request->decide, tokens_now (request), tried, request->n_tried + 1,
-                     now, &choice)
+  if (decide_choose (decide, &request->decide, stage_input_tokens (request), tried,
+                     request->n_tried + 1, now, &choice)
           != DECIDE_ADMITTED
       || handle_equal (choice.target, slow->choice.target))
     return;
@@ -246,25 +246,25 @@
 void
 flow_check_arm (struct flow_request *request, int64_t now)
 {
-  int64_t step = (request->decide.deadline - now) / FLOW_CHECK_SHARE;
+  int64_t step = (request->decide.deadline - now) / FLOW_CHECK_INTERVAL_DIVISOR;
 
   timer_arm (request->flow->config.timers, &request->check,
-             now + (step > FLOW_CHECK_MIN ? step : FLOW_CHECK_MIN));
+             now + (step > FLOW_CHECK_INTERVAL_MIN ? step : FLOW_CHECK_INTERVAL_MIN));
 }
 
 void
 flow_check_fire (struct timer *timer, int64_t now)
 {
   struct flow_request *request = CONTAINER_OF (timer, struct flow_request, check);
-  bool may_end = request->decide.repeatable || !has_live (request);
+  bool can_end = request->decide.repeatable || !has_live_attempt (request);
 
   if (request->phase != FLOW_PHASE_RUNNING)
     return;
-  if (may_end && decide_hopeless (request->flow->config.decide, &request->decide, now))
-    return flow_end_for (request, FLOW_REASON_WINDOW, 0, now);
+  if (can_end && decide_hopeless (request->flow->config.decide, &request->decide, now))
+    return flow_end_with_reason (request, FLOW_REASON_WINDOW, 0, now);
   flow_check_arm (request, now);
-  if (!request->waiting)
+  if (!request->waiting_for_target)
     return;
-  request->waiting = false;
+  request->waiting_for_target = false;
   try_targets (request, now);
 }
--- a/src/host_drain.c
+++ b/src/host_drain.c
@@ -18,7 +18,7 @@
 {
   struct host *host = CONTAINER_OF (actions, struct host, drain_actions);
 
-  return flow_idle (host->flow) && claim_log_pending (host->claims) == 0
+  return flow_is_idle (host->flow) && claim_log_pending (host->claims) == 0
          && http_server_pending (host->server) == 0;
 }
 
--- a/tests/flow_fakes.h
+++ b/tests/flow_fakes.h
@@ -137,7 +137,7 @@
   };
   std::vector<std::unique_ptr<fake_call>> calls;
   std::vector<std::unique_ptr<fake_call>> cancels; // POST /v1/cancel
-  enum status refuse = STATUS_OK;                  // returned by start() when not STATUS_OK
+  enum status start_status = STATUS_OK;            // returned by start() when not STATUS_OK
 };
 
 inline fake_client *
@@ -156,8 +156,8 @@
   auto *self = client_of (client);
   auto call = std::make_unique<fake_call> ();
 
-  if (self->refuse != STATUS_OK)
-    return self->refuse;
+  if (self->start_status != STATUS_OK)
+    return self->start_status;
   call->address = spec->address;
   call->path = spec->path;
   call->body.assign (static_cast<const char *> (spec->body), spec->body_length);
@@ -197,7 +197,7 @@
   int taken = 0, released = 0, withdrawn = 0;
   int64_t deadline = 0;                       // of the last take()
   std::vector<struct claim_waiter *> storing; // answered by the store() of flow_harness.h
-  bool slow_store = false;                    // outcomes are stored only by an explicit store()
+  bool manual_store = false;                  // outcomes are stored only by an explicit store()
 };
 
 inline fake_claims *
--- a/tests/flow_harness.h
+++ b/tests/flow_harness.h
@@ -10,7 +10,7 @@
 namespace flow_harness
 {
 
-class world : public ::testing::Test
+class flow_fixture : public ::testing::Test
 {
 protected:
   void *memory = talloc_new (nullptr);
@@ -228,9 +228,9 @@
   }
 
   void
-  store_soon ()
+  store_unless_manual ()
   {
-    if (!claims.slow_store)
+    if (!claims.manual_store)
       store ();
   }
 
@@ -245,7 +245,7 @@
       list.push_back ({ name.c_str (), value.c_str () });
     ASSERT_TRUE (c.open);
     c.sink->ops->head (c.sink, code, list.data (), list.size (), now);
-    store_soon ();
+    store_unless_manual ();
   }
 
   void
@@ -261,7 +261,7 @@
     ASSERT_TRUE (c.open);
     c.open = false;
     c.sink->ops->end (c.sink, now);
-    store_soon ();
+    store_unless_manual ();
   }
 
   void
@@ -270,7 +270,7 @@
     ASSERT_TRUE (c.open);
     c.open = false;
     c.sink->ops->failed (c.sink, why, sent, now);
-    store_soon ();
+    store_unless_manual ();
   }
 
   void
@@ -300,7 +300,7 @@
 
   // Answers a call of any stage successfully; the text of a generation is "ab".
   void
-  answer_well (fake_call &c)
+  answer_with_success (fake_call &c)
   {
     if (c.path == "/v1/embeddings")
       answer (c, R"({"data": [{"embedding": [0.5, 1]}], "usage": {"prompt_tokens": 3}})");
@@ -325,13 +325,13 @@
       {
         now = timer_service_next (timers);
         timer_service_run (timers, now);
-        store_soon ();
+        store_unless_manual ();
       }
     now = until;
   }
 
   void
-  claim_says (enum claim_verdict verdict, const fake_claims::settled &stored = { 0, "", "" })
+  answer_claim (enum claim_verdict verdict, const fake_claims::settled &stored = { 0, "", "" })
   {
     struct claim_answer answer = { .verdict = verdict,
                                    .code = stored.code,
@@ -355,15 +355,15 @@
         auto *x = send (path, body);
 
         advance (USEC_PER_MSEC);
-        answer_well (last_call ());
+        answer_with_success (last_call ());
         ASSERT_EQ (x->outcome (), "whole");
       }
     client.calls.clear ();
-    forget_cancels ();
+    clear_cancels ();
   }
 
   void
-  forget_cancels ()
+  clear_cancels ()
   {
     end_cancels ();
     client.cancels.clear ();
@@ -378,19 +378,19 @@
   }
 
   double
-  counted (const char *name, const char *labels = nullptr)
+  counter_value (const char *name, const char *labels = nullptr)
   {
     return counter_get (counters, name, "", labels)->value;
   }
 
   // No exchange was answered twice, and no request, call or load count is left.
   void
-  expect_all_over ()
+  expect_nothing_in_flight ()
   {
     for (const auto &x : exchanges)
       EXPECT_LE (x->answers, 1);
     end_cancels ();
-    EXPECT_TRUE (flow_idle (flow));
+    EXPECT_TRUE (flow_is_idle (flow));
     for (const auto &c : client.calls)
       EXPECT_FALSE (c->open);
     uint32_t cursor = 0;
--- a/tests/unit_flow.cc
+++ b/tests/unit_flow.cc
@@ -7,7 +7,7 @@
 
 using flow_harness::fields;
 
-class Flow : public flow_harness::world
+class Flow : public flow_harness::flow_fixture
 {
 };
 
@@ -22,7 +22,7 @@
       EXPECT_EQ (call (i).headers["x-request-id"], "r1");
       EXPECT_EQ (call (i).headers["x-organisation"], "acme");
       advance (1000);
-      answer_well (call (i));
+      answer_with_success (call (i));
     }
   EXPECT_EQ (call (1).body, R"({"query":"q","embedding":[0.5,1],"top":3})");
   EXPECT_EQ (call (2).body, R"({"model":"m1","query":"q","documents":["A","B","C"],"top_n":2})");
@@ -38,7 +38,7 @@
   EXPECT_DOUBLE_EQ (json_real_value (json_object_get (last, "cost")), 0.002);
   EXPECT_DOUBLE_EQ (json_real_value (json_object_get (last, "ms")), 1);
   json_decref (json);
-  expect_all_over ();
+  expect_nothing_in_flight ();
 }
 
 // Parsing and rewriting a service's JSON would change its numbers and spaces: body and answer must
@@ -51,7 +51,7 @@
   answer (last_call (), "{\"total\": 2.20 }");
   EXPECT_EQ (x->answer, "{\"total\": 2.20 }");
   EXPECT_EQ (x->outcome (), "whole");
-  expect_all_over ();
+  expect_nothing_in_flight ();
 }
 
 TEST_F (Flow, BadInputNamesTheFieldAndNothingIsSent)
@@ -92,7 +92,7 @@
           << x->answer;
     }
   EXPECT_TRUE (client.calls.empty ());
-  expect_all_over ();
+  expect_nothing_in_flight ();
 }
 
 TEST_F (Flow, RefusalsBeforeTheFirstByteAreNotRun)
@@ -113,8 +113,8 @@
   EXPECT_EQ (full->outcome (), "not-run");
   EXPECT_EQ (full->answer_fields["retry-after"], "1");
   for (size_t i = 0; i < client.calls.size (); i++)
-    answer_well (call (i));
-  expect_all_over ();
+    answer_with_success (call (i));
+  expect_nothing_in_flight ();
 }
 
 // The leases of all targets have expired.  Nothing was sent, so the outcome is "not-run" and the
@@ -130,7 +130,7 @@
   EXPECT_EQ (x->code, 503);
   EXPECT_EQ (x->outcome (), "not-run");
   EXPECT_NE (x->answer.find ("\"retry_after_ms\":"), std::string::npos);
-  expect_all_over ();
+  expect_nothing_in_flight ();
 }
 
 // The target hangs until the deadline: the caller gets 504 with the outcome "failed", the call is
@@ -145,7 +145,7 @@
   ASSERT_FALSE (client.cancels.empty ());
   EXPECT_NE (client.cancels[0]->body.find (call (0).attempt ()), std::string::npos);
   EXPECT_EQ (client.cancels[0]->address, call (0).address);
-  expect_all_over ();
+  expect_nothing_in_flight ();
 }
 
 // The caller disconnects while the second of four stages runs: the call is closed and the target
@@ -154,13 +154,14 @@
 {
   auto *x = send ("/v1/pipelines/claims/requests", R"({"input": "q"})");
 
-  answer_well (call (0));
+  answer_with_success (call (0));
   x->base.watcher->ops->closed (x->base.watcher, now);
   EXPECT_TRUE (call (1).closed);
   EXPECT_EQ (client.cancels.size (), 1u);
   EXPECT_EQ (x->answers, 0);
-  EXPECT_GT (counted ("cherryarch_requests_total", "outcome=\"failed\",reason=\"caller-gone\""), 0);
-  expect_all_over ();
+  EXPECT_GT (
+      counter_value ("cherryarch_requests_total", "outcome=\"failed\",reason=\"caller-gone\""), 0);
+  expect_nothing_in_flight ();
 }
 
 // A shutdown exceeds its time limit: every request is ended with the outcome of its state.
@@ -169,14 +170,14 @@
   auto *draft = send_draft ();
   auto *order = send_order ();
 
-  claim_says (CLAIM_GRANTED);
+  answer_claim (CLAIM_GRANTED);
   auto *claiming = send_order ({ { "x-request-id", "order-2" } });
   EXPECT_EQ (flow_abort_all (flow, "drain bound", now), 3u);
   EXPECT_EQ (draft->outcome (), "failed");
   EXPECT_EQ (order->outcome (), "unknown");
   EXPECT_EQ (claiming->outcome (), "not-run");
   EXPECT_EQ (claims.withdrawn, 1);
-  expect_all_over ();
+  expect_nothing_in_flight ();
 }
 
 TEST_F (Flow, TheDumpShowsWhatIsInFlight)
@@ -189,8 +190,8 @@
   EXPECT_NE (std::string (text).find ("\"attempts_in_flight\": 1"), std::string::npos);
   free (text);
   json_decref (json);
-  answer_well (call (0));
-  expect_all_over ();
+  answer_with_success (call (0));
+  expect_nothing_in_flight ();
 }
 
 } // namespace
--- a/tests/unit_flow_cost.cc
+++ b/tests/unit_flow_cost.cc
@@ -7,7 +7,7 @@
 namespace
 {
 
-class FlowCost : public flow_harness::world
+class FlowCost : public flow_harness::flow_fixture
 {
 protected:
   static int
@@ -26,7 +26,7 @@
         auto *x = send (path, body, { { "x-request-id", "r" + std::to_string (i) } });
 
         while (x->answers == 0)
-          answer_well (last_call ());
+          answer_with_success (last_call ());
         ASSERT_EQ (x->outcome (), "whole");
         client.calls.clear ();
         exchanges.clear ();
--- a/tests/unit_flow_retry.cc
+++ b/tests/unit_flow_retry.cc
@@ -6,7 +6,7 @@
 
 using flow_harness::fields;
 
-class FlowRetry : public flow_harness::world
+class FlowRetry : public flow_harness::flow_fixture
 {
 protected:
   void
@@ -24,7 +24,7 @@
   auto *x = send ("/v1/pipelines/claims/requests", R"({"input": "q"})");
 
   for (size_t i = 0; i < 3; i++)
-    answer_well (call (i));
+    answer_with_success (call (i));
   head (call (3));
   data (call (3), piece (0, "a") + "data: {\"cho");
   fail (call (3));
@@ -36,8 +36,8 @@
   answer (call (4), piece (1, "b") + last_piece (2));
   EXPECT_NE (x->answer.find ("\"text\":\"ab\""), std::string::npos) << x->answer;
   EXPECT_NE (x->answer.find ("\"attempts\":2"), std::string::npos);
-  EXPECT_DOUBLE_EQ (counted ("cherryarch_resumes_total"), 1);
-  expect_all_over ();
+  EXPECT_DOUBLE_EQ (counter_value ("cherryarch_resumes_total"), 1);
+  expect_nothing_in_flight ();
 }
 
 // A target returns the answer of another request or of another attempt.  It must not reach the
@@ -54,8 +54,8 @@
       answer (last_call (), R"({"order": "mine"})");
       EXPECT_EQ (x->answer, R"({"order": "mine"})");
     }
-  EXPECT_DOUBLE_EQ (counted ("cherryarch_answers_dropped_total"), 2);
-  expect_all_over ();
+  EXPECT_DOUBLE_EQ (counter_value ("cherryarch_answers_dropped_total"), 2);
+  expect_nothing_in_flight ();
 }
 
 // A target sends its answer twice in one body.  Accepting the first half would hide the fault, so
@@ -67,7 +67,7 @@
   answer (last_call (), R"({"order": 1}{"order": 1})");
   answer (last_call (), R"({"order": 2})");
   EXPECT_EQ (x->answer, R"({"order": 2})");
-  expect_all_over ();
+  expect_nothing_in_flight ();
 }
 
 // A target is slow and a second attempt answers.  The first call is closed, so that a late answer
@@ -80,10 +80,10 @@
   while (client.calls.size () < 2 && x->answers == 0)
     advance (USEC_PER_MSEC);
   ASSERT_EQ (client.calls.size (), 2u);
-  answer_well (call (1));
+  answer_with_success (call (1));
   EXPECT_FALSE (call (0).open);
   EXPECT_EQ (x->outcome (), "whole");
-  expect_all_over ();
+  expect_nothing_in_flight ();
 }
 
 // After a start there are no measurements of how long a generation takes, and an engine accepts a
@@ -100,7 +100,7 @@
   EXPECT_NE (call (0).address, call (1).address);
   answer (call (1), piece (0, "a") + last_piece (1));
   EXPECT_EQ (x->outcome (), "whole");
-  expect_all_over ();
+  expect_nothing_in_flight ();
 }
 
 // After the first piece, the time limit for first data must not end a long answer.
@@ -116,7 +116,7 @@
   data (call (0), piece (1, "b") + last_piece (2));
   end (call (0));
   EXPECT_NE (x->answer.find ("\"text\":\"ab\""), std::string::npos);
-  expect_all_over ();
+  expect_nothing_in_flight ();
 }
 
 // An engine hangs.  A hedge starts at another target and answers before the deadline; the first
@@ -126,7 +126,7 @@
   warm_up_draft ();
   auto *x = send_draft ();
 
-  while (counted ("cherryarch_hedges_total") < 1 && x->answers == 0)
+  while (counter_value ("cherryarch_hedges_total") < 1 && x->answers == 0)
     advance (USEC_PER_MSEC);
   ASSERT_EQ (client.calls.size (), 2u);
   EXPECT_TRUE (call (0).open);
@@ -141,7 +141,7 @@
   data (call (1), piece (1, "b") + last_piece (2));
   end (call (1));
   EXPECT_NE (x->answer.find ("\"text\":\"ab\""), std::string::npos);
-  expect_all_over ();
+  expect_nothing_in_flight ();
 }
 
 // An encoder hangs and its hedge answers.  The first call must be closed before the next stage
@@ -155,25 +155,25 @@
       while (x->answers == 0)
         {
           advance (USEC_PER_MSEC);
-          answer_well (last_call ());
+          answer_with_success (last_call ());
         }
     }
   client.calls.clear ();
-  forget_cancels ();
+  clear_cancels ();
   auto *x = send ("/v1/pipelines/claims/requests", R"({"input": "q"})");
 
   while (client.calls.size () < 2 && x->answers == 0)
     advance (USEC_PER_MSEC);
   ASSERT_EQ (client.calls.size (), 2u);
   ASSERT_TRUE (call (0).open);
-  answer_well (call (1));
+  answer_with_success (call (1));
   EXPECT_TRUE (call (0).closed);
   EXPECT_EQ (client.cancels.size (), 1u);
   EXPECT_EQ (last_call ().path, "/v1/retrieve");
   for (int i = 0; i < 3; i++)
-    answer_well (last_call ());
+    answer_with_success (last_call ());
   EXPECT_EQ (x->outcome (), "whole");
-  expect_all_over ();
+  expect_nothing_in_flight ();
 }
 
 // A full target refuses the work.  Another target runs it; the caller does not notice.
@@ -184,9 +184,9 @@
   answer (call (0), "{}", 503, { { "x-not-run", "yes" } });
   ASSERT_EQ (client.calls.size (), 2u);
   EXPECT_NE (call (1).address, call (0).address);
-  answer_well (call (1));
+  answer_with_success (call (1));
   EXPECT_EQ (x->outcome (), "whole");
-  expect_all_over ();
+  expect_nothing_in_flight ();
 }
 
 // One of three targets is full and refuses all its calls.  Even a pipeline with a retry budget of 0
@@ -202,10 +202,10 @@
       if (last_call ().address == "generate1")
         answer (last_call (), "{}", 503, { { "x-not-run", "yes" } });
       advance (USEC_PER_MSEC);
-      answer_well (last_call ());
+      answer_with_success (last_call ());
       ASSERT_EQ (x->outcome (), "whole") << i << x->answer;
     }
-  expect_all_over ();
+  expect_nothing_in_flight ();
 }
 
 // Every target fails.  The caller gets "failed" with a retry time at once, not at the deadline, and
@@ -221,7 +221,7 @@
   EXPECT_EQ (x->outcome (), "failed");
   EXPECT_NE (x->answer.find ("\"code\":\"target-failed\""), std::string::npos) << x->answer;
   EXPECT_NE (x->answer.find ("\"retry_after_ms\":1000"), std::string::npos);
-  expect_all_over ();
+  expect_nothing_in_flight ();
 }
 
 // A target finds the request invalid.  Every other target would as well, so none is tried.
@@ -232,19 +232,19 @@
   answer (call (0), "{}", 422);
   EXPECT_EQ (client.calls.size (), 1u);
   EXPECT_EQ (x->outcome (), "failed");
-  expect_all_over ();
+  expect_nothing_in_flight ();
 }
 
 // All connections are in use: no call can be started and no byte is sent, so the caller may resend
 // the request to any host.
 TEST_F (FlowRetry, ACallThatCannotStartIsNotRun)
 {
-  client.refuse = STATUS_LIMIT;
+  client.start_status = STATUS_LIMIT;
   auto *x = send_draft ();
 
   EXPECT_EQ (x->outcome (), "not-run");
   EXPECT_EQ (x->code, 503);
-  expect_all_over ();
+  expect_nothing_in_flight ();
 }
 
 // Connections are refused by targets that are down: nothing was sent, so the outcome is "not-run".
@@ -255,7 +255,7 @@
   while (x->answers == 0)
     fail (last_call (), false);
   EXPECT_EQ (x->outcome (), "not-run");
-  expect_all_over ();
+  expect_nothing_in_flight ();
 }
 
 // The leases of all rerankers have expired when the third stage begins.  The request keeps the
@@ -271,18 +271,18 @@
           board_find_target (board, ("rerank" + std::to_string (i + 1)).c_str (), nullptr);
       rerankers[i]->lease_until = now;
     }
-  answer_well (call (0));
-  answer_well (call (1));
+  answer_with_success (call (0));
+  answer_with_success (call (1));
   EXPECT_EQ (client.calls.size (), 2u);
   advance (120 * USEC_PER_MSEC);
   EXPECT_EQ (x->answers, 0);
   rerankers[1]->lease_until = USEC_NEVER;
   advance (50 * USEC_PER_MSEC);
   ASSERT_EQ (client.calls.size (), 3u);
-  answer_well (call (2));
-  answer_well (call (3));
+  answer_with_success (call (2));
+  answer_with_success (call (3));
   EXPECT_EQ (x->outcome (), "whole");
-  expect_all_over ();
+  expect_nothing_in_flight ();
 }
 
 } // namespace
--- a/tests/unit_flow_stream.cc
+++ b/tests/unit_flow_stream.cc
@@ -20,7 +20,7 @@
   }
 };
 
-class FlowStream : public flow_harness::world
+class FlowStream : public flow_harness::flow_fixture
 {
 protected:
   fake_exchange *
@@ -37,7 +37,7 @@
   }
 
   void
-  begin_again ()
+  reset_fixture ()
   {
     TearDown ();
     memory = talloc_new (nullptr);
@@ -60,7 +60,7 @@
   // The first engine fails after three pieces; the second sends the first of them and `last`, which
   // must not end the stream; the third completes it.
   void
-  end_shorter (const std::string &last)
+  expect_shorter_text_rejected (const std::string &last)
   {
     auto *x = send_stream ();
 
@@ -72,7 +72,7 @@
     ASSERT_EQ (client.calls.size (), 3u);
     answer (call (2), last_piece (3));
     EXPECT_NE (x->answer.find ("{\"text\":\"abc\"}"), std::string::npos) << x->answer;
-    expect_all_over ();
+    expect_nothing_in_flight ();
   }
 
   static size_t
@@ -101,7 +101,7 @@
   EXPECT_NE (x->answer.find ("\"outcome\":\"whole\",\"result\":{\"text\":\"ab\"}"),
              std::string::npos);
   EXPECT_TRUE (x->ended);
-  expect_all_over ();
+  expect_nothing_in_flight ();
 }
 
 // An engine fails after two pieces were sent to the caller.  Another resumes and also repeats the
@@ -121,7 +121,7 @@
              0u);
   EXPECT_NE (x->answer.find ("{\"text\":\"abc\"}"), std::string::npos);
   EXPECT_EQ (count (x->answer, "event: token"), 3u);
-  expect_all_over ();
+  expect_nothing_in_flight ();
 }
 
 // An engine skips a piece.  Forwarding the next one would leave a gap in the text, so the attempt
@@ -136,7 +136,7 @@
   EXPECT_EQ (x->answer, token (0, "a"));
   answer (call (1), piece (1, "b") + piece (2, "c") + last_piece (3));
   EXPECT_NE (x->answer.find ("{\"text\":\"abc\"}"), std::string::npos);
-  expect_all_over ();
+  expect_nothing_in_flight ();
 }
 
 // The HTTP response ends correctly but without the last piece: the engine stopped early.  The
@@ -150,7 +150,7 @@
   ASSERT_EQ (client.calls.size (), 2u);
   answer (call (1), piece (1, "b") + last_piece (2));
   EXPECT_NE (x->answer.find ("{\"text\":\"ab\"}"), std::string::npos);
-  expect_all_over ();
+  expect_nothing_in_flight ();
 }
 
 // An engine sends its stream twice in one response: everything after the last piece is dropped.
@@ -163,8 +163,8 @@
   EXPECT_EQ (count (x->answer, "event: token"), 1u);
   EXPECT_EQ (count (x->answer, "event: end"), 1u);
   EXPECT_NE (x->answer.find ("{\"text\":\"a\"}"), std::string::npos);
-  EXPECT_DOUBLE_EQ (counted ("cherryarch_answers_dropped_total"), 2);
-  expect_all_over ();
+  EXPECT_DOUBLE_EQ (counter_value ("cherryarch_answers_dropped_total"), 2);
+  expect_nothing_in_flight ();
 }
 
 // An engine leaves its stream open after the last piece.  The text is complete, and the caller gets
@@ -178,7 +178,7 @@
   advance (60 * USEC_PER_MSEC);
   EXPECT_TRUE (x->ended);
   EXPECT_NE (x->answer.find ("\"outcome\":\"whole\""), std::string::npos);
-  expect_all_over ();
+  expect_nothing_in_flight ();
 }
 
 // The deadline passes after pieces were sent with status 200.  The single end event has the outcome
@@ -193,7 +193,7 @@
   EXPECT_EQ (count (x->answer, "event: end"), 1u);
   EXPECT_NE (x->answer.find ("\"outcome\":\"failed\""), std::string::npos) << x->answer;
   EXPECT_TRUE (x->ended);
-  expect_all_over ();
+  expect_nothing_in_flight ();
 }
 
 // The HTTP server reports a closed connection from within the write of a piece.  That ends the
@@ -214,7 +214,7 @@
   head (call (0));
   data (call (0), piece (0, "a") + piece (1, "b") + last_piece (2));
   EXPECT_TRUE (call (0).closed);
-  expect_all_over ();
+  expect_nothing_in_flight ();
 }
 
 // An engine omits the pieces before its last one.  The text has a gap at its end and is incomplete.
@@ -228,28 +228,29 @@
   EXPECT_NE (call (1).body.find ("\"resume_from\":1"), std::string::npos);
   answer (call (1), piece (1, "b") + piece (2, "c") + last_piece (3));
   EXPECT_NE (x->answer.find ("{\"text\":\"abc\"}"), std::string::npos) << x->answer;
-  expect_all_over ();
+  expect_nothing_in_flight ();
 }
 
 // The second engine ignores `resume_from` and ends a shorter text, which must not complete the
 // longer one that the caller has.  Here its last piece has an index but no text.
 TEST_F (FlowStream, TheEndOfAShorterTextDoesNotEndALongerOne)
 {
-  end_shorter (last_piece (1));
+  expect_shorter_text_rejected (last_piece (1));
 }
 
 // As above, but the last piece has text.
 TEST_F (FlowStream, TheLastTextOfAShorterTextDoesNotEndALongerOne)
 {
-  end_shorter (R"(data: {"choices": [{"text": "b", "index": 1, "finish_reason": "stop"}]})"
-               "\n\n");
+  expect_shorter_text_rejected (
+      R"(data: {"choices": [{"text": "b", "index": 1, "finish_reason": "stop"}]})"
+      "\n\n");
 }
 
 // As above, but the last piece has neither text nor index.
 TEST_F (FlowStream, AnEndWithoutAnIndexDoesNotEndALongerText)
 {
-  end_shorter (R"(data: {"choices": [{"text": "", "finish_reason": "stop"}]})"
-               "\n\n");
+  expect_shorter_text_rejected (R"(data: {"choices": [{"text": "", "finish_reason": "stop"}]})"
+                                "\n\n");
 }
 
 // The second engine fails in various ways: the end of its answer must not end the stream as
@@ -284,8 +285,8 @@
       advance (5 * USEC_PER_SEC);
       EXPECT_EQ (count (x->answer, "event: end"), 1u);
       EXPECT_NE (x->answer.find ("\"outcome\":\"failed\""), std::string::npos) << x->answer;
-      expect_all_over ();
-      begin_again ();
+      expect_nothing_in_flight ();
+      reset_fixture ();
     }
 }
 
@@ -300,7 +301,7 @@
   answer (call (1), "{}", 422);
   EXPECT_EQ (count (x->answer, "event: end"), 1u);
   EXPECT_NE (x->answer.find ("\"outcome\":\"failed\""), std::string::npos) << x->answer;
-  expect_all_over ();
+  expect_nothing_in_flight ();
 }
 
 // The second engine starts from the beginning and generates another text.  Joined to the pieces
@@ -318,7 +319,7 @@
   EXPECT_EQ (count (x->answer, "event: token"), 2u);
   EXPECT_EQ (count (x->answer, "event: end"), 1u);
   EXPECT_NE (x->answer.find ("\"outcome\":\"failed\""), std::string::npos) << x->answer;
-  expect_all_over ();
+  expect_nothing_in_flight ();
 }
 
 // Out of memory for a piece.  The next attempt must not resume after it as if it had been stored.
@@ -338,7 +339,7 @@
   answer (call (1), last_piece (1));
   advance (5 * USEC_PER_SEC);
   EXPECT_EQ (x->answer.find ("\"outcome\":\"whole\""), std::string::npos) << x->answer;
-  expect_all_over ();
+  expect_nothing_in_flight ();
 }
 
 // Each of the JSON allocations for a piece fails in turn.  A stream without the piece must not end
@@ -364,8 +365,8 @@
       EXPECT_TRUE (x->aborted || count (x->answer, "event: token") == 2) << step << x->answer;
       EXPECT_TRUE (!x->aborted || count (x->answer, "event: end") == 0) << step << x->answer;
       EXPECT_EQ (x->answers, 1) << step;
-      expect_all_over ();
-      begin_again ();
+      expect_nothing_in_flight ();
+      reset_fixture ();
       failing_malloc::left = step + 1;
     }
 }
