--- a/bench/cmd_policy_cost.c
+++ b/bench/cmd_policy_cost.c
@@ -133,14 +133,14 @@
   bed->choose += chosen - start;
   if (reason != DECIDE_ADMITTED)
     return;
-  decide_started (bed->decide, request, &choice, bed->now);
+  decide_attempt_started (bed->decide, request, &choice, bed->now);
   result.target = choice.target;
   result.choice = choice;
   result.started = bed->now;
   result.first_data = bed->now + 50 * USEC_PER_MSEC;
   result.ended = bed->now + (int64_t) (200 * USEC_PER_MSEC);
   result.input_tokens = request->input_tokens;
-  decide_ended (bed->decide, request, &result, result.ended);
+  decide_attempt_ended (bed->decide, request, &result, result.ended);
   bed->account += seconds () - chosen;
 }
 
--- a/bench/policy_choose.c
+++ b/bench/policy_choose.c
@@ -70,12 +70,13 @@
     }
   if (best == NULL)
     return DECIDE_NO_TARGET;
-  *out = (struct decide_choice){
-    .target = best->handle, .first_by = USEC_NEVER, .give_up = USEC_NEVER, .hedge_at = USEC_NEVER
-  };
+  *out = (struct decide_choice){ .target = best->handle,
+                                 .first_output_by = USEC_NEVER,
+                                 .timeout_at = USEC_NEVER,
+                                 .hedge_at = USEC_NEVER };
   /* Half of what is left for the first attempt, so that one that hangs can be tried again. */
   if (request->decide.repeatable
       && request->stage_attempts + 1 < run->specs[request->pipeline].max_attempts)
-    out->first_by = now + (request->decide.deadline - now) / 2;
+    out->first_output_by = now + (request->decide.deadline - now) / 2;
   return DECIDE_ADMITTED;
 }
--- a/bench/policy_flow.c
+++ b/bench/policy_flow.c
@@ -101,7 +101,7 @@
     return;
   if (spec_of (request)->stages[attempt->stage].kind == STAGE_GENERATE)
     result.output_tokens = request->trace->output_tokens;
-  decide_ended (request->host->decide, &request->decide, &result, now);
+  decide_attempt_ended (request->host->decide, &request->decide, &result, now);
 }
 
 static void
@@ -218,14 +218,14 @@
   run->result.attempts++;
   if (!request->decide.repeatable && request->sent[attempt->stage]++ > 0)
     run->result.duplicates++;
-  if (request->decide.repeatable && choice->first_by < request->decide.deadline)
-    timer_arm (run->timers, &attempt->first_due, choice->first_by);
-  if (request->decide.repeatable && choice->give_up < request->decide.deadline)
-    timer_arm (run->timers, &attempt->give_up, choice->give_up);
+  if (request->decide.repeatable && choice->first_output_by < request->decide.deadline)
+    timer_arm (run->timers, &attempt->first_due, choice->first_output_by);
+  if (request->decide.repeatable && choice->timeout_at < request->decide.deadline)
+    timer_arm (run->timers, &attempt->give_up, choice->timeout_at);
   if (request->decide.repeatable && !is_hedge && choice->hedge_at < request->decide.deadline)
     timer_arm (run->timers, &attempt->hedge, choice->hedge_at);
   if (is_ours (request))
-    decide_started (request->host->decide, &request->decide, choice, now);
+    decide_attempt_started (request->host->decide, &request->decide, choice, now);
   policy_target_take (attempt->target, attempt, now);
 }
 
@@ -271,7 +271,8 @@
   request->decide.n_prefix = 0;
   if (spec_of (request)->stages[request->decide.stage].kind == STAGE_GENERATE)
     fill_prefix (request);
-  if (is_ours (request) && decide_hopeless (request->host->decide, &request->decide, now))
+  if (is_ours (request)
+      && decide_deadline_is_unreachable (request->host->decide, &request->decide, now))
     finish (request, false, now);
   else
     try_targets (request, now);
@@ -324,7 +325,8 @@
       (struct policy_request *) ((char *) timer - offsetof (struct policy_request, check));
   int64_t step = (request->decide.deadline - now) / CHECK_SHARE;
 
-  if (request->decide.repeatable && decide_hopeless (request->host->decide, &request->decide, now))
+  if (request->decide.repeatable
+      && decide_deadline_is_unreachable (request->host->decide, &request->decide, now))
     finish (request, false, now);
   else
     timer_arm (request->run->timers, timer, now + (step > CHECK_MIN ? step : CHECK_MIN));
--- a/src/balance.c
+++ b/src/balance.c
@@ -9,17 +9,17 @@
 #define CANDIDATES_MAX 8192
 
 /* Maximum of the hash-based tie-break between engines of similar cost, in microseconds. */
-#define FIRST_PLACE_US 5000.0
+#define TIE_BREAK_MAX_US 5000.0
 
 /* Cost of not using a prompt's home engine: this share of the cost of prefilling its shared parts
  * again, up to a maximum.  When all hosts restart they don't know the engines' caches; a part that
  * was first prefilled on its home engine is found there again.  Over forty days this lost 0.002
  * less of the mean worth to repeated prefill, 0.530 instead of 0.523 in all. */
-#define HOME_SHARE 0.3
-#define HOME_MOST_US 80000.0
+#define LEAVE_HOME_COST_SHARE 0.3
+#define LEAVE_HOME_COST_MAX_US 80000.0
 
 /* Share of failed calls above which a target is ejected even without consecutive failures. */
-#define FAILING_SHARE 0.3
+#define FAILURE_RATE_MAX 0.3
 
 void
 balance_init (struct balance *balance,
@@ -45,7 +45,7 @@
  * previous one do not apply.  Calls to the previous one stay in flight until their connections
  * end. */
 static void
-forget_incarnation (struct balance *balance, struct balance_target *target)
+reset_incarnation (struct balance *balance, struct balance_target *target)
 {
   const struct registry_word *word = &target->record->word;
 
@@ -56,12 +56,12 @@
   text_copy_cut (target->pool, sizeof target->pool, word->pool);
   text_copy_cut (target->domain, sizeof target->domain, word->domain);
   text_copy_cut (target->address, sizeof target->address, word->address);
-  target->left = false;
+  target->leaving = false;
   target->failures = 0;
-  target->failing = 0;
-  target->latency = 0;
+  target->failure_rate = 0;
+  target->latency_us = 0;
   target->ejected_until = 0;
-  target->eject_for = 0;
+  target->ejection_time = 0;
 }
 
 void
@@ -78,16 +78,16 @@
         return;
       text_copy_cut (target->id, sizeof target->id, record->word.id);
       target->record = record;
-      forget_incarnation (balance, target);
+      reset_incarnation (balance, target);
       target->next = balance->targets;
       balance->targets = target;
       record->user = target;
     }
   if (target->started != record->word.started)
-    forget_incarnation (balance, target);
+    reset_incarnation (balance, target);
   target->usable = registry_usable (record);
-  target->gone = record->word.state != REGISTRY_READY;
-  target->left = target->left || record->word.state == REGISTRY_LEAVING;
+  target->excluded = record->word.state != REGISTRY_READY;
+  target->leaving = target->leaving || record->word.state == REGISTRY_LEAVING;
   if (record->word.state == REGISTRY_GONE)
     engine_load_remove_target (balance->engines, target->id_hash);
 }
@@ -126,12 +126,12 @@
 /* Collects the candidates of the best of three ranks that has any: usable targets; also ejected
  * ones; also those that stopped renewing, which may only be partitioned from the controllers. */
 static uint32_t
-gather (const struct balance *balance,
-        const char *pool,
-        struct balance_target *const *tried,
-        uint32_t n_tried,
-        int64_t now,
-        struct balance_target **out)
+collect_candidates (const struct balance *balance,
+                    const char *pool,
+                    struct balance_target *const *tried,
+                    uint32_t n_tried,
+                    int64_t now,
+                    struct balance_target **out)
 {
   for (int rank = 0; rank < 3; rank++)
     {
@@ -139,7 +139,7 @@
 
       for (struct balance_target *target = balance->targets; target != NULL; target = target->next)
         {
-          if (target->gone || n == CANDIDATES_MAX || strcmp (target->pool, pool) != 0
+          if (target->excluded || n == CANDIDATES_MAX || strcmp (target->pool, pool) != 0
               || was_tried (target, tried, n_tried))
             continue;
           if (rank < 2 && !target->usable)
@@ -157,11 +157,12 @@
 static double
 latency_of (const struct balance_target *target, int64_t now)
 {
-  double age = (double) (now - target->latency_at) / (double) BALANCE_HALF_LIFE;
+  double age = (double) (now - target->latency_at) / (double) BALANCE_LATENCY_HALF_LIFE;
 
-  if (target->latency <= BALANCE_FIRST_LATENCY)
-    return target->latency > 0 ? target->latency : BALANCE_FIRST_LATENCY;
-  return BALANCE_FIRST_LATENCY + (target->latency - BALANCE_FIRST_LATENCY) * exp2 (-age);
+  if (target->latency_us <= BALANCE_DEFAULT_LATENCY_US)
+    return target->latency_us > 0 ? target->latency_us : BALANCE_DEFAULT_LATENCY_US;
+  return BALANCE_DEFAULT_LATENCY_US
+         + (target->latency_us - BALANCE_DEFAULT_LATENCY_US) * exp2 (-age);
 }
 
 /* Minimizes requests in flight times latency, with a bonus for our failure domain. */
@@ -188,13 +189,13 @@
 }
 
 static uint64_t
-crossing_bytes (const struct balance_prompt *prompt, const char *domain)
+cross_domain_bytes (const struct balance_prompt *prompt, const char *domain)
 {
   uint64_t bytes = 0;
 
-  for (uint32_t i = 0; i < prompt->n_places; i++)
-    if (strcmp (prompt->places[i].domain, domain) != 0)
-      bytes += prompt->places[i].bytes;
+  for (uint32_t i = 0; i < prompt->n_locations; i++)
+    if (strcmp (prompt->locations[i].domain, domain) != 0)
+      bytes += prompt->locations[i].bytes;
   return bytes;
 }
 
@@ -205,17 +206,17 @@
              int64_t now)
 {
   struct engine_cost cost;
-  double crossing = (double) crossing_bytes (prompt, target->domain) / 1000.0;
+  double crossing = (double) cross_domain_bytes (prompt, target->domain) / 1000.0;
 
   engine_load_cost (balance->engines, target->id_hash, &prompt->prompt, now, &cost);
-  return (double) cost.wait + BALANCE_READ_AGAIN_US * cost.read_again_tokens
-         + BALANCE_CROSSING_US * crossing;
+  return (double) cost.wait + BALANCE_REPEATED_PREFILL_US * cost.read_again_tokens
+         + BALANCE_CROSS_DOMAIN_US * crossing;
 }
 
 /* Rendezvous hash of target and prompt, 0 to 1, the same on every host: for a prompt that no engine
  * has cached, all hosts choose the same target before they learn of each other's choices. */
 static double
-first_place (const struct balance_target *target, const struct balance_prompt *prompt)
+rendezvous_score (const struct balance_target *target, const struct balance_prompt *prompt)
 {
   uint32_t n = prompt->prompt.n_parts;
   uint64_t key = n == 0 ? 0 : prompt->prompt.parts[n - 1];
@@ -226,14 +227,16 @@
 
 /* The prompt's home: the engine chosen when no cache is known, the same on every host. */
 static const struct balance_target *
-home_of (struct balance_target *const *candidates, uint32_t n, const struct balance_prompt *prompt)
+home_engine (struct balance_target *const *candidates,
+             uint32_t n,
+             const struct balance_prompt *prompt)
 {
   const struct balance_target *home = NULL;
   double least = 0;
 
   for (uint32_t i = 0; i < n; i++)
     {
-      double score = first_place (candidates[i], prompt);
+      double score = rendezvous_score (candidates[i], prompt);
 
       if (home != NULL && score >= least)
         continue;
@@ -244,13 +247,13 @@
 }
 
 static double
-cost_of_leaving_home (const struct balance_prompt *prompt)
+leave_home_cost (const struct balance_prompt *prompt)
 {
   double cost = 0;
 
   for (uint32_t i = 0; i < prompt->prompt.n_parts; i++)
-    cost += HOME_SHARE * BALANCE_READ_AGAIN_US * prompt->prompt.part_tokens[i];
-  return cost < HOME_MOST_US ? cost : HOME_MOST_US;
+    cost += LEAVE_HOME_COST_SHARE * BALANCE_REPEATED_PREFILL_US * prompt->prompt.part_tokens[i];
+  return cost < LEAVE_HOME_COST_MAX_US ? cost : LEAVE_HOME_COST_MAX_US;
 }
 
 static struct balance_target *
@@ -260,15 +263,15 @@
                  const struct balance_prompt *prompt,
                  int64_t now)
 {
-  const struct balance_target *home = home_of (candidates, n, prompt);
-  double leaving = cost_of_leaving_home (prompt);
+  const struct balance_target *home = home_engine (candidates, n, prompt);
+  double leaving = leave_home_cost (prompt);
   struct balance_target *best = NULL;
   double best_cost = 0;
 
   for (uint32_t i = 0; i < n; i++)
     {
       double cost = engine_cost (balance, candidates[i], prompt, now)
-                    + FIRST_PLACE_US * first_place (candidates[i], prompt)
+                    + TIE_BREAK_MAX_US * rendezvous_score (candidates[i], prompt)
                     + (candidates[i] == home ? 0 : leaving);
 
       if (best == NULL || cost < best_cost)
@@ -290,7 +293,7 @@
 {
   struct balance_target *candidates[CANDIDATES_MAX];
   struct balance_target *chosen = NULL;
-  uint32_t n = gather (balance, pool, tried, n_tried, now, candidates);
+  uint32_t n = collect_candidates (balance, pool, tried, n_tried, now, candidates);
 
   if (n == 0)
     return NULL;
@@ -301,10 +304,10 @@
 
 /* Number of running requests: of all hosts for a model engine, of this host for another target. */
 static uint32_t
-running_at (const struct balance *balance,
-            const struct balance_target *target,
-            const struct balance_prompt *prompt,
-            int64_t now)
+count_running (const struct balance *balance,
+               const struct balance_target *target,
+               const struct balance_prompt *prompt,
+               int64_t now)
 {
   struct engine_cost cost;
 
@@ -315,21 +318,21 @@
 }
 
 struct balance_target *
-balance_choose_apart (struct balance *balance,
-                      const char *pool,
-                      const struct balance_prompt *prompt,
-                      struct balance_target *const *tried,
-                      uint32_t n_tried,
-                      int64_t now)
+balance_choose_least_running (struct balance *balance,
+                              const char *pool,
+                              const struct balance_prompt *prompt,
+                              struct balance_target *const *tried,
+                              uint32_t n_tried,
+                              int64_t now)
 {
   struct balance_target *candidates[CANDIDATES_MAX];
-  uint32_t n = gather (balance, pool, tried, n_tried, now, candidates);
+  uint32_t n = collect_candidates (balance, pool, tried, n_tried, now, candidates);
   struct balance_target *best = NULL;
   uint32_t least = UINT32_MAX;
 
   for (uint32_t i = 0; i < n; i++)
     {
-      uint32_t running = running_at (balance, candidates[i], prompt, now);
+      uint32_t running = count_running (balance, candidates[i], prompt, now);
 
       if (running >= least)
         continue;
@@ -348,35 +351,35 @@
 static void
 eject (struct balance_target *target, int64_t now)
 {
-  if (target->eject_for == 0)
-    target->eject_for = BALANCE_EJECT;
+  if (target->ejection_time == 0)
+    target->ejection_time = BALANCE_EJECTION_MIN;
   else if (now >= target->ejected_until)
-    target->eject_for *= 2;
-  if (target->eject_for > BALANCE_EJECT_MAX)
-    target->eject_for = BALANCE_EJECT_MAX;
-  target->ejected_until = now + target->eject_for;
+    target->ejection_time *= 2;
+  if (target->ejection_time > BALANCE_EJECTION_MAX)
+    target->ejection_time = BALANCE_EJECTION_MAX;
+  target->ejected_until = now + target->ejection_time;
 }
 
 void
 balance_ended (struct balance_target *target, bool failed, int64_t first, int64_t now)
 {
   target->in_flight--;
-  target->failing += BALANCE_SMOOTHING * ((failed ? 1.0 : 0.0) - target->failing);
+  target->failure_rate += BALANCE_SMOOTHING * ((failed ? 1.0 : 0.0) - target->failure_rate);
   if (first >= 0)
     target->latency_at = now;
   if (first >= 0)
-    target->latency =
-        target->latency == 0
+    target->latency_us =
+        target->latency_us == 0
             ? (double) first
-            : target->latency + BALANCE_SMOOTHING * ((double) first - target->latency);
+            : target->latency_us + BALANCE_SMOOTHING * ((double) first - target->latency_us);
   if (!failed)
     {
       target->failures = 0;
-      if (target->failing < FAILING_SHARE)
-        target->eject_for = 0;
+      if (target->failure_rate < FAILURE_RATE_MAX)
+        target->ejection_time = 0;
       return;
     }
   target->failures++;
-  if (target->failures >= BALANCE_FAILURES || target->failing > FAILING_SHARE)
+  if (target->failures >= BALANCE_FAILURES || target->failure_rate > FAILURE_RATE_MAX)
     eject (target, now);
 }
--- a/src/balance.h
+++ b/src/balance.h
@@ -20,18 +20,18 @@
 #define BALANCE_FAILURES 2
 
 /* Time of an ejection, doubled with each failed probe up to the maximum. */
-#define BALANCE_EJECT (1000 * USEC_PER_MSEC)
-#define BALANCE_EJECT_MAX (8 * USEC_PER_SEC)
+#define BALANCE_EJECTION_MIN (1000 * USEC_PER_MSEC)
+#define BALANCE_EJECTION_MAX (8 * USEC_PER_SEC)
 
 /* Weight of a new sample in a target's mean latency. */
 #define BALANCE_SMOOTHING 0.2
 
 /* Mean latency assumed for a target without samples, in microseconds. */
-#define BALANCE_FIRST_LATENCY 15000.0
+#define BALANCE_DEFAULT_LATENCY_US 15000.0
 
 /* Half-life of a latency above the default: a slow target gets little work and so few samples, and
  * without the decay it would not be tried again. */
-#define BALANCE_HALF_LIFE (2 * USEC_PER_SEC)
+#define BALANCE_LATENCY_HALF_LIFE (2 * USEC_PER_SEC)
 
 /* Targets in our failure domain are preferred with up to this many more requests in flight. */
 #define BALANCE_DOMAIN_BONUS 0.5
@@ -47,15 +47,15 @@
   uint64_t started; /* incarnation that the fields below describe */
   uint64_t id_hash; /* of id and incarnation: loads told of an earlier one do not count */
   bool usable;      /* registered, ready, and renewed recently */
-  bool gone;        /* not ready: must get no new requests */
-  bool left;        /* this incarnation has announced that it leaves */
+  bool excluded;    /* not ready: must get no new requests */
+  bool leaving;     /* this incarnation has announced that it leaves */
   uint32_t in_flight;
-  uint32_t failures;  /* consecutive */
-  double failing;     /* share of recent calls that failed, smoothed */
-  double latency;     /* mean time to the first byte, in microseconds; 0: no sample */
-  int64_t latency_at; /* of the last sample */
+  uint32_t failures;   /* consecutive */
+  double failure_rate; /* share of recent calls that failed, smoothed */
+  double latency_us;   /* mean time to the first byte, in microseconds; 0: no sample */
+  int64_t latency_at;  /* of the last sample */
   int64_t ejected_until;
-  int64_t eject_for;
+  int64_t ejection_time;
   struct balance_target *next;
 };
 
@@ -64,13 +64,13 @@
  * domains.  Both cost users more than a delay that most requests can afford.  With 10 us a kilobyte
  * and 26 us a token the mean worth over fifty days lost 0.040 to crossing and 0.031 to repeated
  * prefill; with these values 0.028 and 0.029, at the same credit. */
-#define BALANCE_READ_AGAIN_US 45.0 /* per token */
-#define BALANCE_CROSSING_US 60.0   /* per kilobyte */
+#define BALANCE_REPEATED_PREFILL_US 45.0 /* per token */
+#define BALANCE_CROSS_DOMAIN_US 60.0     /* per kilobyte */
 
-#define BALANCE_PLACES_MAX 8
+#define BALANCE_LOCATIONS_MAX 8
 
 /* Bytes that a request's engine has to fetch from one failure domain. */
-struct balance_place
+struct balance_result_location
 {
   char domain[ROUTING_NAME_SIZE];
   uint64_t bytes;
@@ -81,8 +81,9 @@
 {
   bool present;
   struct engine_prompt prompt;
-  struct balance_place places[BALANCE_PLACES_MAX]; /* locations of its stage results */
-  uint32_t n_places;
+  struct balance_result_location
+      locations[BALANCE_LOCATIONS_MAX]; /* locations of its stage results */
+  uint32_t n_locations;
 };
 
 struct balance
@@ -114,12 +115,12 @@
 
 /* Like balance_choose(), for a request that may crash its target: chooses the one with the fewest
  * running requests. */
-struct balance_target *balance_choose_apart (struct balance *balance,
-                                             const char *pool,
-                                             const struct balance_prompt *prompt,
-                                             struct balance_target *const *tried,
-                                             uint32_t n_tried,
-                                             int64_t now);
+struct balance_target *balance_choose_least_running (struct balance *balance,
+                                                     const char *pool,
+                                                     const struct balance_prompt *prompt,
+                                                     struct balance_target *const *tried,
+                                                     uint32_t n_tried,
+                                                     int64_t now);
 
 void balance_started (struct balance_target *target);
 
--- a/src/batch_queue.c
+++ b/src/batch_queue.c
@@ -101,9 +101,9 @@
       if (!batch_is_in_pool (pool, at))
         continue;
       target = batch_get_target (pool, at);
-      if (target == NULL || !at->usable || at->gone)
+      if (target == NULL || !at->usable || at->excluded)
         continue;
-      out->room += pool->spec.room;
+      out->room += pool->spec.result_bytes_max;
       out->used += target->used_bytes;
       out->calls += target->calls;
       if (out->n_idle < sizeof out->idle / sizeof out->idle[0] && can_take (pool, target, now))
@@ -134,11 +134,11 @@
   double used = (double) (taken + n_results * order->result_size);
   double margin = BATCH_ROOM_MARGIN * sqrt (used * (double) order->result_size);
 
-  if (pool->spec.room == 0 || taken == 0)
+  if (pool->spec.result_bytes_max == 0 || taken == 0)
     return true;
   if (order->begun && capacity->calls == 0)
     margin = 0;
-  return used + margin <= (double) pool->spec.room;
+  return used + margin <= (double) pool->spec.result_bytes_max;
 }
 
 /* Would the call take only a part of an order that one call can make?  Its results would occupy
@@ -169,7 +169,7 @@
 {
   uint64_t committed = capacity->used + pool->reserved_bytes;
 
-  return order->begun || pool->spec.room == 0 || committed == 0
+  return order->begun || pool->spec.result_bytes_max == 0 || committed == 0
          || committed + order->n_pending * order->result_size <= capacity->room;
 }
 
--- a/src/batch_result.c
+++ b/src/batch_result.c
@@ -211,8 +211,9 @@
 static bool
 is_short_of_room (const struct batch_pool *pool, const struct batch_target *target)
 {
-  return pool->spec.room > 0
-         && (double) target->used_bytes > BATCH_EVICTION_THRESHOLD * (double) pool->spec.room;
+  return pool->spec.result_bytes_max > 0
+         && (double) target->used_bytes
+                > BATCH_EVICTION_THRESHOLD * (double) pool->spec.result_bytes_max;
 }
 
 static void
--- a/src/decide.c
+++ b/src/decide.c
@@ -5,7 +5,7 @@
 #include <talloc.h>
 
 #define DEFAULT_EJECT_SHARE 0.3 /* of the targets of an undeclared pool */
-#define WRONG_WEIGHT 3          /* failures that one answer to another request counts as */
+#define WRONG_ANSWER_FAILURES 3 /* failures that one answer to another request counts as */
 
 static const char *const reasons[] = {
 #define X(name, text) [DECIDE_##name] = text,
@@ -140,7 +140,7 @@
 }
 
 static struct decide_target *
-target_of (const struct decide *decide, struct handle handle)
+find_target (const struct decide *decide, struct handle handle)
 {
   const struct board_target *entry = table_get (decide->board->targets, handle);
 
@@ -148,12 +148,12 @@
 }
 
 void
-decide_started (struct decide *decide,
-                const struct decide_request *request,
-                const struct decide_choice *choice,
-                int64_t now)
+decide_attempt_started (struct decide *decide,
+                        const struct decide_request *request,
+                        const struct decide_choice *choice,
+                        int64_t now)
 {
-  struct decide_target *target = target_of (decide, choice->target);
+  struct decide_target *target = find_target (decide, choice->target);
   struct decide_pipeline *pipeline = decide_pipeline_get (decide, request->pipeline);
   const struct board_pipeline *entry = table_get (decide->board->pipelines, request->pipeline);
 
@@ -164,14 +164,14 @@
   target->in_flight++;
   target->work += choice->work;
   target->pool->running++;
-  eject_started (&target->eject, now);
+  eject_attempt_started (&target->eject, now);
   decide_prefix_started (decide, request, choice->target, now);
 }
 
 /* Whether one more target may be ejected: the pool's bound is not reached, and at least one target
  * stays in use. */
 static bool
-may_eject (const struct decide *decide, const struct decide_target *target)
+can_eject (const struct decide *decide, const struct decide_target *target)
 {
   const struct decide_pool *pool = target->pool;
   const struct board_target *entry = table_get (decide->board->targets, target->handle);
@@ -188,19 +188,23 @@
 }
 
 static void
-judge_target (struct decide *decide, struct decide_target *target, enum decide_end end, int64_t now)
+update_ejection (struct decide *decide,
+                 struct decide_target *target,
+                 enum decide_end end,
+                 int64_t now)
 {
-  bool was_out = target->eject.until != 0;
+  bool was_ejected = target->eject.until != 0;
 
   switch (end)
     {
     case DECIDE_END_WHOLE:
       target->timed_out = false;
-      eject_success (&target->eject);
+      eject_attempt_succeeded (&target->eject);
       break;
     case DECIDE_END_WRONG:
       /* It confuses requests, so none of its answers can be trusted. */
-      if (eject_failure (&target->eject, WRONG_WEIGHT, may_eject (decide, target), now))
+      if (eject_attempt_failed (&target->eject, WRONG_ANSWER_FAILURES, can_eject (decide, target),
+                                now))
         counter_add (decide->ejections, 1);
       break;
     case DECIDE_END_REFUSED:
@@ -209,26 +213,26 @@
     case DECIDE_END_FAILED:
     case DECIDE_END_TIMED_OUT:
     case DECIDE_END_BROKEN:
-      if (eject_failure (&target->eject, 1, may_eject (decide, target), now))
+      if (eject_attempt_failed (&target->eject, 1, can_eject (decide, target), now))
         counter_add (decide->ejections, 1);
       break;
     default: /* cancelled by us: no evidence about the target */
-      eject_neutral (&target->eject);
+      eject_attempt_cancelled (&target->eject);
       break;
     }
-  if (!was_out && target->eject.until != 0)
+  if (!was_ejected && target->eject.until != 0)
     target->pool->n_ejected++;
-  else if (was_out && target->eject.until == 0)
+  else if (was_ejected && target->eject.until == 0)
     target->pool->n_ejected--;
 }
 
 void
-decide_ended (struct decide *decide,
-              struct decide_request *request,
-              const struct decide_result *result,
-              int64_t now)
+decide_attempt_ended (struct decide *decide,
+                      struct decide_request *request,
+                      const struct decide_result *result,
+                      int64_t now)
 {
-  struct decide_target *target = target_of (decide, result->target);
+  struct decide_target *target = find_target (decide, result->target);
   struct decide_pipeline *pipeline = decide_pipeline_get (decide, request->pipeline);
   const struct board_pipeline *entry = table_get (decide->board->pipelines, request->pipeline);
   const struct stage_spec *spec = decide_stage_spec (decide, request);
@@ -239,7 +243,7 @@
       if (pipeline != NULL && entry != NULL)
         budget_earn (&pipeline->retries, entry->spec.retry_share);
       if (request->admitted)
-        decide_stage_over (decide, request, request->stage);
+        decide_stage_finish (decide, request, request->stage);
     }
   if (target == NULL)
     return;
@@ -248,12 +252,12 @@
   target->work = target->in_flight == 0 ? 0 : fmax (0, target->work - result->choice.work);
   if (target->pool->running > 0)
     target->pool->running--;
-  judge_target (decide, target, result->end, now);
+  update_ejection (decide, target, result->end, now);
   if (result->end == DECIDE_END_TIMED_OUT)
-    decide_time_timed_out (target, result, now);
+    decide_learn_timeout (target, result, now);
   if (result->end == DECIDE_END_WHOLE && spec != NULL)
     {
-      decide_time_learn (decide, request, spec, target, result);
+      decide_learn_attempt (decide, request, spec, target, result);
       decide_prefix_ended (decide, request, target->pool, result, now);
     }
 }
@@ -266,12 +270,12 @@
 {
   struct decide_pipeline *pipeline = decide_pipeline_get (decide, request->pipeline);
   const struct board_pipeline *entry = table_get (decide->board->pipelines, request->pipeline);
-  struct decide_rest rest;
+  struct decide_remaining remaining;
 
   if (pipeline == NULL || entry == NULL || attempts >= entry->spec.max_attempts)
     return DECIDE_ATTEMPTS;
-  rest = decide_rest_time (decide, request, entry, request->stage);
-  if (now >= request->deadline || (rest.known && now + rest.low > request->deadline))
+  remaining = decide_remaining_time (decide, request, entry, request->stage);
+  if (now >= request->deadline || (remaining.known && now + remaining.low > request->deadline))
     return DECIDE_WINDOW;
   return budget_take (&pipeline->retries) ? DECIDE_ADMITTED : DECIDE_BUDGET;
 }
@@ -281,30 +285,33 @@
 {
   struct decide_pipeline *pipeline = decide_pipeline_get (decide, request->pipeline);
   const struct board_pipeline *entry = table_get (decide->board->pipelines, request->pipeline);
-  struct decide_rest rest;
+  struct decide_remaining remaining;
 
   if (pipeline == NULL || entry == NULL || !request->repeatable || entry->spec.hedge_share <= 0)
     return DECIDE_ATTEMPTS;
-  rest = decide_rest_time (decide, request, entry, request->stage);
-  if (rest.known && (double) now + rest.middle > (double) request->deadline)
+  remaining = decide_remaining_time (decide, request, entry, request->stage);
+  if (remaining.known && (double) now + remaining.expected > (double) request->deadline)
     return DECIDE_WINDOW;
   return budget_take (&pipeline->hedges) ? DECIDE_ADMITTED : DECIDE_BUDGET;
 }
 
 /* The running stage may be nearly done, so only the stages after it count. */
 bool
-decide_hopeless (const struct decide *decide, const struct decide_request *request, int64_t now)
+decide_deadline_is_unreachable (const struct decide *decide,
+                                const struct decide_request *request,
+                                int64_t now)
 {
   const struct board_pipeline *pipeline = table_get (decide->board->pipelines, request->pipeline);
-  struct decide_rest rest;
+  struct decide_remaining remaining;
 
   if (now >= request->deadline)
     return true;
   if (pipeline == NULL)
     return false;
   /* The cast: the lookup may create the entry of a pool or model, which affects no decision. */
-  rest = decide_rest_time ((struct decide *) decide, request, pipeline, request->stage + 1);
-  return rest.known && (double) now + rest.low > (double) request->deadline;
+  remaining =
+      decide_remaining_time ((struct decide *) decide, request, pipeline, request->stage + 1);
+  return remaining.known && (double) now + remaining.low > (double) request->deadline;
 }
 
 void
--- a/src/decide.h
+++ b/src/decide.h
@@ -94,14 +94,14 @@
 struct decide_choice
 {
   struct handle target;
-  int64_t expected;       /* time at which the answer is expected */
-  int64_t first_by;       /* deadline of the first output; USEC_NEVER for none */
-  int64_t give_up;        /* end of the attempt; USEC_NEVER: only the request's deadline ends it */
-  int64_t hedge_at;       /* start of a hedge if the budget allows it; USEC_NEVER for none */
-  uint32_t prefix_tokens; /* of the prompt, expected in the target's cache */
-  double work;            /* expected slot seconds on an otherwise idle target */
-  double fill;            /* share of its slots in use when chosen, 0 to 1; private to decide */
-  double wait;            /* expected microseconds in its queue; private to decide */
+  int64_t expected_at;     /* time at which the answer is expected */
+  int64_t first_output_by; /* deadline of the first output; USEC_NEVER for none */
+  int64_t timeout_at;      /* end of the attempt; USEC_NEVER: only the request's deadline ends it */
+  int64_t hedge_at;        /* start of a hedge if the budget allows it; USEC_NEVER for none */
+  uint32_t prefix_tokens;  /* of the prompt, expected in the target's cache */
+  double work;             /* expected slot seconds on an otherwise idle target */
+  double fill;             /* share of its slots in use when chosen, 0 to 1; private to decide */
+  double wait;             /* expected microseconds in its queue; private to decide */
 };
 
 /* A finished attempt, for learning. */
@@ -142,14 +142,14 @@
 
 /* Record the start and the end of an attempt.  At the end `request->stage` must still be the
  * attempt's stage. */
-void decide_started (struct decide *decide,
-                     const struct decide_request *request,
-                     const struct decide_choice *choice,
-                     int64_t now);
-void decide_ended (struct decide *decide,
-                   struct decide_request *request,
-                   const struct decide_result *result,
-                   int64_t now);
+void decide_attempt_started (struct decide *decide,
+                             const struct decide_request *request,
+                             const struct decide_choice *choice,
+                             int64_t now);
+void decide_attempt_ended (struct decide *decide,
+                           struct decide_request *request,
+                           const struct decide_result *result,
+                           int64_t now);
 
 /* Whether a failed attempt may be retried, and whether a slow one may be hedged.  DECIDE_ADMITTED
  * takes one from the budget.  Not called for unrepeatable work that was sent. */
@@ -162,9 +162,9 @@
                                  int64_t now);
 
 /* True when the request can no longer meet its deadline. */
-bool decide_hopeless (const struct decide *decide,
-                      const struct decide_request *request,
-                      int64_t now);
+bool decide_deadline_is_unreachable (const struct decide *decide,
+                                     const struct decide_request *request,
+                                     int64_t now);
 
 /* The request has ended; `whole`: with a complete answer. */
 void decide_finish (struct decide *decide, struct decide_request *request, bool whole, int64_t now);
--- a/src/decide_admit.c
+++ b/src/decide_admit.c
@@ -3,7 +3,7 @@
 #include "decide_state.h"
 #include <math.h>
 
-#define OVERLOAD                                                                                   \
+#define FAIR_SHARE_WAIT                                                                            \
   0.7 /* share of the spare time spent queueing, from which fair shares are enforced */
 #define RETRY_AFTER_MIN (100 * USEC_PER_MSEC)
 
@@ -54,9 +54,9 @@
 
 /* Share of the remaining time that the expected time may use.  The cost objective keeps a larger
  * reserve for delays. */
-static const double margins[] = { [OBJECTIVE_ATTAINMENT] = 1.0, [OBJECTIVE_COST] = 0.9 };
+static const double usable_time_share[] = { [OBJECTIVE_ATTAINMENT] = 1.0, [OBJECTIVE_COST] = 0.9 };
 
-struct outlook
+struct forecast
 {
   double work; /* slot seconds over all stages */
   double service;
@@ -64,7 +64,7 @@
   double top_wait; /* queueing delay at the highest priority, microseconds */
   bool known;
   enum objective objective;
-  bool served; /* every stage has a usable target */
+  bool has_targets; /* every stage has a usable target */
 };
 
 static uint32_t
@@ -82,13 +82,15 @@
   return alone > 0 ? decide_work_at (work, 1) / alone - 1 : 0;
 }
 
-static struct outlook
-look_ahead (struct decide *decide,
-            struct decide_request *request,
-            const struct board_pipeline *pipeline,
-            int64_t now)
+static struct forecast
+forecast_request (struct decide *decide,
+                  struct decide_request *request,
+                  const struct board_pipeline *pipeline,
+                  int64_t now)
 {
-  struct outlook outlook = { .known = true, .served = true, .objective = pipeline->spec.objective };
+  struct forecast forecast = { .known = true,
+                               .has_targets = true,
+                               .objective = pipeline->spec.objective };
   uint32_t stage;
 
   for (stage = request->stage; stage < pipeline->spec.n_stages; stage++)
@@ -103,17 +105,17 @@
       if (pool == NULL)
         continue;
       decide_pool_refresh (decide, pool, now);
-      outlook.served = outlook.served && pool->n_usable > 0;
-      outlook.known = outlook.known && work.known;
-      outlook.service += decide_work_at (&work, decide_pool_fill (decide, pool));
-      outlook.wait +=
+      forecast.has_targets = forecast.has_targets && pool->n_usable > 0;
+      forecast.known = forecast.known && work.known;
+      forecast.service += decide_work_at (&work, decide_pool_fill (decide, pool));
+      forecast.wait +=
           decide_queue_wait (decide, pool, priority_of (request), stage_slope (&work), now);
-      outlook.top_wait +=
+      forecast.top_wait +=
           decide_queue_wait (decide, pool, DECIDE_PRIORITIES - 1, stage_slope (&work), now);
       request->stage_work[stage] = alone / USEC_PER_SEC;
-      outlook.work += request->stage_work[stage];
+      forecast.work += request->stage_work[stage];
     }
-  return outlook;
+  return forecast;
 }
 
 /* True when the organisation exceeds its weighted fair share of the work admitted here.  One more
@@ -121,7 +123,7 @@
  * the host could fill the whole window with its own backlog, and every request of smaller
  * organisations that come later would be refused. */
 static bool
-over_share (struct decide *decide, const struct decide_request *request)
+is_over_share (struct decide *decide, const struct decide_request *request)
 {
   const struct decide_organisation *own = decide_organisation_get (decide, request->organisation);
   const struct board_organisation *entry;
@@ -154,24 +156,24 @@
 static struct decide_admission
 check_window (struct decide *decide,
               const struct decide_request *request,
-              const struct outlook *outlook,
+              const struct forecast *forecast,
               int64_t now)
 {
-  double left = (double) (request->deadline - now) * margins[outlook->objective];
-  double spare = left - outlook->service;
-  double excess = outlook->wait - spare;
+  double left = (double) (request->deadline - now) * usable_time_share[forecast->objective];
+  double spare = left - forecast->service;
+  double excess = forecast->wait - spare;
 
-  if (!outlook->known)
+  if (!forecast->known)
     return (struct decide_admission){ .reason = DECIDE_ADMITTED };
   if (spare < 0)
     return (struct decide_admission){ .reason = DECIDE_WINDOW };
   if (excess > 0)
     return (struct decide_admission){
-      .reason = outlook->top_wait > spare ? DECIDE_WINDOW : DECIDE_PRIORITY,
+      .reason = forecast->top_wait > spare ? DECIDE_WINDOW : DECIDE_PRIORITY,
       .retry_after = RETRY_AFTER_MIN + (int64_t) excess,
     };
-  excess = outlook->wait - spare * OVERLOAD;
-  if (excess > 0 && over_share (decide, request))
+  excess = forecast->wait - spare * FAIR_SHARE_WAIT;
+  if (excess > 0 && is_over_share (decide, request))
     return (struct decide_admission){ .reason = DECIDE_SHARE,
                                       .retry_after = RETRY_AFTER_MIN + (int64_t) excess };
   return (struct decide_admission){ .reason = DECIDE_ADMITTED };
@@ -190,7 +192,7 @@
 }
 
 void
-decide_stage_over (struct decide *decide, struct decide_request *request, uint32_t stage)
+decide_stage_finish (struct decide *decide, struct decide_request *request, uint32_t stage)
 {
   struct decide_queue *queue = queue_of (decide, request, stage);
 
@@ -225,7 +227,7 @@
 {
   const struct board_pipeline *pipeline = table_get (decide->board->pipelines, request->pipeline);
   struct decide_admission admission = { .reason = DECIDE_NO_TARGET };
-  struct outlook outlook;
+  struct forecast forecast;
 
   if (pipeline == NULL)
     return admission;
@@ -233,18 +235,18 @@
   admission.reason = check_limits (decide, request, now, &admission.retry_after);
   if (admission.reason == DECIDE_ADMITTED)
     {
-      outlook = look_ahead (decide, request, pipeline, now);
-      if (outlook.served)
-        admission = check_window (decide, request, &outlook, now);
+      forecast = forecast_request (decide, request, pipeline, now);
+      if (forecast.has_targets)
+        admission = check_window (decide, request, &forecast, now);
       else
         admission =
             (struct decide_admission){ .reason = DECIDE_NO_TARGET, .retry_after = USEC_PER_SEC };
       if (admission.reason == DECIDE_ADMITTED)
-        count_request (decide, request, outlook.work, now);
+        count_request (decide, request, forecast.work, now);
       else
         undo_limits (decide, request);
       if (admission.reason == DECIDE_WINDOW)
-        counter_add (decide->saved_work, outlook.work);
+        counter_add (decide->saved_work, forecast.work);
     }
   counter_add (decide->verdicts[admission.reason], 1);
   return admission;
@@ -265,7 +267,7 @@
   request->admitted = false;
   counter_add (whole ? decide->finished_whole : decide->finished_other, 1);
   for (stage = 0; stage < RESOURCE_STAGES_MAX; stage++)
-    decide_stage_over (decide, request, stage);
+    decide_stage_finish (decide, request, stage);
   if (decide->n_running > 0)
     decide->n_running--;
   if (organisation == NULL)
--- a/src/decide_dump.c
+++ b/src/decide_dump.c
@@ -17,24 +17,24 @@
 }
 
 static json_t *
-describe_class (const struct decide_class *class)
+describe_model (const struct decide_model *model)
 {
   json_t *sizes = json_array ();
   uint32_t i;
 
   for (i = 0; i < LEARN_SIZES; i++)
     {
-      const struct learn_histogram *first = class->first.sizes[i];
+      const struct learn_histogram *first = model->first.sizes[i];
 
       if (first == NULL)
         continue;
       json_array_append_new (sizes, json_pack ("{s:i,s:f,s:f,s:f,s:f}", "tokens", (int) (1u << i),
                                                "samples", (double) first->total, "low_ms",
-                                               first->span.low / USEC_PER_MSEC, "middle_ms",
-                                               first->span.middle / USEC_PER_MSEC, "high_ms",
-                                               first->span.high / USEC_PER_MSEC));
+                                               first->quantiles.low / USEC_PER_MSEC, "middle_ms",
+                                               first->quantiles.median / USEC_PER_MSEC, "high_ms",
+                                               first->quantiles.high / USEC_PER_MSEC));
     }
-  return json_pack ("{s:s,s:o}", "model", class->model, "first_output", sizes);
+  return json_pack ("{s:s,s:o}", "model", model->model, "first_output", sizes);
 }
 
 static double
@@ -62,12 +62,12 @@
       if (target != NULL)
         json_array_append_new (targets, target);
     }
-  for (i = 0; i < pool->n_classes; i++)
-    json_array_append_new (classes, describe_class (&pool->classes[i]));
+  for (i = 0; i < pool->n_models; i++)
+    json_array_append_new (classes, describe_model (&pool->models[i]));
   return json_pack ("{s:s,s:f,s:f,s:i,s:i,s:f,s:f,s:o,s:o}", "name", pool->name, "admitted_work",
                     admitted_work (pool), "slots", pool->slots, "running", (int) pool->running,
                     "ejected", (int) pool->n_ejected, "reported", pool->reported, "report_trust",
-                    pool->reports, "targets", targets, "models", classes);
+                    pool->report_confidence, "targets", targets, "models", classes);
 }
 
 static json_t *
--- a/src/decide_pool.c
+++ b/src/decide_pool.c
@@ -5,8 +5,8 @@
 #include <string.h>
 #include <talloc.h>
 
-#define BEYOND_START 0.5 /* initial value of the learned share */
-#define SLOPE_START 0.5  /* initial value: a full batch takes 1.5 times as long */
+#define UNHASHED_CACHED_SHARE_START 0.5 /* initial value of the learned share */
+#define SLOPE_START 0.5                 /* initial value: a full batch takes 1.5 times as long */
 #define FILL_START 0.3
 #define DEFAULT_SLOTS 8 /* when neither the target nor its pool gives a number */
 
@@ -24,7 +24,7 @@
   if (pool == NULL)
     return NULL;
   text_copy_cut (pool->name, sizeof pool->name, name);
-  pool->beyond = BEYOND_START;
+  pool->unhashed_cached_share = UNHASHED_CACHED_SHARE_START;
   pool->drift = 1;
   HASH_ADD_STR (decide->pools, name, pool);
   return pool;
@@ -32,23 +32,23 @@
 
 /* NOLINTEND(readability-function-size) */
 
-struct decide_class *
-decide_class_get (struct decide_pool *pool, const char *model)
+struct decide_model *
+decide_model_get (struct decide_pool *pool, const char *model)
 {
-  struct decide_class *class;
+  struct decide_model *entry;
   uint32_t i;
 
-  for (i = 0; i < pool->n_classes; i++)
-    if (strcmp (pool->classes[i].model, model) == 0)
-      return &pool->classes[i];
-  /* Models beyond DECIDE_CLASSES_MAX share the last class. */
-  if (pool->n_classes == DECIDE_CLASSES_MAX)
-    return &pool->classes[DECIDE_CLASSES_MAX - 1];
-  class = &pool->classes[pool->n_classes++];
-  text_copy_cut (class->model, sizeof class->model, model);
-  class->first_slope = (struct decide_slope){ .slope = SLOPE_START, .mean_fill = FILL_START };
-  class->token_slope = class->first_slope;
-  return class;
+  for (i = 0; i < pool->n_models; i++)
+    if (strcmp (pool->models[i].model, model) == 0)
+      return &pool->models[i];
+  /* Models beyond DECIDE_MODELS_MAX share the last class. */
+  if (pool->n_models == DECIDE_MODELS_MAX)
+    return &pool->models[DECIDE_MODELS_MAX - 1];
+  entry = &pool->models[pool->n_models++];
+  text_copy_cut (entry->model, sizeof entry->model, model);
+  entry->first_slope = (struct decide_slope){ .slope = SLOPE_START, .mean_fill = FILL_START };
+  entry->token_slope = entry->first_slope;
+  return entry;
 }
 
 static bool
@@ -135,8 +135,8 @@
   if (target->eject.until != 0 && target->pool->n_ejected > 0)
     target->pool->n_ejected--;
   target->eject = (struct eject){ .until = 0 };
-  decide_slowness_forget (target);
-  prefix_forget (decide->prefixes, target->handle);
+  decide_slowness_reset (target);
+  prefix_remove_target (decide->prefixes, target->handle);
 }
 
 /* A target that moved to another pool is removed and added as a new one. */
@@ -213,8 +213,9 @@
 double
 decide_pool_fill (const struct decide *decide, const struct decide_pool *pool)
 {
-  double like_us = pool->running * decide_hosts (decide);
-  double load = pool->reports * pool->reported + (1 - pool->reports) * like_us;
+  double estimated = pool->running * decide_hosts (decide);
+  double load =
+      pool->report_confidence * pool->reported + (1 - pool->report_confidence) * estimated;
 
   return pool->slots > 0 && load < pool->slots ? load / pool->slots : 1;
 }
@@ -231,11 +232,11 @@
   return alive == 0 ? 1 : alive;
 }
 
-/* Recounts when a host changed, or REFRESH_SPAN after the last count, not at each decision. */
+/* Recounts when a host changed, or REFRESH_INTERVAL after the last count, not at each decision. */
 void
 decide_hosts_refresh (struct decide *decide, int64_t now)
 {
-  if (decide->hosts > 0 && now - decide->hosts_at < REFRESH_SPAN)
+  if (decide->hosts > 0 && now - decide->hosts_at < REFRESH_INTERVAL)
     return;
   decide->hosts = count_hosts (decide->board);
   decide->hosts_at = now;
@@ -248,19 +249,19 @@
   return decide->hosts > 0 ? decide->hosts : count_hosts (decide->board);
 }
 
-/* Weight of a report by its age: 1 when new, falling linearly to 0 at REPORT_LIFE. */
+/* Weight of a report by its age: 1 when new, falling linearly to 0 at REPORT_TTL. */
 double
 decide_report_weight (const struct load_report *report, int64_t now)
 {
   int64_t age = now - report->measured_at;
 
-  if (report->received_at == 0 || age >= REPORT_LIFE)
+  if (report->received_at == 0 || age >= REPORT_TTL)
     return 0;
-  return age <= 0 ? 1 : 1 - (double) age / REPORT_LIFE;
+  return age <= 0 ? 1 : 1 - (double) age / REPORT_TTL;
 }
 
-/* Recounts the pool's capacity and its reported load, at most once per REFRESH_SPAN.  Reports lag
- * anyway, so recounting at each decision would gain nothing. */
+/* Recounts the pool's capacity and its reported load, at most once per REFRESH_INTERVAL.  Reports
+ * lag anyway, so recounting at each decision would gain nothing. */
 void
 decide_pool_refresh (struct decide *decide, struct decide_pool *pool, int64_t now)
 {
@@ -270,11 +271,11 @@
   int64_t since;
   uint32_t i;
 
-  if (pool->refreshed_at != 0 && now - pool->refreshed_at < REFRESH_SPAN)
+  if (pool->refreshed_at != 0 && now - pool->refreshed_at < REFRESH_INTERVAL)
     return;
   since = pool->refreshed_at == 0 ? 0 : now - pool->refreshed_at;
   pool->refreshed_at = now;
-  decide_drift_refresh (pool, now);
+  decide_drift_update (pool, now);
   pool->slots = 0;
   for (i = 0; i < pool->n_targets; i++)
     {
@@ -282,7 +283,7 @@
       const struct board_target *entry = table_get (decide->board->targets, target->handle);
       double fresh;
 
-      decide_slowness_fade (target, since);
+      decide_slowness_decay (target, since);
       if (entry == NULL || !board_target_usable (entry, now) || target->eject.until > now)
         continue;
       usable++;
@@ -292,6 +293,6 @@
       weight += fresh;
     }
   pool->n_usable = usable;
-  pool->reports = usable == 0 ? 0 : weight / usable;
+  pool->report_confidence = usable == 0 ? 0 : weight / usable;
   pool->reported = weight > 0 ? reported / weight * usable : 0;
 }
--- a/src/decide_prefix.c
+++ b/src/decide_prefix.c
@@ -3,8 +3,9 @@
 #include "decide_state.h"
 #include <math.h>
 
-#define BEYOND_WEIGHT 0.05 /* of a new sample */
-#define WRONG_SHARE 0.5    /* of the hashed blocks; samples with less of them cached are ignored */
+#define SAMPLE_WEIGHT 0.05 /* of a new sample */
+#define HASHED_SHARE_MIN                                                                           \
+  0.5 /* of the hashed blocks; samples with less of them cached are ignored */
 
 static bool
 has_prefix (const struct decide *decide, const struct decide_request *request)
@@ -28,7 +29,7 @@
 
   if (request->n_prefix == DECIDE_PREFIX_BLOCKS
       && blocks + 2 * PREFIX_SAMPLING >= DECIDE_PREFIX_BLOCKS && tokens > hashed)
-    held += (uint32_t) (pool->beyond * (tokens - hashed));
+    held += (uint32_t) (pool->unhashed_cached_share * (tokens - hashed));
   return held < tokens ? held : tokens;
 }
 
@@ -45,7 +46,7 @@
   if (!has_prefix (decide, request))
     return;
   for (i = 0; i < request->n_prefix; i++)
-    prefix_note (decide->prefixes, request->prefix[i], target, now);
+    prefix_add (decide->prefixes, request->prefix[i], target, now);
 }
 
 /* The target has processed the prompt, so the prefix is recorded again.  The cached token count
@@ -63,11 +64,11 @@
   if (!has_prefix (decide, request))
     return;
   decide_prefix_started (decide, request, result->target, now);
-  if (result->cached_tokens < hashed * WRONG_SHARE || result->input_tokens <= hashed
+  if (result->cached_tokens < hashed * HASHED_SHARE_MIN || result->input_tokens <= hashed
       || request->n_prefix < DECIDE_PREFIX_BLOCKS)
     return;
   found = fmax (0, (double) result->cached_tokens - hashed) / (result->input_tokens - hashed);
-  pool->beyond += (found - pool->beyond) * BEYOND_WEIGHT;
+  pool->unhashed_cached_share += (found - pool->unhashed_cached_share) * SAMPLE_WEIGHT;
 }
 
 void
@@ -77,7 +78,7 @@
   if (table_get (decide->board->targets, target) == NULL)
     return;
   if (stored)
-    prefix_note (decide->prefixes, block, target, now);
+    prefix_add (decide->prefixes, block, target, now);
   else
-    prefix_drop (decide->prefixes, block, target);
+    prefix_remove (decide->prefixes, block, target);
 }
--- a/src/decide_state.h
+++ b/src/decide_state.h
@@ -11,11 +11,11 @@
 #include "rng.h"
 #include <uthash.h>
 
-#define DECIDE_CLASSES_MAX 8           /* models of a pool with times of their own */
-#define REPORT_LIFE (4 * USEC_PER_SEC) /* load reports of this age are ignored */
+#define DECIDE_MODELS_MAX 8           /* models of a pool with times of their own */
+#define REPORT_TTL (4 * USEC_PER_SEC) /* load reports of this age are ignored */
 #define DECIDE_PRIORITIES 10
 #define PREFIX_SETS 8192 /* 768 KiB; 65,536 sampled blocks */
-#define REFRESH_SPAN (100 * USEC_PER_MSEC)
+#define REFRESH_INTERVAL (100 * USEC_PER_MSEC)
 
 /* Growth of a time with the share of the target's slots in use (`fill`): 1 + slope * fill. */
 struct decide_slope
@@ -26,7 +26,7 @@
 
 /* Learned times of one model of a pool, on an otherwise idle target: the slopes remove what the
  * target's other calls add. */
-struct decide_class
+struct decide_model
 {
   char model[RESOURCE_NAME_SIZE];
   struct learn_sizes first; /* time to the first output, by uncached tokens */
@@ -51,21 +51,22 @@
   uint32_t n_targets;
   uint32_t capacity; /* of `targets` */
   uint32_t n_ejected;
-  struct decide_class classes[DECIDE_CLASSES_MAX];
-  uint32_t n_classes;
+  struct decide_model models[DECIDE_MODELS_MAX];
+  uint32_t n_models;
   struct decide_queue queues[DECIDE_PRIORITIES];
   double log_drift; /* log of the pool's current times over its learned times */
   double drift;     /* factor derived from log_drift */
   int64_t drift_at;
-  double timeouts; /* recent, decayed; a target counts once until it answers */
+  double recent_timeouts; /* recent, decayed; a target counts once until it answers */
   int64_t timeouts_at;
   double log_slowness; /* sum over its targets */
-  double beyond;       /* learned cached share of the tokens after a prompt's hashed blocks */
-  uint32_t running;    /* attempts of this host */
-  double slots;        /* of its usable targets, when last refreshed */
-  uint32_t n_usable;   /* when last refreshed */
-  double reported;     /* calls of all hosts running or queued there, by recent reports */
-  double reports;      /* confidence in `reported`, 0 to 1 */
+  double
+      unhashed_cached_share; /* learned cached share of the tokens after a prompt's hashed blocks */
+  uint32_t running;          /* attempts of this host */
+  double slots;              /* of its usable targets, when last refreshed */
+  uint32_t n_usable;         /* when last refreshed */
+  double reported;           /* calls of all hosts running or queued there, by recent reports */
+  double report_confidence;  /* confidence in `reported`, 0 to 1 */
   int64_t refreshed_at;
   UT_hash_handle hh;
 };
@@ -135,7 +136,7 @@
                            enum board_event event,
                            struct handle handle,
                            int64_t now);
-struct decide_class *decide_class_get (struct decide_pool *pool, const char *model);
+struct decide_model *decide_model_get (struct decide_pool *pool, const char *model);
 double decide_pool_fill (const struct decide *decide, const struct decide_pool *pool);
 double decide_target_slots (const struct decide *decide, const struct decide_target *target);
 void decide_hosts_refresh (struct decide *decide, int64_t now);
@@ -161,8 +162,8 @@
 /* decide_time.c: expected times of stages */
 struct decide_work
 {
-  struct learn_span first;  /* microseconds to the first output on an idle target */
-  struct learn_span tokens; /* microseconds from the first output to the end */
+  struct learn_quantiles first;  /* microseconds to the first output on an idle target */
+  struct learn_quantiles tokens; /* microseconds from the first output to the end */
   double first_slope;
   double token_slope;
   bool known;
@@ -172,15 +173,15 @@
 static inline double
 decide_work_alone (const struct decide_work *work)
 {
-  return work->first.middle + work->tokens.middle;
+  return work->first.median + work->tokens.median;
 }
 
 /* Expected time with the share `fill` of the target's slots in use, in microseconds. */
 static inline double
 decide_work_at (const struct decide_work *work, double fill)
 {
-  return work->first.middle * (1 + work->first_slope * fill)
-         + work->tokens.middle * (1 + work->token_slope * fill);
+  return work->first.median * (1 + work->first_slope * fill)
+         + work->tokens.median * (1 + work->token_slope * fill);
 }
 
 static inline double
@@ -213,31 +214,31 @@
 
 /* Time of the stages from `stage` on, in microseconds: the minimum, and the time expected at the
  * current fill of their pools.  `known` when the times of all these stages are. */
-struct decide_rest
+struct decide_remaining
 {
   double low;
-  double middle;
+  double expected;
   bool known;
 };
 
-struct decide_rest decide_rest_time (struct decide *decide,
-                                     const struct decide_request *request,
-                                     const struct board_pipeline *pipeline,
-                                     uint32_t stage);
-void decide_slowness_forget (struct decide_target *target);
-void decide_slowness_fade (struct decide_target *target, int64_t span);
-void decide_time_timed_out (struct decide_target *target,
-                            const struct decide_result *result,
-                            int64_t now);
+struct decide_remaining decide_remaining_time (struct decide *decide,
+                                               const struct decide_request *request,
+                                               const struct board_pipeline *pipeline,
+                                               uint32_t stage);
+void decide_slowness_reset (struct decide_target *target);
+void decide_slowness_decay (struct decide_target *target, int64_t span);
+void decide_learn_timeout (struct decide_target *target,
+                           const struct decide_result *result,
+                           int64_t now);
 /* Factor on the timeouts of attempts.  When many targets of a pool time out, the pool is
  * overloaded, and cancelling attempts to restart them adds to its load. */
-double decide_patience (const struct decide_pool *pool, int64_t now);
-void decide_drift_refresh (struct decide_pool *pool, int64_t now);
-void decide_time_learn (struct decide *decide,
-                        const struct decide_request *request,
-                        const struct stage_spec *spec,
-                        struct decide_target *target,
-                        const struct decide_result *result);
+double decide_timeout_factor (const struct decide_pool *pool, int64_t now);
+void decide_drift_update (struct decide_pool *pool, int64_t now);
+void decide_learn_attempt (struct decide *decide,
+                           const struct decide_request *request,
+                           const struct stage_spec *spec,
+                           struct decide_target *target,
+                           const struct decide_result *result);
 
 /* decide_queue.c: backlog of admitted work in a pool and its queueing delay */
 void decide_queue_add (struct decide_queue *queue, double work, int64_t now);
@@ -249,7 +250,7 @@
                           int64_t now);
 
 /* decide_admit.c: a stage of an admitted request is done or will not run */
-void decide_stage_over (struct decide *decide, struct decide_request *request, uint32_t stage);
+void decide_stage_finish (struct decide *decide, struct decide_request *request, uint32_t stage);
 
 /* decide.c */
 struct decide_pipeline *decide_pipeline_get (struct decide *decide, struct handle handle);
--- a/src/decide_target.c
+++ b/src/decide_target.c
@@ -9,19 +9,20 @@
 
 #define SAMPLES 2
 #define RETRY_SAMPLES 16
-#define DRAWS_MAX 16     /* random draws before the pool is scanned */
-#define OTHER_DOMAIN 0.5 /* factor on the score of a retry in another failure domain */
+#define DRAWS_MAX 16            /* random draws before the pool is scanned */
+#define OTHER_DOMAIN_FACTOR 0.5 /* factor on the score of a retry in another failure domain */
 /* Additional weight of the prefill time for the cost objective: a prefill also evicts another
  * prompt from the cache.
  * XXX: on the bkk trace the cost is 13% below that of the least-reported-load policy, not 15%. */
-#define READING_WEIGHT 3
+#define PREFILL_WEIGHT 3
 #define SLOW_START (5 * USEC_PER_SEC)
 #define SLOW_START_FACTOR 4.0 /* factor on a new target's score, falling to 1 during SLOW_START */
 #define LOAD_BOUND 1.5
 #define LOAD_BOUND_EXTRA 2
-#define GIVE_UP_TIMES 3.0 /* of the expected high time: an attempt's timeout */
-#define GIVE_UP_LEAST 1.5 /* of the same: no timeout when less time is left for the attempt */
-#define GIVE_UP_MIN (250.0 * USEC_PER_MSEC)
+#define TIMEOUT_FACTOR 3.0     /* of the expected high time: an attempt's timeout */
+#define TIMEOUT_FACTOR_MIN 1.5 /* of the same: no timeout when less time is left for the attempt   \
+                                */
+#define TIMEOUT_MIN (250.0 * USEC_PER_MSEC)
 
 struct candidate
 {
@@ -62,7 +63,7 @@
 }
 
 static bool
-serves (const struct board_target *entry, const struct stage_spec *spec)
+serves_stage (const struct board_target *entry, const struct stage_spec *spec)
 {
   if (spec->model[0] != '\0' && !has_name (entry->models, entry->n_models, spec->model))
     return false;
@@ -100,14 +101,14 @@
  * the weight moves to an estimate: each other host has as many attempts in the pool as this one,
  * spread evenly over its targets. */
 static double
-others_on (const struct search *search, const struct candidate *candidate)
+other_hosts_calls (const struct search *search, const struct candidate *candidate)
 {
   double fresh = decide_report_weight (&candidate->entry->report, search->now);
   double reported = (double) candidate->entry->report.running + candidate->entry->report.waiting;
   double beyond = fmax (0, reported - candidate->target->in_flight);
-  double like_us = search->pool->running * (search->hosts - 1) / search->pool->n_targets;
+  double estimated = search->pool->running * (search->hosts - 1) / search->pool->n_targets;
 
-  return fresh * beyond + (1 - fresh) * like_us;
+  return fresh * beyond + (1 - fresh) * estimated;
 }
 
 static void
@@ -115,7 +116,7 @@
 {
   const struct decide_target *target = candidate->target;
   double slots = decide_target_slots (search->decide, target);
-  double load = target->in_flight + others_on (search, candidate);
+  double load = target->in_flight + other_hosts_calls (search, candidate);
   double alone = decide_work_alone (&candidate->work);
   double mean = target->in_flight > 0 ? target->work / target->in_flight * USEC_PER_SEC : alone;
   int64_t age = search->now - target->added_at;
@@ -128,25 +129,25 @@
       target->slowness * (decide_work_at (&candidate->work, candidate->fill) + candidate->wait);
   candidate->score = candidate->expected;
   if (search->objective == OBJECTIVE_COST)
-    candidate->score += READING_WEIGHT * candidate->work.first.middle
+    candidate->score += PREFILL_WEIGHT * candidate->work.first.median
                         * (1 + candidate->work.first_slope * candidate->fill);
   if (age < SLOW_START)
     candidate->score *= 1 + (SLOW_START_FACTOR - 1) * (1 - (double) age / SLOW_START);
   if (search->n_tried > 0 && !same_domain_tried (search, candidate->entry))
-    candidate->score *= OTHER_DOMAIN;
+    candidate->score *= OTHER_DOMAIN_FACTOR;
 }
 
 /* True, and `out` set, when the target may be chosen. */
 static bool
-consider (const struct search *search, struct decide_target *target, struct candidate *out)
+is_candidate (const struct search *search, struct decide_target *target, struct candidate *out)
 {
   const struct board_target *entry = table_get (search->decide->board->targets, target->handle);
 
   if (entry == NULL || !board_target_usable (entry, search->now))
     return false;
-  if (eject_state (&target->eject, search->now) == EJECT_OUT)
+  if (eject_state (&target->eject, search->now) == EJECT_EJECTED)
     return false;
-  if (!serves (entry, search->spec) || was_tried (search, target->handle))
+  if (!serves_stage (entry, search->spec) || was_tried (search, target->handle))
     return false;
   *out = (struct candidate){ .target = target, .entry = entry, .work = search->work };
   estimate (search, out);
@@ -162,7 +163,7 @@
 
 /* Scans the pool from a random position until `enough` candidates were found. */
 static void
-sweep (struct search *search, uint32_t enough, struct candidate *best)
+scan_pool (struct search *search, uint32_t enough, struct candidate *best)
 {
   uint32_t n = search->pool->n_targets;
   uint32_t start = (uint32_t) rng_below (&search->decide->rng, n);
@@ -173,7 +174,7 @@
     {
       struct candidate candidate;
 
-      if (!consider (search, search->pool->targets[(start + i) % n], &candidate))
+      if (!is_candidate (search, search->pool->targets[(start + i) % n], &candidate))
         continue;
       keep_better (best, &candidate);
       found++;
@@ -182,7 +183,7 @@
 
 /* Draws candidates at random, without repetition. */
 static void
-sample (struct search *search, struct candidate *best)
+sample_pool (struct search *search, struct candidate *best)
 {
   uint32_t places[SAMPLES];
   uint32_t found = 0;
@@ -196,14 +197,14 @@
 
       for (i = 0; i < found && places[i] != place; i++)
         continue;
-      if (i < found || !consider (search, search->pool->targets[place], &candidate))
+      if (i < found || !is_candidate (search, search->pool->targets[place], &candidate))
         continue;
       keep_better (best, &candidate);
       places[found++] = place;
     }
   /* The pool is small, or most of it is unusable: scan it. */
   if (found < SAMPLES)
-    sweep (search, SAMPLES, best);
+    scan_pool (search, SAMPLES, best);
 }
 
 /* True when the target has more than LOAD_BOUND times its even share of our attempts, plus
@@ -219,7 +220,7 @@
 
 /* Evaluates the targets that have part of the prompt cached, by the time for the remaining part. */
 static void
-consider_holders (struct search *search, struct candidate *best)
+evaluate_holders (struct search *search, struct candidate *best)
 {
   const struct decide_request *request = search->request;
   struct prefix_holder holders[PREFIX_HOLDERS];
@@ -236,7 +237,8 @@
       struct candidate candidate;
 
       if (entry == NULL || entry->decide == NULL || entry->decide->pool != search->pool
-          || !consider (search, entry->decide, &candidate) || is_over_bound (search, entry->decide))
+          || !is_candidate (search, entry->decide, &candidate)
+          || is_over_bound (search, entry->decide))
         continue;
       candidate.cached =
           decide_prefix_tokens (search->pool, request, holders[i].blocks, search->tokens);
@@ -252,58 +254,59 @@
 {
   /* A retry has lost time already, so more targets are scanned to find another failure domain. */
   if (search->n_tried > 0)
-    sweep (search, RETRY_SAMPLES, best);
+    scan_pool (search, RETRY_SAMPLES, best);
   else
-    sample (search, best);
-  consider_holders (search, best);
+    sample_pool (search, best);
+  evaluate_holders (search, best);
 }
 
 /* Timeout of an attempt, so that one that hangs ends while another can still meet the deadline:
- * GIVE_UP_TIMES `span`, a time that nearly all attempts stay under; at the latest when the time
+ * TIMEOUT_FACTOR `span`, a time that nearly all attempts stay under; at the latest when the time
  * left just suffices for the stages from this one on.  USEC_NEVER when no other attempt is allowed
  * or could end in time. */
 static int64_t
-end_by (const struct search *search, const struct board_pipeline *pipeline, double span)
+attempt_timeout_at (const struct search *search, const struct board_pipeline *pipeline, double span)
 {
   const struct decide_request *request = search->request;
-  struct decide_rest rest;
+  struct decide_remaining remaining;
   double latest;
 
   if (!request->repeatable || search->n_tried + 1 >= pipeline->spec.max_attempts)
     return USEC_NEVER;
-  rest = decide_rest_time (search->decide, request, pipeline, request->stage);
-  latest = (double) (request->deadline - search->now) - rest.middle;
-  span = fmax (span, GIVE_UP_MIN);
-  if (span * GIVE_UP_TIMES <= latest)
-    return search->now + (int64_t) (span * GIVE_UP_TIMES);
-  return span * GIVE_UP_LEAST <= latest ? search->now + (int64_t) latest : USEC_NEVER;
+  remaining = decide_remaining_time (search->decide, request, pipeline, request->stage);
+  latest = (double) (request->deadline - search->now) - remaining.expected;
+  span = fmax (span, TIMEOUT_MIN);
+  if (span * TIMEOUT_FACTOR <= latest)
+    return search->now + (int64_t) (span * TIMEOUT_FACTOR);
+  return span * TIMEOUT_FACTOR_MIN <= latest ? search->now + (int64_t) latest : USEC_NEVER;
 }
 
 /* Sets the attempt's timeouts.  While its time is unknown: half of the time left, so that another
  * attempt is possible after a hang. */
 static void
-bound_attempt (const struct search *search,
-               const struct board_pipeline *pipeline,
-               const struct candidate *best,
-               struct decide_choice *out)
+set_timeouts (const struct search *search,
+              const struct board_pipeline *pipeline,
+              const struct candidate *best,
+              struct decide_choice *out)
 {
   /* For an uncached prompt: the cached prefix may have been evicted, which is not a hang. */
   const struct decide_work *work = &search->work;
-  double slowness = fmax (1, best->target->slowness) * decide_patience (search->pool, search->now);
+  double slowness =
+      fmax (1, best->target->slowness) * decide_timeout_factor (search->pool, search->now);
   double first = work->first.high * (1 + work->first_slope * best->fill);
   double half = (double) (search->request->deadline - search->now) / 2;
 
   if (!work->known)
     {
-      out->first_by = end_by (search, pipeline, half / GIVE_UP_TIMES);
+      out->first_output_by = attempt_timeout_at (search, pipeline, half / TIMEOUT_FACTOR);
       return;
     }
-  out->first_by = end_by (search, pipeline, (first + best->wait) * slowness);
-  if (work->tokens.middle <= 0)
-    out->give_up = out->first_by;
+  out->first_output_by = attempt_timeout_at (search, pipeline, (first + best->wait) * slowness);
+  if (work->tokens.median <= 0)
+    out->timeout_at = out->first_output_by;
   else
-    out->give_up =
-        end_by (search, pipeline, (decide_work_high_at (work, best->fill) + best->wait) * slowness);
+    out->timeout_at = attempt_timeout_at (
+        search, pipeline, (decide_work_high_at (work, best->fill) + best->wait) * slowness);
 }
 
 static void
@@ -315,15 +318,15 @@
   bool hedges = search->request->repeatable && pipeline->spec.hedge_share > 0 && best->work.known;
 
   *out = (struct decide_choice){ .target = best->target->handle,
-                                 .expected = search->now + (int64_t) best->expected,
-                                 .first_by = USEC_NEVER,
-                                 .give_up = USEC_NEVER,
+                                 .expected_at = search->now + (int64_t) best->expected,
+                                 .first_output_by = USEC_NEVER,
+                                 .timeout_at = USEC_NEVER,
                                  .hedge_at = USEC_NEVER,
                                  .prefix_tokens = best->cached,
                                  .work = decide_work_alone (&best->work) / USEC_PER_SEC,
                                  .fill = best->fill,
                                  .wait = best->wait };
-  bound_attempt (search, pipeline, best, out);
+  set_timeouts (search, pipeline, best, out);
   if (hedges)
     out->hedge_at =
         search->now
--- a/src/decide_time.c
+++ b/src/decide_time.c
@@ -2,31 +2,33 @@
 #include "decide_state.h"
 #include <math.h>
 
-#define UNKNOWN_MIDDLE (100.0 * USEC_PER_MSEC) /* to compare targets before a time is learned */
-#define EXTRA_WEIGHT 0.1                       /* of a new sample of a stage's extra tokens */
-#define SLOWNESS_WEIGHT 0.15                   /* of a new sample */
-#define SLOWNESS_IGNORED 0.2                   /* log ratio within random variation */
+#define DEFAULT_FIRST_OUTPUT_US                                                                    \
+  (100.0 * USEC_PER_MSEC)      /* to compare targets before a time is learned */
+#define EXTRA_WEIGHT 0.1       /* of a new sample of a stage's extra tokens */
+#define SLOWNESS_WEIGHT 0.15   /* of a new sample */
+#define SLOWNESS_DEAD_BAND 0.2 /* log ratio within random variation */
 #define SLOWNESS_HALF_LIFE (20.0 * USEC_PER_SEC)
 #define TIMEOUTS_HALF_LIFE (10.0 * USEC_PER_SEC)
-#define PATIENT_SHARE 0.25 /* of the targets timing out, from which timeouts are extended */
-#define PATIENCE 4         /* factor on the timeouts then */
-#define DRIFT_WEIGHT 0.1   /* of a new sample */
-#define DRIFT_IGNORED 0.4  /* log ratio within random variation */
+#define SLOW_POOL_TIMEOUT_SHARE                                                                    \
+  0.25                             /* of the targets timing out, from which timeouts are extended */
+#define SLOW_POOL_TIMEOUT_FACTOR 4 /* factor on the timeouts then */
+#define DRIFT_WEIGHT 0.1           /* of a new sample */
+#define DRIFT_DEAD_BAND 0.4        /* log ratio within random variation */
 #define DRIFT_HALF_LIFE (5.0 * USEC_PER_SEC)
 #define LOG_DRIFT_MAX 2.5
 #define TOKEN_SIZE 1 /* the time per token does not depend on their number */
 #define SLOPE_RATE 2.0
 #define SLOPE_MAX 8.0
 #define SLOPE_MEAN_WEIGHT 0.02
-#define REST_MAX 1.0         /* bound on a sample's log residual: a larger one is an outlier */
+#define LOG_RESIDUAL_MAX 1.0 /* bound on a sample's log residual: a larger one is an outlier */
 #define LOG_SLOWNESS_MAX 3.5 /* 33 times slower or faster */
 
-static struct learn_span
-span_times (struct learn_span span, double times)
+static struct learn_quantiles
+scale_quantiles (struct learn_quantiles span, double times)
 {
-  return (struct learn_span){ .low = span.low * times,
-                              .middle = span.middle * times,
-                              .high = span.high * times };
+  return (struct learn_quantiles){ .low = span.low * times,
+                                   .median = span.median * times,
+                                   .high = span.high * times };
 }
 
 static uint32_t
@@ -48,25 +50,26 @@
                    uint32_t tokens,
                    uint32_t cached_tokens)
 {
-  struct decide_work work = { .first = { .middle = UNKNOWN_MIDDLE, .high = UNKNOWN_MIDDLE } };
+  struct decide_work work = { .first = { .median = DEFAULT_FIRST_OUTPUT_US,
+                                         .high = DEFAULT_FIRST_OUTPUT_US } };
   struct decide_pool *pool = decide_pool_get (decide, spec->pool);
   uint32_t generated = generated_tokens (request, spec);
-  const struct decide_class *class;
-  struct learn_span token;
+  const struct decide_model *model;
+  struct learn_quantiles token;
 
   if (pool == NULL)
     return work;
-  class = decide_class_get (pool, spec->model);
-  work.first_slope = class->first_slope.slope;
-  work.token_slope = class->token_slope.slope;
+  model = decide_model_get (pool, spec->model);
+  work.first_slope = model->first_slope.slope;
+  work.token_slope = model->token_slope.slope;
   work.known =
-      learn_read (&class->first, tokens > cached_tokens ? tokens - cached_tokens : 0, &work.first);
-  work.first = span_times (work.first, pool->drift);
+      learn_read (&model->first, tokens > cached_tokens ? tokens - cached_tokens : 0, &work.first);
+  work.first = scale_quantiles (work.first, pool->drift);
   if (!work.known || generated == 0)
     return work;
-  work.known = learn_read (&class->token, TOKEN_SIZE, &token);
+  work.known = learn_read (&model->token, TOKEN_SIZE, &token);
   if (work.known)
-    work.tokens = span_times (token, generated * pool->drift);
+    work.tokens = scale_quantiles (token, generated * pool->drift);
   return work;
 }
 
@@ -101,13 +104,13 @@
 /* `low` leaves out the time to the first output when any tokens are expected to be cached: a long
  * document that is cached takes hardly any time, and a request that could still meet its deadline
  * must not be cancelled. */
-struct decide_rest
-decide_rest_time (struct decide *decide,
-                  const struct decide_request *request,
-                  const struct board_pipeline *pipeline,
-                  uint32_t stage)
+struct decide_remaining
+decide_remaining_time (struct decide *decide,
+                       const struct decide_request *request,
+                       const struct board_pipeline *pipeline,
+                       uint32_t stage)
 {
-  struct decide_rest rest = { .known = true };
+  struct decide_remaining rest = { .known = true };
 
   for (; stage < pipeline->spec.n_stages; stage++)
     {
@@ -121,7 +124,7 @@
       if (cached > 0)
         low = work.tokens.low;
       rest.low += low;
-      rest.middle += decide_work_at (&work, pool == NULL ? 0 : decide_pool_fill (decide, pool));
+      rest.expected += decide_work_at (&work, pool == NULL ? 0 : decide_pool_fill (decide, pool));
       rest.known = rest.known && work.known;
     }
   return rest;
@@ -148,11 +151,11 @@
 }
 
 static double
-beyond (double log_ratio, double ignored)
+apply_dead_band (double log_ratio, double dead_band)
 {
-  if (fabs (log_ratio) <= ignored)
+  if (fabs (log_ratio) <= dead_band)
     return 0;
-  return log_ratio > 0 ? log_ratio - ignored : log_ratio + ignored;
+  return log_ratio > 0 ? log_ratio - dead_band : log_ratio + dead_band;
 }
 
 static void
@@ -164,7 +167,7 @@
   pool->log_slowness += log_slowness - target->log_slowness;
   target->log_slowness = log_slowness;
   mean = pool->log_slowness / pool->n_targets;
-  target->slowness = exp (beyond (log_slowness - mean, SLOWNESS_IGNORED));
+  target->slowness = exp (apply_dead_band (log_slowness - mean, SLOWNESS_DEAD_BAND));
 }
 
 /* `ratio` is the target's time over the pool's.  Slowness is relative to the pool's mean: what all
@@ -178,7 +181,7 @@
 }
 
 void
-decide_slowness_forget (struct decide_target *target)
+decide_slowness_reset (struct decide_target *target)
 {
   set_slowness (target, 0);
 }
@@ -186,7 +189,7 @@
 /* Decays the slowness: a target that is estimated slow gets less work, and so too few samples to
  * correct the estimate. */
 void
-decide_slowness_fade (struct decide_target *target, int64_t span)
+decide_slowness_decay (struct decide_target *target, int64_t span)
 {
   set_slowness (target, target->log_slowness * exp2 (-(double) span / SLOWNESS_HALF_LIFE));
 }
@@ -194,12 +197,12 @@
 /* Ignores a drift within random variation.  The drift decays with time, so that a pool estimated
  * too slow for any request is tried again. */
 void
-decide_drift_refresh (struct decide_pool *pool, int64_t now)
+decide_drift_update (struct decide_pool *pool, int64_t now)
 {
   if (now > pool->drift_at)
     pool->log_drift *= exp2 (-(double) (now - pool->drift_at) / DRIFT_HALF_LIFE);
   pool->drift_at = now;
-  pool->drift = exp (beyond (pool->log_drift, DRIFT_IGNORED));
+  pool->drift = exp (apply_dead_band (pool->log_drift, DRIFT_DEAD_BAND));
 }
 
 /* When a whole pool slows down, its next few answers show it, but the times by size need hundreds
@@ -207,40 +210,38 @@
 static void
 learn_drift (struct decide_pool *pool, double ratio, int64_t now)
 {
-  double rest = fmin (fmax (log (ratio), -REST_MAX), REST_MAX);
+  double rest = fmin (fmax (log (ratio), -LOG_RESIDUAL_MAX), LOG_RESIDUAL_MAX);
 
-  decide_drift_refresh (pool, now);
+  decide_drift_update (pool, now);
   pool->log_drift += DRIFT_WEIGHT * rest;
   pool->log_drift = fmin (fmax (pool->log_drift, -LOG_DRIFT_MAX), LOG_DRIFT_MAX);
-  pool->drift = exp (beyond (pool->log_drift, DRIFT_IGNORED));
+  pool->drift = exp (apply_dead_band (pool->log_drift, DRIFT_DEAD_BAND));
 }
 
 static double
-timeouts_now (const struct decide_pool *pool, int64_t now)
+decayed_timeouts (const struct decide_pool *pool, int64_t now)
 {
-  return pool->timeouts * exp2 (-(double) (now - pool->timeouts_at) / TIMEOUTS_HALF_LIFE);
+  return pool->recent_timeouts * exp2 (-(double) (now - pool->timeouts_at) / TIMEOUTS_HALF_LIFE);
 }
 
 double
-decide_patience (const struct decide_pool *pool, int64_t now)
+decide_timeout_factor (const struct decide_pool *pool, int64_t now)
 {
-  double share = pool->n_usable > 0 ? timeouts_now (pool, now) / pool->n_usable : 0;
+  double share = pool->n_usable > 0 ? decayed_timeouts (pool, now) / pool->n_usable : 0;
 
-  return share < PATIENT_SHARE ? 1 : PATIENCE;
+  return share < SLOW_POOL_TIMEOUT_SHARE ? 1 : SLOW_POOL_TIMEOUT_FACTOR;
 }
 
 /* The time of an attempt that timed out is a lower bound, used as a sample of the drift. */
 void
-decide_time_timed_out (struct decide_target *target,
-                       const struct decide_result *result,
-                       int64_t now)
+decide_learn_timeout (struct decide_target *target, const struct decide_result *result, int64_t now)
 {
-  double expected = (double) (result->choice.expected - result->started);
+  double expected = (double) (result->choice.expected_at - result->started);
   double took = (double) (result->ended - result->started);
 
   if (!target->timed_out)
     {
-      target->pool->timeouts = timeouts_now (target->pool, now) + 1;
+      target->pool->recent_timeouts = decayed_timeouts (target->pool, now) + 1;
       target->pool->timeouts_at = now;
     }
   target->timed_out = true;
@@ -260,7 +261,7 @@
     {
       double rest = log (span / (expected_alone * factor));
 
-      rest = fmin (fmax (rest, -REST_MAX), REST_MAX);
+      rest = fmin (fmax (rest, -LOG_RESIDUAL_MAX), LOG_RESIDUAL_MAX);
       slope->slope += SLOPE_RATE * rest * (fill - slope->mean_fill);
       slope->slope = fmin (fmax (slope->slope, 0), SLOPE_MAX);
       slope->mean_fill += SLOPE_MEAN_WEIGHT * (fill - slope->mean_fill);
@@ -271,7 +272,7 @@
 /* Records a time on this target in the pool's times, after dividing by the target's slowness and
  * the pool's drift.  Returns its ratio to the pool's time; 0 when that is unknown. */
 static double
-learn_part (struct decide *decide,
+learn_time (struct decide *decide,
             struct learn_sizes *times,
             struct decide_slope *slope,
             uint32_t tokens,
@@ -279,27 +280,27 @@
             const struct decide_target *target,
             double fill)
 {
-  struct learn_span known = { .middle = 0 };
+  struct learn_quantiles known = { .median = 0 };
   double normal = span / target->slowness / target->pool->drift;
   double alone;
 
   learn_read (times, tokens, &known);
-  alone = learn_slope (slope, fill, normal, known.middle);
+  alone = learn_slope (slope, fill, normal, known.median);
   learn_record (times, decide, tokens, alone);
-  return known.middle > 0 ? alone * target->slowness / known.middle : 0;
+  return known.median > 0 ? alone * target->slowness / known.median : 0;
 }
 
 /* Splits the attempt's time into the expected queueing delay, the target's slowness, the effect of
  * the target's other calls, and the remainder, a sample of the pool's times. */
 void
-decide_time_learn (struct decide *decide,
-                   const struct decide_request *request,
-                   const struct stage_spec *spec,
-                   struct decide_target *target,
-                   const struct decide_result *result)
+decide_learn_attempt (struct decide *decide,
+                      const struct decide_request *request,
+                      const struct stage_spec *spec,
+                      struct decide_target *target,
+                      const struct decide_result *result)
 {
-  struct decide_class *class = decide_class_get (target->pool, spec->model);
-  double expected = (double) (result->choice.expected - result->started);
+  struct decide_model *model = decide_model_get (target->pool, spec->model);
+  double expected = (double) (result->choice.expected_at - result->started);
   double took = (double) (result->ended - result->started);
   bool generates = spec->kind == STAGE_GENERATE && result->first_data > 0;
   double first = generates ? (double) (result->first_data - result->started) : took;
@@ -307,18 +308,18 @@
                           ? result->input_tokens - result->cached_tokens
                           : 1;
   double fill = result->choice.fill;
-  struct learn_span known;
-  bool was_known = learn_read (&class->first, uncached, &known);
+  struct learn_quantiles known;
+  bool was_known = learn_read (&model->first, uncached, &known);
   double ratio = 0;
 
   learn_tokens (decide, request, result->input_tokens, result->cached_tokens);
   /* The time to the first output of a queued call includes an unknown wait. */
   if (result->choice.wait <= 0 || !was_known)
-    ratio = learn_part (decide, &class->first, &class->first_slope, uncached, first, target, fill);
+    ratio = learn_time (decide, &model->first, &model->first_slope, uncached, first, target, fill);
   /* The time per token varies little and does not depend on caching, so it is the best measure of
    * the target's slowness. */
   if (generates && result->output_tokens > 0)
-    ratio = learn_part (decide, &class->token, &class->token_slope, TOKEN_SIZE,
+    ratio = learn_time (decide, &model->token, &model->token_slope, TOKEN_SIZE,
                         (took - first) / result->output_tokens, target, fill);
   if (ratio > 0)
     learn_slowness (target, ratio);
--- a/src/directory_sync.c
+++ b/src/directory_sync.c
@@ -68,7 +68,7 @@
   };
   struct bytes out;
 
-  load_report_interest (directory, home, &message, now);
+  load_report_request (directory, home, &message, now);
   bytes_init (&out, directory);
   directory_write_ask (&out, &message);
   send_message (directory, home->name, &out);
@@ -221,7 +221,7 @@
   bytes_init (&changes, directory);
   write_changes (directory, &head, &changes);
   write_leases (directory, &head, now);
-  load_report_choose (directory, question, &head, now);
+  load_report_answer (directory, question, &head, now);
   send_head (directory, host, &head, &changes);
   bytes_clear (&changes);
 }
--- a/src/eject.h
+++ b/src/eject.h
@@ -14,31 +14,31 @@
 
 struct eject
 {
-  int64_t until;     /* end of the ejection; 0 while in use */
-  uint32_t failures; /* consecutive */
-  uint32_t times;    /* ejections since the last complete answer */
-  bool probing;      /* a probe is in flight */
+  int64_t until;        /* end of the ejection; 0 while in use */
+  uint32_t failures;    /* consecutive */
+  uint32_t n_ejections; /* ejections since the last complete answer */
+  bool probing;         /* a probe is in flight */
 };
 
 enum eject_state
 {
   EJECT_IN_USE,
-  EJECT_OUT,   /* no attempts */
-  EJECT_PROBE, /* one attempt may be sent as a probe */
+  EJECT_EJECTED, /* no attempts */
+  EJECT_PROBE,   /* one attempt may be sent as a probe */
 };
 
 enum eject_state eject_state (const struct eject *eject, int64_t now);
 
 /* Records the start of an attempt, which is the probe when the ejection time is over. */
-void eject_started (struct eject *eject, int64_t now);
-void eject_success (struct eject *eject);
+void eject_attempt_started (struct eject *eject, int64_t now);
+void eject_attempt_succeeded (struct eject *eject);
 
 /* Records a failure that counts `weight` times.  `may_eject`: the pool's bound allows another
  * ejection.  True when this failure ejected the target; false for a failed probe. */
-bool eject_failure (struct eject *eject, uint32_t weight, bool may_eject, int64_t now);
+bool eject_attempt_failed (struct eject *eject, uint32_t weight, bool may_eject, int64_t now);
 
 /* Records the end of an attempt without a result (cancelled by us). */
-void eject_neutral (struct eject *eject);
+void eject_attempt_cancelled (struct eject *eject);
 
 END_DECLS
 
--- a/src/entry_host.c
+++ b/src/entry_host.c
@@ -135,8 +135,8 @@
 {
   return json_pack ("{s:s,s:s,s:s,s:s,s:b,s:i,s:f,s:f,s:I}", "id", target->id, "pool", target->pool,
                     "address", target->address, "domain", target->domain, "usable", target->usable,
-                    "in_flight", (int) target->in_flight, "latency_us", target->latency, "failing",
-                    target->failing, "ejected_ms",
+                    "in_flight", (int) target->in_flight, "latency_us", target->latency_us,
+                    "failing", target->failure_rate, "ejected_ms",
                     (json_int_t) (target->ejected_until > now
                                       ? (target->ejected_until - now) / USEC_PER_MSEC
                                       : 0));
--- a/src/flow_attempt.c
+++ b/src/flow_attempt.c
@@ -105,7 +105,7 @@
     .choice = attempt->choice,
   };
 
-  decide_ended (request->flow->config.decide, &request->decide, &result, now);
+  decide_attempt_ended (request->flow->config.decide, &request->decide, &result, now);
 }
 
 /* True for a call that may have had an effect and whose result is not known. */
@@ -227,7 +227,8 @@
   struct timer_service *timers = attempt->flow->config.timers;
   const struct decide_choice *choice = &attempt->choice;
 
-  int64_t first = choice->first_by < choice->give_up ? choice->first_by : choice->give_up;
+  int64_t first =
+      choice->first_output_by < choice->timeout_at ? choice->first_output_by : choice->timeout_at;
 
   /* Ending an unrepeatable call early would only make its outcome unknown: it runs until the
    * deadline. */
@@ -250,10 +251,10 @@
   attempt->first_data = now;
   if (!timer_is_armed (&attempt->give_up))
     return;
-  if (attempt->choice.give_up == USEC_NEVER)
+  if (attempt->choice.timeout_at == USEC_NEVER)
     timer_disarm (timers, &attempt->give_up);
   else
-    timer_arm (timers, &attempt->give_up, attempt->choice.give_up);
+    timer_arm (timers, &attempt->give_up, attempt->choice.timeout_at);
 }
 
 /* ---- the start ---- */
@@ -388,7 +389,7 @@
   request->n_sent++;
   INVARIANT (add_live (request, attempt->self));
   target->in_flight++;
-  decide_started (flow->config.decide, &request->decide, choice, now);
+  decide_attempt_started (flow->config.decide, &request->decide, choice, now);
   if (attempt->resumed_from > 0)
     flow_count_resume (flow);
   arm_timers (attempt, request);
--- a/src/flow_stage.c
+++ b/src/flow_stage.c
@@ -177,7 +177,7 @@
   request->text.source = (struct handle){ 0 };
   if (flow_stage_spec (request)->kind == STAGE_GENERATE)
     hash_prefix (request);
-  if (decide_hopeless (request->flow->config.decide, &request->decide, now))
+  if (decide_deadline_is_unreachable (request->flow->config.decide, &request->decide, now))
     return flow_end_with_reason (request, FLOW_REASON_WINDOW, 0, now);
   flow_check_arm (request, now);
   try_targets (request, now);
@@ -208,7 +208,7 @@
     return flow_end_with_reason (request, FLOW_REASON_TARGET_REJECTED, 0, now);
   if (!flow_can_send_again (request, failure->not_run) || request->phase == FLOW_PHASE_SETTLING)
     return flow_end_with_reason (request, reasons_of_end[failure->end], 0, now);
-  if (decide_hopeless (request->flow->config.decide, &request->decide, now))
+  if (decide_deadline_is_unreachable (request->flow->config.decide, &request->decide, now))
     return flow_end_with_reason (request, FLOW_REASON_WINDOW, 0, now);
   if (admit_retry (request, failure->end, failure->not_run, now))
     try_targets (request, now);
@@ -260,7 +260,8 @@
 
   if (request->phase != FLOW_PHASE_RUNNING)
     return;
-  if (can_end && decide_hopeless (request->flow->config.decide, &request->decide, now))
+  if (can_end
+      && decide_deadline_is_unreachable (request->flow->config.decide, &request->decide, now))
     return flow_end_with_reason (request, FLOW_REASON_WINDOW, 0, now);
   flow_check_arm (request, now);
   if (!request->waiting_for_target)
--- a/src/forward.c
+++ b/src/forward.c
@@ -111,7 +111,8 @@
   if (job->facts.has_deadline && job->facts.time_left < patience)
     patience = job->facts.time_left;
   if (job->facts.has_deadline)
-    job->age = patience_age (job->forward->patience, job->route.name, job->facts.time_left);
+    job->age =
+        request_age_estimate (job->forward->request_age, job->route.name, job->facts.time_left);
   job->deadline = job->arrived + patience;
   job->objective_at = job->arrived - job->age + job->route.objective;
   job->give_up_at = job->deadline;
@@ -308,9 +309,9 @@
     return NULL;
   forward->handler.ops = &handler_ops;
   forward->config = *config;
-  forward->patience = patience_new (forward);
+  forward->request_age = request_age_new (forward);
   rng_init (&forward->rng, config->seed);
-  if (forward->patience == NULL)
+  if (forward->request_age == NULL)
     {
       talloc_free (forward);
       return NULL;
--- a/src/forward_attempt.c
+++ b/src/forward_attempt.c
@@ -238,7 +238,7 @@
   log_attempt (job, cut ? "ended inside an event" : "answered", now);
   /* A different incarnation has that address. */
   if (job->status == HTTP_STATUS_MISDIRECTED_REQUEST)
-    job->target->ejected_until = now + BALANCE_EJECT;
+    job->target->ejected_until = now + BALANCE_EJECTION_MIN;
   release_target (job, failed, now);
   if (job->not_run)
     handle_refusal (job, now);
@@ -398,7 +398,7 @@
 first_byte_timeout (const struct forward_job *job)
 {
   int64_t least = (int64_t) (FIRST_BYTE_TIMEOUT_OBJECTIVE_SHARE * (double) job->route.objective);
-  int64_t usual = (int64_t) (FIRST_BYTE_TIMEOUT_FACTOR * job->target->latency);
+  int64_t usual = (int64_t) (FIRST_BYTE_TIMEOUT_FACTOR * job->target->latency_us);
 
   return usual > least ? usual : least;
 }
@@ -427,10 +427,10 @@
   log_event (LOG_MODULE_FLOW, LOG_LEVEL_INFO, "target-chosen",
              "{s:s,s:s,s:s,s:s,s:i,s:I,s:I,s:I,s:i,s:f,s:I,s:I,s:i,s:i,s:i}", "id", job->facts.id,
              "target", target->id, "address", target->address, "pool", job->pool, "in_flight",
-             (int) target->in_flight, "latency_us", (json_int_t) target->latency, "renewed_ms",
+             (int) target->in_flight, "latency_us", (json_int_t) target->latency_us, "renewed_ms",
              (json_int_t) ((now - target->record->heard) / USEC_PER_MSEC), "sequence",
              (json_int_t) target->record->word.sequence, "send", (int) job->sends, "failing",
-             target->failing, "left_ms", (json_int_t) ((job->deadline - now) / USEC_PER_MSEC),
+             target->failure_rate, "left_ms", (json_int_t) ((job->deadline - now) / USEC_PER_MSEC),
              "expected_wait_us", (json_int_t) cost.wait, "read_again_tokens",
              (int) cost.read_again_tokens, "engine_running", (int) cost.running, "prompt_tokens",
              (int) job->facts.input_tokens);
@@ -448,8 +448,8 @@
   if (job_has_stages (job))
     job_locate_results (job);
   if (job_needs_isolation (job, now))
-    job->target = balance_choose_apart (config->balance, job->pool, &job->prompt, job->tried,
-                                        job->n_tried, now);
+    job->target = balance_choose_least_running (config->balance, job->pool, &job->prompt,
+                                                job->tried, job->n_tried, now);
   else
     job->target =
         balance_choose (config->balance, job->pool, &job->prompt, job->tried, job->n_tried, now);
--- a/src/forward_place.c
+++ b/src/forward_place.c
@@ -12,7 +12,7 @@
 /* Bytes held in, or needed by, each failure domain; they cross if the stage runs in another one. */
 struct places
 {
-  struct balance_place at[BALANCE_PLACES_MAX];
+  struct balance_result_location at[BALANCE_LOCATIONS_MAX];
   uint32_t n;
 };
 
@@ -23,11 +23,11 @@
 
   while (i < places->n && strcmp (places->at[i].domain, domain) != 0)
     i++;
-  if (i == BALANCE_PLACES_MAX)
+  if (i == BALANCE_LOCATIONS_MAX)
     return;
   if (i == places->n)
     {
-      places->at[places->n++] = (struct balance_place){ .bytes = 0 };
+      places->at[places->n++] = (struct balance_result_location){ .bytes = 0 };
       text_copy_cut (places->at[i].domain, sizeof places->at[i].domain, domain);
     }
   places->at[i].bytes += bytes;
@@ -56,7 +56,8 @@
   uint64_t most = CROSSING_MIN_BYTES;
 
   out[0] = '\0';
-  add_results (job, job_replace_skipped (job, stage->after), job_pieces (job, number), &places);
+  add_results (job, job_replace_skipped (job, stage->depends_on), job_pieces (job, number),
+               &places);
   if (job_is_read_by_engine (job, number) && job->engine_domain[0] != '\0')
     add_place (&places, job->engine_domain, job_pieces (job, number) * stage->result_size);
   for (uint32_t i = 0; i < places.n; i++)
@@ -73,6 +74,6 @@
   struct places places = { .n = 0 };
 
   add_results (job, job_replace_skipped (job, route_last_stages (&job->route)), 1, &places);
-  memcpy (job->prompt.places, places.at, sizeof places.at);
-  job->prompt.n_places = places.n;
+  memcpy (job->prompt.locations, places.at, sizeof places.at);
+  job->prompt.n_locations = places.n;
 }
--- a/src/forward_private.h
+++ b/src/forward_private.h
@@ -3,7 +3,7 @@
 #define FORWARD_PRIVATE_H
 
 #include "forward.h"
-#include "patience.h"
+#include "request_age.h"
 #include "request_digest.h"
 
 #define FORWARD_POOLS_MAX 64
@@ -163,7 +163,7 @@
   struct h1_handler handler;
   struct forward_config config;
   struct rng rng;
-  struct patience *patience; /* estimates the age of requests */
+  struct request_age *request_age; /* estimates the age of requests */
   struct forward_job *jobs;
   uint32_t n_jobs;
   uint64_t arrivals;
--- a/src/forward_result.c
+++ b/src/forward_result.c
@@ -68,7 +68,7 @@
   uint32_t readers = 0;
 
   for (uint32_t i = stage + 1; i < job->route.n_stages; i++)
-    if ((job_replace_skipped (job, job->route.stages[i].after) & (UINT32_C (1) << stage)) != 0)
+    if ((job_replace_skipped (job, job->route.stages[i].depends_on) & (UINT32_C (1) << stage)) != 0)
       readers |= UINT32_C (1) << i;
   return readers;
 }
--- a/src/forward_stage.c
+++ b/src/forward_stage.c
@@ -58,7 +58,7 @@
           int64_t through = job->stages[j].tail + job->stages[j].expected
                             + (wait > STAGE_MIN_QUEUE_TIME ? wait : STAGE_MIN_QUEUE_TIME);
 
-          if ((job->route.stages[j].after & (UINT32_C (1) << i)) != 0 && through > tail)
+          if ((job->route.stages[j].depends_on & (UINT32_C (1) << i)) != 0 && through > tail)
             tail = through;
         }
       job->stages[i].tail = tail;
@@ -111,7 +111,7 @@
     if ((stages & (UINT32_C (1) << i)) != 0 && job_pieces (job, i) == 0)
       {
         stages &= ~(UINT32_C (1) << i);
-        stages |= job->route.stages[i].after;
+        stages |= job->route.stages[i].depends_on;
       }
   return stages;
 }
@@ -230,7 +230,8 @@
     {
       struct forward_stage *stage = &job->stages[i];
 
-      if (job_pieces (job, i) == 0 || job_replace_skipped (job, job->route.stages[i].after) == 0)
+      if (job_pieces (job, i) == 0
+          || job_replace_skipped (job, job->route.stages[i].depends_on) == 0)
         continue;
       stage->booking = (struct work_booking){
         .ops = &booking_ops,
@@ -255,7 +256,7 @@
   struct bytes inputs;
 
   bytes_init (&inputs, NULL);
-  job_write_inputs (job, route->after, &inputs);
+  job_write_inputs (job, route->depends_on, &inputs);
   stage->order = (struct work_order){
     .ops = &stage_ops,
     .stage = number,
@@ -323,7 +324,7 @@
 
   for (uint32_t i = 0; i < job->route.n_stages; i++)
     if (job->stages[i].state == STAGE_IDLE && job_pieces (job, i) > 0
-        && job_stages_are_done (job, job_replace_skipped (job, job->route.stages[i].after))
+        && job_stages_are_done (job, job_replace_skipped (job, job->route.stages[i].depends_on))
         && !starts_too_early (job, i, now))
       order_stage (job, i, now);
   if (!job_stages_are_done (job, all))
@@ -352,7 +353,7 @@
 {
   const struct balance_target *likely;
 
-  job->prompt.n_places = 0;
+  job->prompt.n_locations = 0;
   likely = balance_choose (job->forward->config.balance, job->pool, &job->prompt, NULL, 0, now);
   /* All stages should run in one failure domain: that of the engine which would be chosen for the
    * request now. */
--- a/src/learn.c
+++ b/src/learn.c
@@ -3,7 +3,7 @@
 #include <math.h>
 #include <talloc.h>
 
-#define FIRST_SPAN 64.0 /* microseconds; the upper bound of bucket 0 */
+#define BUCKET_0_MAX_US 64.0 /* microseconds; the upper bound of bucket 0 */
 #define LOW_QUANTILE 0.05
 #define HIGH_QUANTILE 0.95
 
@@ -12,17 +12,17 @@
 {
   double octaves;
 
-  if (!(span > FIRST_SPAN))
+  if (!(span > BUCKET_0_MAX_US))
     return 0;
-  octaves = log2 (span / FIRST_SPAN) * LEARN_PER_OCTAVE;
+  octaves = log2 (span / BUCKET_0_MAX_US) * LEARN_PER_OCTAVE;
   return octaves < LEARN_BUCKETS - 1 ? (uint32_t) octaves + 1 : LEARN_BUCKETS - 1;
 }
 
 /* The middle of the bucket, on the log scale. */
 static double
-span_of (uint32_t bucket)
+bucket_centre_us (uint32_t bucket)
 {
-  return FIRST_SPAN * exp2 (((double) bucket - 0.5) / LEARN_PER_OCTAVE);
+  return BUCKET_0_MAX_US * exp2 (((double) bucket - 0.5) / LEARN_PER_OCTAVE);
 }
 
 static uint32_t
@@ -43,9 +43,9 @@
 static void
 refresh (struct learn_histogram *histogram)
 {
-  histogram->span.low = span_of (quantile_bucket (histogram, LOW_QUANTILE));
-  histogram->span.middle = span_of (quantile_bucket (histogram, 0.5));
-  histogram->span.high = span_of (quantile_bucket (histogram, HIGH_QUANTILE));
+  histogram->quantiles.low = bucket_centre_us (quantile_bucket (histogram, LOW_QUANTILE));
+  histogram->quantiles.median = bucket_centre_us (quantile_bucket (histogram, 0.5));
+  histogram->quantiles.high = bucket_centre_us (quantile_bucket (histogram, HIGH_QUANTILE));
 }
 
 static void
@@ -61,7 +61,7 @@
 void
 learn_record (struct learn_sizes *learn, void *parent, uint32_t tokens, double span)
 {
-  struct learn_histogram **slot = &learn->sizes[learn_size_of (tokens)];
+  struct learn_histogram **slot = &learn->sizes[learn_size_bucket (tokens)];
 
   if (*slot == NULL)
     *slot = talloc_zero (parent, struct learn_histogram);
@@ -75,7 +75,7 @@
 }
 
 static const struct learn_histogram *
-known (const struct learn_sizes *learn, int size)
+find_known (const struct learn_sizes *learn, int size)
 {
   if (size < 0 || size >= LEARN_SIZES || learn->sizes[size] == NULL)
     return NULL;
@@ -83,32 +83,32 @@
 }
 
 int
-learn_read (const struct learn_sizes *learn, uint32_t tokens, struct learn_span *out)
+learn_read (const struct learn_sizes *learn, uint32_t tokens, struct learn_quantiles *out)
 {
-  int size = (int) learn_size_of (tokens);
+  int size = (int) learn_size_bucket (tokens);
   const struct learn_histogram *histogram;
   int distance;
 
   for (distance = 0; distance < LEARN_SIZES; distance++)
     {
-      histogram = known (learn, size - distance);
+      histogram = find_known (learn, size - distance);
       if (histogram != NULL)
         {
           double up = exp2 (distance);
 
-          *out = (struct learn_span){ .low = histogram->span.low,
-                                      .middle = histogram->span.middle * up,
-                                      .high = histogram->span.high * up };
+          *out = (struct learn_quantiles){ .low = histogram->quantiles.low,
+                                           .median = histogram->quantiles.median * up,
+                                           .high = histogram->quantiles.high * up };
           return 1;
         }
-      histogram = known (learn, size + distance);
+      histogram = find_known (learn, size + distance);
       if (histogram != NULL)
         {
           double down = exp2 (-distance);
 
-          *out = (struct learn_span){ .low = histogram->span.low * down,
-                                      .middle = histogram->span.middle * down,
-                                      .high = histogram->span.high };
+          *out = (struct learn_quantiles){ .low = histogram->quantiles.low * down,
+                                           .median = histogram->quantiles.median * down,
+                                           .high = histogram->quantiles.high };
           return 1;
         }
     }
--- a/src/learn.h
+++ b/src/learn.h
@@ -18,10 +18,10 @@
 #define LEARN_MIN_SAMPLES 4 /* a size bucket with fewer counts as unknown */
 
 /* Quantiles of a time, in microseconds. */
-struct learn_span
+struct learn_quantiles
 {
   double low;    /* the 5% quantile */
-  double middle; /* the median */
+  double median; /* the median */
   double high;   /* the 95% quantile */
 };
 
@@ -29,7 +29,7 @@
 {
   float weights[LEARN_BUCKETS];
   float total;
-  struct learn_span span; /* quantiles of the weights */
+  struct learn_quantiles quantiles; /* quantiles of the weights */
 };
 
 struct learn_sizes
@@ -44,10 +44,10 @@
 /* Reads the quantiles for `tokens`.  When the size is unknown they are scaled from the nearest
  * known one in proportion to the size, but `low` is not scaled up and `high` is not scaled down. 0,
  * and `out` unchanged, when no size is known. */
-int learn_read (const struct learn_sizes *learn, uint32_t tokens, struct learn_span *out);
+int learn_read (const struct learn_sizes *learn, uint32_t tokens, struct learn_quantiles *out);
 
 static inline uint32_t
-learn_size_of (uint32_t tokens)
+learn_size_bucket (uint32_t tokens)
 {
   uint32_t size = tokens <= 1 ? 0 : 31 - (uint32_t) __builtin_clz (tokens);
 
--- a/src/limit.c
+++ b/src/limit.c
@@ -3,25 +3,25 @@
 #include "usec.h"
 #include <math.h>
 
-#define DEMAND_SPAN (2.0 * USEC_PER_SEC) /* time constant of the demand's decay */
+#define DEMAND_TIME_CONSTANT (2.0 * USEC_PER_SEC) /* time constant of the demand's decay */
 #define RUNNING_RETRY_AFTER (100 * USEC_PER_MSEC)
 #define TOKENS_BURST_SECONDS 2.0
 #define RETRY_AFTER_MAX (10 * USEC_PER_SEC)
 
 static void
-fill (struct limit_bucket *bucket, double rate, double burst, int64_t now)
+refill (struct limit_bucket *bucket, double rate, double burst, int64_t now)
 {
   if (bucket->filled_at == 0)
-    bucket->held = burst;
+    bucket->level = burst;
   else if (now > bucket->filled_at)
-    bucket->held += rate * (double) (now - bucket->filled_at) / USEC_PER_SEC;
-  if (bucket->held > burst)
-    bucket->held = burst;
+    bucket->level += rate * (double) (now - bucket->filled_at) / USEC_PER_SEC;
+  if (bucket->level > burst)
+    bucket->level = burst;
   bucket->filled_at = now;
 }
 
 static int64_t
-span_until (double missing, double rate)
+refill_time (double missing, double rate)
 {
   double span = rate > 0 ? missing / rate * USEC_PER_SEC : (double) RETRY_AFTER_MAX;
 
@@ -56,26 +56,26 @@
   double rate = spec->requests_per_sec * limit->share;
   double token_rate = spec->tokens_per_sec * limit->share;
 
-  fill (&limit->requests, rate, requests_burst (limit, spec), now);
-  fill (&limit->tokens, token_rate, token_rate * TOKENS_BURST_SECONDS, now);
+  refill (&limit->requests, rate, requests_burst (limit, spec), now);
+  refill (&limit->tokens, token_rate, token_rate * TOKENS_BURST_SECONDS, now);
   *retry_after = 0;
   if (spec->concurrency > 0 && limit->running >= running_max (limit, spec))
     {
       *retry_after = RUNNING_RETRY_AFTER;
       return LIMIT_RUNNING;
     }
-  if (spec->requests_per_sec > 0 && limit->requests.held < 1)
+  if (spec->requests_per_sec > 0 && limit->requests.level < 1)
     {
-      *retry_after = span_until (1 - limit->requests.held, rate);
+      *retry_after = refill_time (1 - limit->requests.level, rate);
       return LIMIT_REQUESTS;
     }
-  if (spec->tokens_per_sec > 0 && limit->tokens.held <= 0)
+  if (spec->tokens_per_sec > 0 && limit->tokens.level <= 0)
     {
-      *retry_after = span_until (1 - limit->tokens.held, token_rate);
+      *retry_after = refill_time (1 - limit->tokens.level, token_rate);
       return LIMIT_TOKENS;
     }
-  limit->requests.held -= 1;
-  limit->tokens.held -= tokens;
+  limit->requests.level -= 1;
+  limit->tokens.level -= tokens;
   limit->running++;
   return LIMIT_OK;
 }
@@ -83,7 +83,7 @@
 void
 limit_undo (struct limit *limit, const struct organisation_spec *spec, double tokens)
 {
-  limit->requests.held += 1;
+  limit->requests.level += 1;
   limit_finish (limit, spec, tokens);
 }
 
@@ -91,7 +91,7 @@
 limit_finish (struct limit *limit, const struct organisation_spec *spec, double unused_tokens)
 {
   if (spec->tokens_per_sec > 0)
-    limit->tokens.held += unused_tokens;
+    limit->tokens.level += unused_tokens;
   if (limit->running > 0)
     limit->running--;
 }
@@ -101,13 +101,13 @@
 {
   double age = (double) (now - limit->demand_at);
 
-  return age > 0 ? limit->demand * exp (-age / DEMAND_SPAN) : limit->demand;
+  return age > 0 ? limit->demand * exp (-age / DEMAND_TIME_CONSTANT) : limit->demand;
 }
 
 void
 limit_demand_add (struct limit *limit, int64_t now)
 {
-  limit->demand = decayed (limit, now) + USEC_PER_SEC / DEMAND_SPAN;
+  limit->demand = decayed (limit, now) + USEC_PER_SEC / DEMAND_TIME_CONSTANT;
   limit->demand_at = now;
 }
 
--- a/src/limit.h
+++ b/src/limit.h
@@ -13,7 +13,7 @@
 /* A token bucket that may go negative by one request's cost; it then refills before the next. */
 struct limit_bucket
 {
-  double held;
+  double level;
   int64_t filled_at; /* time of the last refill; 0: unused, starts full */
 };
 
--- a/src/load_report.c
+++ b/src/load_report.c
@@ -2,13 +2,13 @@
 #include "load_report.h"
 
 /* Reports of this age or older are not forwarded. */
-#define REPORT_USEFUL (10 * USEC_PER_SEC)
+#define REPORT_AGE_MAX (10 * USEC_PER_SEC)
 
 void
-load_report_interest (const struct directory *directory,
-                      struct directory_home *home,
-                      struct directory_ask_message *ask,
-                      int64_t now)
+load_report_request (const struct directory *directory,
+                     struct directory_home *home,
+                     struct directory_ask_message *ask,
+                     int64_t now)
 {
   (void) directory;
   ask->n_interest = 0;
@@ -29,7 +29,7 @@
 }
 
 void
-load_report_choose (struct directory *directory,
+load_report_answer (struct directory *directory,
                     const struct directory_ask_message *ask,
                     struct directory_head *answer,
                     int64_t now)
@@ -45,7 +45,7 @@
       const struct load_report *report;
 
       if (target == NULL || target->report.received_at == 0
-          || now - target->report.measured_at >= REPORT_USEFUL)
+          || now - target->report.measured_at >= REPORT_AGE_MAX)
         continue;
       report = &target->report;
       answer->loads[answer->n_loads++] = (struct directory_load_entry){
--- a/src/prefix.c
+++ b/src/prefix.c
@@ -5,8 +5,8 @@
 #include <talloc.h>
 
 #define WAYS 8
-#define TICK (16 * USEC_PER_MSEC)
-#define LIFE_TICKS 7500u /* two minutes; older entries are ignored */
+#define TICK_USEC (16 * USEC_PER_MSEC)
+#define ENTRY_TTL_TICKS 7500u /* two minutes; older entries are ignored */
 
 struct entry
 {
@@ -72,11 +72,11 @@
 static uint32_t
 tick_of (int64_t now)
 {
-  return (uint32_t) (now / TICK);
+  return (uint32_t) (now / TICK_USEC);
 }
 
 void
-prefix_note (struct prefix_index *index, uint64_t block, struct handle target, int64_t now)
+prefix_add (struct prefix_index *index, uint64_t block, struct handle target, int64_t now)
 {
   struct set *set = set_of (index, block);
   struct entry *oldest = &set->ways[0];
@@ -101,7 +101,7 @@
 }
 
 void
-prefix_drop (struct prefix_index *index, uint64_t block, struct handle target)
+prefix_remove (struct prefix_index *index, uint64_t block, struct handle target)
 {
   struct set *set = set_of (index, block);
   uint32_t i;
@@ -114,7 +114,7 @@
 }
 
 void
-prefix_forget (struct prefix_index *index, struct handle target)
+prefix_remove_target (struct prefix_index *index, struct handle target)
 {
   uint32_t i;
   uint32_t way;
@@ -126,7 +126,7 @@
 }
 
 static bool
-is_found (const struct prefix_holder *out, uint32_t count, struct handle target)
+contains_target (const struct prefix_holder *out, uint32_t count, struct handle target)
 {
   uint32_t i;
 
@@ -160,8 +160,8 @@
           const struct entry *entry = &set->ways[i];
           struct handle target = unpack_target (entry->target);
 
-          if (entry->target == 0 || entry->tag != tag_of (block) || tick - entry->tick > LIFE_TICKS
-              || is_found (out, count, target))
+          if (entry->target == 0 || entry->tag != tag_of (block)
+              || tick - entry->tick > ENTRY_TTL_TICKS || contains_target (out, count, target))
             continue;
           out[count++] = (struct prefix_holder){ .target = target, .blocks = at };
         }
--- a/src/prefix.h
+++ b/src/prefix.h
@@ -28,11 +28,11 @@
 /* `n_sets` is a power of two; each set takes 96 bytes. */
 struct prefix_index *prefix_index_new (void *parent, uint32_t n_sets);
 
-void prefix_note (struct prefix_index *index, uint64_t block, struct handle target, int64_t now);
-void prefix_drop (struct prefix_index *index, uint64_t block, struct handle target);
+void prefix_add (struct prefix_index *index, uint64_t block, struct handle target, int64_t now);
+void prefix_remove (struct prefix_index *index, uint64_t block, struct handle target);
 
 /* Removes all entries of a target, e.g. when its process restarted; scans the whole index. */
-void prefix_forget (struct prefix_index *index, struct handle target);
+void prefix_remove_target (struct prefix_index *index, struct handle target);
 
 /* Finds the targets with the longest cached prefixes of the prompt, longest first; returns their
  * number. */
--- a/src/patience.c
+++ b/src/request_age.c
@@ -1,5 +1,5 @@
 /* Age of arriving requests, estimated from their time left. */
-#include "patience.h"
+#include "request_age.h"
 #include "text.h"
 #include <string.h>
 #include <talloc.h>
@@ -10,14 +10,14 @@
 #define WINDOW 16
 
 /* A route's clients use one deadline when at least SAME_SHARE of a window's requests are within
- * SAME of the longest time left; requests below that are retries.  SAME is the variation of the
- * delay from the client. */
-#define SAME (100 * USEC_PER_MSEC)
+ * SAME_DEADLINE_SPREAD of the longest time left; requests below that are retries.
+ * SAME_DEADLINE_SPREAD is the variation of the delay from the client. */
+#define SAME_DEADLINE_SPREAD (100 * USEC_PER_MSEC)
 #define SAME_SHARE 0.4
 
-/* Otherwise they use similar deadlines when at least SIMILAR_SHARE are within SIMILAR, as a share,
- * of the longest. */
-#define SIMILAR 0.2
+/* Otherwise they use similar deadlines when at least SIMILAR_SHARE are within
+ * SIMILAR_DEADLINE_SPREAD, as a share, of the longest. */
+#define SIMILAR_DEADLINE_SPREAD 0.2
 #define SIMILAR_SHARE 0.6
 
 struct route_times
@@ -30,34 +30,34 @@
   uint64_t used; /* sequence number of the last request */
 };
 
-struct patience
+struct request_age
 {
   struct route_times routes[ROUTES_MAX];
   uint32_t n_routes;
   uint64_t requests;
 };
 
-struct patience *
-patience_new (void *parent)
+struct request_age *
+request_age_new (void *parent)
 {
-  return talloc_zero (parent, struct patience);
+  return talloc_zero (parent, struct request_age);
 }
 
 /* Finds or adds the route's record; replaces the least recently used one when the table is full. */
 static struct route_times *
-times_of (struct patience *patience, const char *route)
+times_of (struct request_age *request_age, const char *route)
 {
-  struct route_times *oldest = &patience->routes[0];
+  struct route_times *oldest = &request_age->routes[0];
 
-  for (uint32_t i = 0; i < patience->n_routes; i++)
+  for (uint32_t i = 0; i < request_age->n_routes; i++)
     {
-      if (strcmp (patience->routes[i].route, route) == 0)
-        return &patience->routes[i];
-      if (patience->routes[i].used < oldest->used)
-        oldest = &patience->routes[i];
+      if (strcmp (request_age->routes[i].route, route) == 0)
+        return &request_age->routes[i];
+      if (request_age->routes[i].used < oldest->used)
+        oldest = &request_age->routes[i];
     }
-  if (patience->n_routes < ROUTES_MAX)
-    oldest = &patience->routes[patience->n_routes++];
+  if (request_age->n_routes < ROUTES_MAX)
+    oldest = &request_age->routes[request_age->n_routes++];
   *oldest = (struct route_times){ .usual = 0 };
   text_copy_cut (oldest->route, sizeof oldest->route, route);
   return oldest;
@@ -98,19 +98,19 @@
   int64_t mean;
 
   times->usual = longest;
-  times->least = longest - SAME;
+  times->least = longest - SAME_DEADLINE_SPREAD;
   if (count_from (times, times->least, &mean) >= SAME_SHARE * WINDOW)
     return;
-  times->least = longest - (int64_t) (SIMILAR * (double) longest);
+  times->least = longest - (int64_t) (SIMILAR_DEADLINE_SPREAD * (double) longest);
   times->usual = count_from (times, times->least, &mean) >= SIMILAR_SHARE * WINDOW ? mean : 0;
 }
 
 int64_t
-patience_age (struct patience *patience, const char *route, int64_t time_left)
+request_age_estimate (struct request_age *request_age, const char *route, int64_t time_left)
 {
-  struct route_times *times = times_of (patience, route);
+  struct route_times *times = times_of (request_age, route);
 
-  times->used = ++patience->requests;
+  times->used = ++request_age->requests;
   times->window[times->n++ % WINDOW] = time_left;
   if (times->n % WINDOW == 0)
     learn_window (times);
--- a/src/patience.h
+++ b/src/request_age.h
@@ -3,8 +3,8 @@
  *
  * New requests of a route have about the same time left, so the longest time left of recent
  * requests shows how much of their time the others have used.  No I/O and no clock. */
-#ifndef PATIENCE_H
-#define PATIENCE_H
+#ifndef REQUEST_AGE_H
+#define REQUEST_AGE_H
 
 #include "decls.h"
 #include "routing.h"
@@ -12,15 +12,17 @@
 
 BEGIN_DECLS
 
-struct patience;
+struct request_age;
 
 /* Freed with `parent`. */
-struct patience *patience_new (void *parent);
+struct request_age *request_age_new (void *parent);
 
 /* Records a request of the route with `time_left` microseconds and returns its age in microseconds:
  * 0 when the requests of the route differ too much for an estimate.  When they differ somewhat, the
  * age is approximate, and 0 for an early retry. */
-int64_t patience_age (struct patience *patience, const char *route, int64_t time_left);
+int64_t request_age_estimate (struct request_age *request_age,
+                              const char *route,
+                              int64_t time_left);
 
 END_DECLS
 
--- a/src/routing.c
+++ b/src/routing.c
@@ -74,7 +74,7 @@
 {
   for (uint32_t i = 0; i < route->n_stages; i++)
     /* A stage that depends on itself or a later one could never start. */
-    if ((route->stages[i].after >> i) != 0)
+    if ((route->stages[i].depends_on >> i) != 0)
       return status_fail (STATUS_INVALID, "route %s: stage %u depends on itself or a later stage",
                           route->name, i);
   return STATUS_OK;
@@ -88,7 +88,7 @@
   if (length == 0 || route->prefix[0] != '/' || route->prefix[length - 1] != '/')
     return status_fail (STATUS_INVALID, "route %s: prefix must begin and end with a slash",
                         route->name);
-  if (route->weights == 0)
+  if (route->total_weight == 0)
     return status_fail (STATUS_INVALID, "route %s: its weights add up to 0", route->name);
   if (route->timeout <= 0)
     return status_fail (STATUS_INVALID, "route %s: timeout must be over 0", route->name);
@@ -96,7 +96,7 @@
 }
 
 enum status
-routing_check (const struct routing *routing)
+routing_validate (const struct routing *routing)
 {
   for (uint32_t i = 0; i < routing->n_routes; i++)
     {
@@ -152,7 +152,7 @@
 uint32_t
 route_draw_pool (const struct route *route, double draw)
 {
-  uint32_t at = (uint32_t) (draw * route->weights);
+  uint32_t at = (uint32_t) (draw * route->total_weight);
 
   for (uint32_t i = 0; i < route->n_shares; i++)
     {
@@ -169,6 +169,6 @@
   uint32_t needed = 0;
 
   for (uint32_t i = 0; i < route->n_stages; i++)
-    needed |= route->stages[i].after;
+    needed |= route->stages[i].depends_on;
   return ((UINT32_C (1) << route->n_stages) - 1) & ~needed;
 }
--- a/src/routing.h
+++ b/src/routing.h
@@ -42,7 +42,7 @@
 struct route_stage
 {
   uint32_t pool;        /* index of its pool */
-  uint32_t after;       /* bit set of the stages whose results it depends on */
+  uint32_t depends_on;  /* bit set of the stages whose results it depends on */
   uint64_t result_size; /* approximate size of one piece's result, in bytes */
 };
 
@@ -68,7 +68,7 @@
   uint32_t attempts;     /* most targets that a request is sent to */
   uint32_t n_shares;
   struct route_share shares[ROUTING_SPLIT_MAX];
-  uint32_t weights; /* sum of the shares' weights */
+  uint32_t total_weight; /* sum of the shares' weights */
   uint32_t n_stages;
   struct route_stage stages[ROUTING_STAGES_MAX];
 };
@@ -76,13 +76,13 @@
 /* Capacity of a target that runs a stage's pieces in batches. */
 struct batch_spec
 {
-  uint32_t slots;     /* concurrent calls */
-  uint32_t queue;     /* calls that may queue at the target */
-  uint32_t pieces;    /* most pieces in one call; 0: the pool runs no pieces */
-  int64_t call_time;  /* fixed time of a call, microseconds */
-  int64_t piece_time; /* additional time of each piece, microseconds */
-  uint64_t room;      /* capacity for results, in bytes */
-  int64_t result_ttl; /* microseconds */
+  uint32_t slots;            /* concurrent calls */
+  uint32_t queue;            /* calls that may queue at the target */
+  uint32_t pieces;           /* most pieces in one call; 0: the pool runs no pieces */
+  int64_t call_time;         /* fixed time of a call, microseconds */
+  int64_t piece_time;        /* additional time of each piece, microseconds */
+  uint64_t result_bytes_max; /* capacity for results, in bytes */
+  int64_t result_ttl;        /* microseconds */
 };
 
 /* Capacity of a model engine. */
@@ -142,7 +142,7 @@
 
 /* Checks the rules that involve several fields.  STATUS_INVALID with a message that names
  * the route and the field. */
-enum status routing_check (const struct routing *routing);
+enum status routing_validate (const struct routing *routing);
 
 /* The host's route with the longest matching path prefix; NULL when there is none.  A port in
  * `host` is ignored. */
--- a/src/share.c
+++ b/src/share.c
@@ -20,104 +20,104 @@
   struct lease *next;
 };
 
-struct account
+struct entry
 {
   char organisation[RESOURCE_NAME_SIZE];
   struct lease *leases;
-  int64_t since; /* start as coordinator; leases of an earlier one may still run then */
+  int64_t coordinator_since; /* start as coordinator; leases of an earlier one may still run then */
   UT_hash_handle hh;
 };
 
-struct share_book
+struct share_coordinator
 {
-  struct account *accounts;
+  struct entry *entries;
 };
 
 static int
-book_free (struct share_book *book)
+coordinator_free (struct share_coordinator *coordinator)
 {
-  HASH_CLEAR (hh, book->accounts);
+  HASH_CLEAR (hh, coordinator->entries);
   return 0;
 }
 
-struct share_book *
-share_book_new (void *parent)
+struct share_coordinator *
+share_coordinator_new (void *parent)
 {
-  struct share_book *book = talloc_zero (parent, struct share_book);
+  struct share_coordinator *coordinator = talloc_zero (parent, struct share_coordinator);
 
-  if (book != NULL)
-    talloc_set_destructor (book, book_free);
-  return book;
+  if (coordinator != NULL)
+    talloc_set_destructor (coordinator, coordinator_free);
+  return coordinator;
 }
 
 /* The size comes from uthash's macros.
  * NOLINTBEGIN(readability-function-size) */
-static struct account *
-account_get (struct share_book *book, const char *organisation, int64_t now)
+static struct entry *
+entry_get (struct share_coordinator *coordinator, const char *organisation, int64_t now)
 {
-  struct account *account;
+  struct entry *entry;
 
-  HASH_FIND_STR (book->accounts, organisation, account);
-  if (account != NULL)
-    return account;
-  account = talloc_zero (book, struct account);
-  if (account == NULL)
+  HASH_FIND_STR (coordinator->entries, organisation, entry);
+  if (entry != NULL)
+    return entry;
+  entry = talloc_zero (coordinator, struct entry);
+  if (entry == NULL)
     return NULL;
-  text_copy_cut (account->organisation, sizeof account->organisation, organisation);
-  account->since = now;
-  HASH_ADD_STR (book->accounts, organisation, account);
-  return account;
+  text_copy_cut (entry->organisation, sizeof entry->organisation, organisation);
+  entry->coordinator_since = now;
+  HASH_ADD_STR (coordinator->entries, organisation, entry);
+  return entry;
 }
 
 static void
-account_remove (struct share_book *book, struct account *account)
+entry_remove (struct share_coordinator *coordinator, struct entry *entry)
 {
-  HASH_DEL (book->accounts, account);
-  talloc_free (account);
+  HASH_DEL (coordinator->entries, entry);
+  talloc_free (entry);
 }
 
 /* NOLINTEND(readability-function-size) */
 
 static void
-drop_ended (struct account *account, int64_t now)
+remove_expired (struct entry *entry, int64_t now)
 {
   struct lease *lease;
   struct lease *next;
 
-  LL_FOREACH_SAFE (account->leases, lease, next)
+  LL_FOREACH_SAFE (entry->leases, lease, next)
   {
     if (now < lease->until)
       continue;
-    LL_DELETE (account->leases, lease);
+    LL_DELETE (entry->leases, lease);
     talloc_free (lease);
   }
 }
 
 static struct lease *
-lease_get (struct account *account, const char *host)
+lease_get (struct entry *entry, const char *host)
 {
   struct lease *lease;
 
-  LL_FOREACH (account->leases, lease)
+  LL_FOREACH (entry->leases, lease)
     if (strcmp (lease->host, host) == 0)
       return lease;
-  lease = talloc_zero (account, struct lease);
+  lease = talloc_zero (entry, struct lease);
   if (lease == NULL)
     return NULL;
   text_copy_cut (lease->host, sizeof lease->host, host);
-  LL_PREPEND (account->leases, lease);
+  LL_PREPEND (entry->leases, lease);
   return lease;
 }
 
 double
-share_book_ask (struct share_book *book,
-                const char *organisation,
-                const char *host,
-                double demand,
-                uint32_t n_hosts,
-                int64_t now)
-{
-  struct account *account = account_get (book, organisation, now);
+share_coordinator_grant (struct share_coordinator *coordinator,
+                         const char *organisation,
+                         const char *host,
+                         double demand,
+                         uint32_t n_hosts,
+                         int64_t now)
+{
+  struct entry *entry = entry_get (coordinator, organisation, now);
   struct lease *own;
   const struct lease *lease;
   double whole = 1 - SHARE_RESERVE;
@@ -125,21 +125,21 @@
   double others = 0;
   double part;
 
-  if (account == NULL)
+  if (entry == NULL)
     return 0;
-  drop_ended (account, now);
-  own = lease_get (account, host);
+  remove_expired (entry, now);
+  own = lease_get (entry, host);
   if (own == NULL)
     return 0;
   own->demand = demand;
-  LL_FOREACH (account->leases, lease)
+  LL_FOREACH (entry->leases, lease)
     {
       demands += lease->demand;
       others += lease == own ? 0 : lease->granted;
     }
   part = demands > 0 ? whole * demand / demands : 0;
   /* An earlier coordinator may have leased the whole: at most an even part until that expired. */
-  if (now - account->since < SHARE_LEASE)
+  if (now - entry->coordinator_since < SHARE_LEASE)
     part = fmin (part, whole / (n_hosts > 0 ? n_hosts : 1));
   /* Shares of other hosts become free only when they renew with less or their leases expire. */
   own->granted = fmax (0, fmin (part, whole - others));
@@ -148,32 +148,32 @@
 }
 
 void
-share_book_expire (struct share_book *book, int64_t now)
+share_coordinator_expire (struct share_coordinator *coordinator, int64_t now)
 {
-  struct account *account;
-  struct account *next;
+  struct entry *entry;
+  struct entry *next;
 
-  for (account = book->accounts; account != NULL; account = next)
+  for (entry = coordinator->entries; entry != NULL; entry = next)
     {
-      next = account->hh.next;
-      drop_ended (account, now);
-      if (account->leases == NULL)
-        account_remove (book, account);
+      next = entry->hh.next;
+      remove_expired (entry, now);
+      if (entry->leases == NULL)
+        entry_remove (coordinator, entry);
     }
 }
 
 double
-share_hold_now (const struct share_hold *hold, uint32_t n_hosts, int64_t now)
+share_lease_current (const struct share_lease *lease, uint32_t n_hosts, int64_t now)
 {
   double even = 1.0 / (n_hosts > 0 ? n_hosts : 1);
 
-  return now < hold->until ? SHARE_RESERVE * even + hold->granted : even;
+  return now < lease->until ? SHARE_RESERVE * even + lease->granted : even;
 }
 
 /* Rendezvous hashing (Thaler and Ravishankar, "Using name-based mappings to increase hit rates",
  * 1998): when a host fails, only the organisations that it coordinated move. */
 uint64_t
-share_keeper_weight (const char *organisation, const char *host)
+share_coordinator_weight (const char *organisation, const char *host)
 {
   uint64_t seed = XXH3_64bits (organisation, strlen (organisation));
 
@@ -212,7 +212,7 @@
   pack_reader_init (&reader, data, length);
   out->kind = (enum share_message_kind) pack_read_uint (&reader, SHARE_GRANT);
   out->n_items = pack_read_array (&reader, SHARE_ITEMS_MAX);
-  if (!pack_read_ok (&reader) || out->kind < SHARE_ASK)
+  if (!pack_read_ok (&reader) || out->kind < SHARE_REQUEST)
     return status_fail (STATUS_MALFORMED, "not a share message: invalid kind or item count");
   out->items = talloc_zero_array (parent, struct share_item, out->n_items + 1);
   if (out->items == NULL)
--- a/src/share.h
+++ b/src/share.h
@@ -35,44 +35,44 @@
 
 /* ---- coordinator ---- */
 
-struct share_book;
+struct share_coordinator;
 
 /* Freed with `parent`.  NULL when out of memory. */
-struct share_book *share_book_new (void *parent);
+struct share_coordinator *share_coordinator_new (void *parent);
 
 /* Grants `host` a lease by its demand, in requests per second; returns the share granted, 0 to
  * 1 - SHARE_RESERVE, and 0 when out of memory.  `n_hosts` is the number of live hosts. */
-double share_book_ask (struct share_book *book,
-                       const char *organisation,
-                       const char *host,
-                       double demand,
-                       uint32_t n_hosts,
-                       int64_t now);
+double share_coordinator_grant (struct share_coordinator *coordinator,
+                                const char *organisation,
+                                const char *host,
+                                double demand,
+                                uint32_t n_hosts,
+                                int64_t now);
 
 /* Removes expired leases, and organisations that have none left. */
-void share_book_expire (struct share_book *book, int64_t now);
+void share_coordinator_expire (struct share_coordinator *coordinator, int64_t now);
 
 /* ---- requesting host ---- */
 
-struct share_hold
+struct share_lease
 {
   double granted;
   int64_t until; /* end of the lease; 0: none yet */
 };
 
 /* The share of the limits to apply at `now`, 0 to 1. */
-double share_hold_now (const struct share_hold *hold, uint32_t n_hosts, int64_t now);
+double share_lease_current (const struct share_lease *lease, uint32_t n_hosts, int64_t now);
 
 /* ---- choice of the coordinator ---- */
 
 /* The weight of a host for an organisation; the live host with the highest is its coordinator. */
-uint64_t share_keeper_weight (const char *organisation, const char *host);
+uint64_t share_coordinator_weight (const char *organisation, const char *host);
 
 /* ---- messages ---- */
 
 enum share_message_kind
 {
-  SHARE_ASK = 1,
+  SHARE_REQUEST = 1,
   SHARE_GRANT = 2
 };
 
--- a/src/share_control.c
+++ b/src/share_control.c
@@ -12,10 +12,10 @@
 #define DEMAND_MIN 0.01 /* requests per second; no share is requested for less */
 
 /* This host's share of one organisation's limits. */
-struct holding
+struct local_lease
 {
   uint32_t generation; /* of its handle on the board */
-  struct share_hold hold;
+  struct share_lease lease;
 };
 
 struct share_control
@@ -23,8 +23,8 @@
   struct peer_listener listener; /* must be first: the port passes it to callbacks */
   struct share_control_config config;
   struct timer timer;
-  struct share_book *book;
-  struct holding *holdings; /* by organisation index on the board */
+  struct share_coordinator *coordinator;
+  struct local_lease *local_leases; /* by organisation index on the board */
 };
 
 static bool
@@ -52,7 +52,7 @@
 }
 
 static struct handle
-keeper_of (const struct board *board, const char *organisation)
+coordinator_of (const struct board *board, const char *organisation)
 {
   struct handle best = { .generation = 0 };
   uint64_t best_weight = 0;
@@ -62,7 +62,7 @@
 
   while ((host = table_next (board->hosts, &cursor, &handle)) != NULL)
     {
-      uint64_t weight = share_keeper_weight (organisation, host->name);
+      uint64_t weight = share_coordinator_weight (organisation, host->name);
 
       if (!is_alive (host) || (best.generation != 0 && weight <= best_weight))
         continue;
@@ -72,21 +72,22 @@
   return best;
 }
 
-static struct holding *
-holding_of (struct share_control *control, struct handle organisation)
+static struct local_lease *
+find_local_lease (struct share_control *control, struct handle organisation)
 {
-  struct holding *holding = &control->holdings[organisation.index];
+  struct local_lease *local_lease = &control->local_leases[organisation.index];
 
-  if (holding->generation != organisation.generation)
-    *holding = (struct holding){ .generation = organisation.generation };
-  return holding;
+  if (local_lease->generation != organisation.generation)
+    *local_lease = (struct local_lease){ .generation = organisation.generation };
+  return local_lease;
 }
 
 static void
-apply (struct share_control *control, struct handle organisation, int64_t now)
+apply_share (struct share_control *control, struct handle organisation, int64_t now)
 {
-  const struct holding *holding = holding_of (control, organisation);
-  double share = share_hold_now (&holding->hold, count_hosts (control->config.board), now);
+  const struct local_lease *local_lease = find_local_lease (control, organisation);
+  double share =
+      share_lease_current (&local_lease->lease, count_hosts (control->config.board), now);
 
   decide_set_share (control->config.decide, organisation, share, now);
 }
@@ -94,19 +95,19 @@
 /* A lease runs from the time of the request, so that it ends here before it ends at the
  * coordinator. */
 static void
-take_grant (struct share_control *control, const struct share_item *item, int64_t now)
+store_grant (struct share_control *control, const struct share_item *item, int64_t now)
 {
   struct handle handle;
-  struct holding *holding;
+  struct local_lease *local_lease;
   int64_t until = (int64_t) item->sent_at + SHARE_LEASE;
 
   if (board_find_organisation (control->config.board, item->organisation, &handle) == NULL)
     return;
-  holding = holding_of (control, handle);
-  if ((int64_t) item->sent_at > now || until <= holding->hold.until)
+  local_lease = find_local_lease (control, handle);
+  if ((int64_t) item->sent_at > now || until <= local_lease->lease.until)
     return;
-  holding->hold = (struct share_hold){ .granted = item->value, .until = until };
-  apply (control, handle, now);
+  local_lease->lease = (struct share_lease){ .granted = item->value, .until = until };
+  apply_share (control, handle, now);
 }
 
 static void
@@ -124,17 +125,18 @@
 }
 
 static void
-answer_ask (struct share_control *control,
-            const char *from,
-            struct share_message *message,
-            int64_t now)
+answer_request (struct share_control *control,
+                const char *from,
+                struct share_message *message,
+                int64_t now)
 {
   uint32_t n_hosts = count_hosts (control->config.board);
   uint32_t i;
 
   for (i = 0; i < message->n_items; i++)
-    message->items[i].value = share_book_ask (control->book, message->items[i].organisation, from,
-                                              message->items[i].value, n_hosts, now);
+    message->items[i].value =
+        share_coordinator_grant (control->coordinator, message->items[i].organisation, from,
+                                 message->items[i].value, n_hosts, now);
   message->kind = SHARE_GRANT;
   send (control, from, message);
 }
@@ -149,24 +151,24 @@
 
   if (share_message_read (control, data, length, &message) != STATUS_OK)
     return;
-  if (message.kind == SHARE_ASK)
-    answer_ask (control, from, &message, now);
+  if (message.kind == SHARE_REQUEST)
+    answer_request (control, from, &message, now);
   else
     for (i = 0; i < message.n_items; i++)
-      take_grant (control, &message.items[i], now);
+      store_grant (control, &message.items[i], now);
   talloc_free (message.items);
 }
 
 /* The share requests of one period, with their coordinators. */
-struct asks
+struct requests
 {
   uint32_t count;
   struct share_item items[SHARE_ITEMS_MAX];
-  struct handle keepers[SHARE_ITEMS_MAX];
+  struct handle coordinator_hosts[SHARE_ITEMS_MAX];
 };
 
 static void
-collect (struct share_control *control, struct asks *asks, int64_t now)
+collect_requests (struct share_control *control, struct requests *requests, int64_t now)
 {
   const struct board *board = control->config.board;
   const struct board_organisation *entry;
@@ -179,45 +181,49 @@
 
       if (!is_limited (&entry->spec))
         continue;
-      apply (control, handle, now);
-      if (demand < DEMAND_MIN || asks->count == SHARE_ITEMS_MAX)
+      apply_share (control, handle, now);
+      if (demand < DEMAND_MIN || requests->count == SHARE_ITEMS_MAX)
         continue;
-      asks->keepers[asks->count] = keeper_of (board, entry->spec.name);
-      asks->items[asks->count] = (struct share_item){ .value = demand, .sent_at = (uint64_t) now };
-      memcpy (asks->items[asks->count].organisation, entry->spec.name, RESOURCE_NAME_SIZE);
-      asks->count++;
+      requests->coordinator_hosts[requests->count] = coordinator_of (board, entry->spec.name);
+      requests->items[requests->count] =
+          (struct share_item){ .value = demand, .sent_at = (uint64_t) now };
+      memcpy (requests->items[requests->count].organisation, entry->spec.name, RESOURCE_NAME_SIZE);
+      requests->count++;
     }
 }
 
 /* Sends all requests for the coordinator of the one at `first`, and marks them as sent. */
 static void
-ask_keeper (struct share_control *control, struct asks *asks, uint32_t first, int64_t now)
+request_leases (struct share_control *control,
+                struct requests *requests,
+                uint32_t first,
+                int64_t now)
 {
-  struct handle keeper = asks->keepers[first];
-  const struct board_host *host = table_get (control->config.board->hosts, keeper);
-  struct share_message message = { .kind = SHARE_ASK };
+  struct handle coordinator_host = requests->coordinator_hosts[first];
+  const struct board_host *host = table_get (control->config.board->hosts, coordinator_host);
+  struct share_message message = { .kind = SHARE_REQUEST };
   uint32_t i;
 
-  message.items = talloc_array (control, struct share_item, asks->count);
+  message.items = talloc_array (control, struct share_item, requests->count);
   if (message.items == NULL || host == NULL)
     {
       talloc_free (message.items);
       return;
     }
-  for (i = first; i < asks->count; i++)
+  for (i = first; i < requests->count; i++)
     {
-      if (!handle_equal (asks->keepers[i], keeper))
+      if (!handle_equal (requests->coordinator_hosts[i], coordinator_host))
         continue;
-      message.items[message.n_items++] = asks->items[i];
-      asks->keepers[i] = (struct handle){ .generation = 0 };
+      message.items[message.n_items++] = requests->items[i];
+      requests->coordinator_hosts[i] = (struct handle){ .generation = 0 };
     }
   if (host->self)
     for (i = 0; i < message.n_items; i++)
       {
-        message.items[i].value =
-            share_book_ask (control->book, message.items[i].organisation, host->name,
-                            message.items[i].value, count_hosts (control->config.board), now);
-        take_grant (control, &message.items[i], now);
+        message.items[i].value = share_coordinator_grant (
+            control->coordinator, message.items[i].organisation, host->name, message.items[i].value,
+            count_hosts (control->config.board), now);
+        store_grant (control, &message.items[i], now);
       }
   else
     send (control, host->name, &message);
@@ -228,18 +234,18 @@
 fire (struct timer *timer, int64_t now)
 {
   struct share_control *control = CONTAINER_OF (timer, struct share_control, timer);
-  struct asks *asks = talloc_zero (control, struct asks);
+  struct requests *requests = talloc_zero (control, struct requests);
   uint32_t i;
 
   timer_arm (control->config.timers, timer, now + SHARE_PERIOD);
-  if (asks == NULL)
+  if (requests == NULL)
     return;
-  collect (control, asks, now);
-  for (i = 0; i < asks->count; i++)
-    if (!handle_is_none (asks->keepers[i]))
-      ask_keeper (control, asks, i, now);
-  talloc_free (asks);
-  share_book_expire (control->book, now);
+  collect_requests (control, requests, now);
+  for (i = 0; i < requests->count; i++)
+    if (!handle_is_none (requests->coordinator_hosts[i]))
+      request_leases (control, requests, i, now);
+  talloc_free (requests);
+  share_coordinator_expire (control->coordinator, now);
 }
 
 static const struct peer_listener_ops listener_ops = { .received = received };
@@ -262,9 +268,9 @@
   control->config = *config;
   control->listener.ops = &listener_ops;
   control->timer.ops = &timer_ops;
-  control->book = share_book_new (control);
-  control->holdings = talloc_zero_array (control, struct holding, BOARD_ORGANISATIONS_MAX);
-  if (control->book == NULL || control->holdings == NULL)
+  control->coordinator = share_coordinator_new (control);
+  control->local_leases = talloc_zero_array (control, struct local_lease, BOARD_ORGANISATIONS_MAX);
+  if (control->coordinator == NULL || control->local_leases == NULL)
     {
       talloc_free (control);
       return NULL;
--- a/src/target_watch.c
+++ b/src/target_watch.c
@@ -272,7 +272,7 @@
   struct watched *watched = find (watch, target->id_hash);
 
   /* A leaving target ends all its connections, whatever requests run on them. */
-  if (target->left)
+  if (target->leaving)
     return TARGET_FATE_UNKNOWN;
   if (watched == NULL)
     {
--- a/tests/unit_balance.cc
+++ b/tests/unit_balance.cc
@@ -117,9 +117,9 @@
         view.load (target, 4000); // about 100 ms
     }
   EXPECT_STREQ (view.choose (prompt)->domain, "a");
-  prompt.n_places = 2;
-  prompt.places[0] = { "a", 200000 };
-  prompt.places[1] = { "b", 3000000 };
+  prompt.n_locations = 2;
+  prompt.locations[0] = { "a", 200000 };
+  prompt.locations[1] = { "b", 3000000 };
   EXPECT_STREQ (view.choose (prompt)->domain, "b");
 }
 
--- a/tests/unit_decide.cc
+++ b/tests/unit_decide.cc
@@ -130,7 +130,7 @@
     result.ended = now;
     result.input_tokens = request->input_tokens;
     result.choice = choice;
-    decide_ended (decide, request, &result, now);
+    decide_attempt_ended (decide, request, &result, now);
   }
 
   // Runs one attempt from its choice to its end.
@@ -140,13 +140,13 @@
     struct decide_request request = request_at (now);
     struct decide_choice choice = choose (&request, now);
 
-    decide_started (decide, &request, &choice, now);
+    decide_attempt_started (decide, &request, &choice, now);
     end (&request, choice, how, now, now + span);
   }
 
   // Teaches a prefill time of half a millisecond per token, and hardly any for a cached prompt.
   void
-  teach_reading ()
+  teach_prefill_time ()
   {
     for (int i = 0; i < 40; i++)
       {
@@ -154,7 +154,7 @@
         request.input_tokens = i % 2 == 0 ? 1 : 1000;
         struct decide_choice choice = choose (&request, request.arrived);
 
-        decide_started (decide, &request, &choice, request.arrived);
+        decide_attempt_started (decide, &request, &choice, request.arrived);
         end (&request, choice, DECIDE_END_WHOLE, request.arrived,
              request.arrived + request.input_tokens * SECOND / 2000);
       }
@@ -190,7 +190,7 @@
       struct decide_request request = request_at (10 * SECOND);
       struct decide_choice choice = choose (&request, 10 * SECOND);
 
-      decide_started (decide, &request, &choice, 10 * SECOND);
+      decide_attempt_started (decide, &request, &choice, 10 * SECOND);
       for (int t = 0; t < 9; t++)
         chosen[t] += handle_equal (choice.target, targets[t]);
     }
@@ -219,7 +219,7 @@
       struct decide_request request = request_at (60 * SECOND);
       struct decide_choice choice = choose (&request, 60 * SECOND);
 
-      decide_started (decide, &request, &choice, 60 * SECOND);
+      decide_attempt_started (decide, &request, &choice, 60 * SECOND);
       to_fresh += handle_equal (choice.target, fresh);
     }
   EXPECT_GT (to_fresh, 6);
@@ -299,7 +299,7 @@
 
       if (!handle_equal (choice.target, bad))
         continue;
-      decide_started (decide, &request, &choice, SECOND);
+      decide_attempt_started (decide, &request, &choice, SECOND);
       end (&request, choice, DECIDE_END_BROKEN, SECOND, SECOND + 1);
       i++;
     }
@@ -313,7 +313,7 @@
       struct decide_request request = request_at (30 * SECOND);
       struct decide_choice choice = choose (&request, 30 * SECOND);
 
-      decide_started (decide, &request, &choice, 30 * SECOND);
+      decide_attempt_started (decide, &request, &choice, 30 * SECOND);
       probes += handle_equal (choice.target, bad);
     }
   EXPECT_EQ (probes, 1);
@@ -336,7 +336,7 @@
       bool refused = handle_equal (choice.target, refuser);
 
       refusals += refused;
-      decide_started (decide, &request, &choice, now);
+      decide_attempt_started (decide, &request, &choice, now);
       end (&request, choice, refused ? DECIDE_END_REFUSED : DECIDE_END_WHOLE, now,
            now + (refused ? 1 : 5) * USEC_PER_MSEC);
     }
@@ -367,7 +367,7 @@
 
   line->spec.stages[0].kind = STAGE_GENERATE;
   struct handle other = add_target ("other", "a");
-  teach_reading ();
+  teach_prefill_time ();
   request.n_prefix = 16;
   for (uint32_t block = 0; block < 16; block++)
     {
@@ -377,7 +377,7 @@
   struct decide_choice choice = choose (&request, 10 * SECOND);
   EXPECT_TRUE (handle_equal (choice.target, restarted));
   EXPECT_GT (choice.prefix_tokens, 0u);
-  decide_started (decide, &request, &choice, 10 * SECOND);
+  decide_attempt_started (decide, &request, &choice, 10 * SECOND);
   end (&request, choice, DECIDE_END_WRONG, 10 * SECOND, 10 * SECOND + 1); // ejected at once
   EXPECT_FALSE (handle_equal (choose (&request, 10 * SECOND + 2).target, restarted));
   entry->incarnation++;
@@ -404,7 +404,7 @@
       struct decide_choice choice = choose (&request, now);
       bool is_slow = handle_equal (choice.target, slow);
 
-      decide_started (decide, &request, &choice, now);
+      decide_attempt_started (decide, &request, &choice, now);
       end (&request, choice, DECIDE_END_WHOLE, now, now + (is_slow ? 5 : 1) * SECOND / 20);
       to_slow += i >= 200 && is_slow;
     }
@@ -417,7 +417,7 @@
       struct decide_choice choice = choose (&request, now);
 
       decide_admit (decide, &request, now);
-      decide_started (decide, &request, &choice, now);
+      decide_attempt_started (decide, &request, &choice, now);
       end (&request, choice, DECIDE_END_WHOLE, now, now + SECOND / 20);
       decide_finish (decide, &request, true, now);
       to_slow += i >= 200 && handle_equal (choice.target, slow);
@@ -451,7 +451,7 @@
   line->spec.stages[0].kind = STAGE_GENERATE;
   for (int i = 0; i < 6; i++)
     targets.push_back (add_target ("t" + std::to_string (i), "a"));
-  teach_reading ();
+  teach_prefill_time ();
   for (int i = 0; i < 60; i++)
     {
       struct decide_request request = request_at (10 * SECOND);
@@ -463,7 +463,7 @@
           decide_cache_event (decide, targets[0], request.prefix[block], true, 10 * SECOND);
         }
       struct decide_choice choice = choose (&request, 10 * SECOND);
-      decide_started (decide, &request, &choice, 10 * SECOND);
+      decide_attempt_started (decide, &request, &choice, 10 * SECOND);
       for (int t = 0; t < 6; t++)
         chosen[t] += handle_equal (choice.target, targets[t]);
     }
@@ -544,8 +544,8 @@
 {
   struct decide_request request = request_at (0);
 
-  EXPECT_FALSE (decide_hopeless (decide, &request, SECOND));
-  EXPECT_TRUE (decide_hopeless (decide, &request, 4 * SECOND));
+  EXPECT_FALSE (decide_deadline_is_unreachable (decide, &request, SECOND));
+  EXPECT_TRUE (decide_deadline_is_unreachable (decide, &request, 4 * SECOND));
 }
 
 // An engine accepts a generation and sends no output.  Waiting as long as for a complete answer
@@ -571,18 +571,18 @@
       result.input_tokens = request.input_tokens;
       result.output_tokens = 50;
       result.choice = choice;
-      decide_started (decide, &request, &choice, request.arrived);
-      decide_ended (decide, &request, &result, result.ended);
+      decide_attempt_started (decide, &request, &choice, request.arrived);
+      decide_attempt_ended (decide, &request, &result, result.ended);
     }
   struct decide_request request = request_at (300 * SECOND);
   request.output_tokens = 50;
   struct decide_choice choice = choose (&request, 300 * SECOND);
-  EXPECT_LT (choice.first_by, 301 * SECOND);
-  EXPECT_GT (choice.first_by, 300 * SECOND + SECOND / 10);
-  EXPECT_GE (choice.give_up, choice.first_by);
+  EXPECT_LT (choice.first_output_by, 301 * SECOND);
+  EXPECT_GT (choice.first_output_by, 300 * SECOND + SECOND / 10);
+  EXPECT_GE (choice.timeout_at, choice.first_output_by);
   request.repeatable = false; // the outcome would be unknown, and it must not be sent again
-  EXPECT_EQ (choose (&request, 300 * SECOND).first_by, USEC_NEVER);
-  EXPECT_EQ (choose (&request, 300 * SECOND).give_up, USEC_NEVER);
+  EXPECT_EQ (choose (&request, 300 * SECOND).first_output_by, USEC_NEVER);
+  EXPECT_EQ (choose (&request, 300 * SECOND).timeout_at, USEC_NEVER);
 }
 
 // Requests of low priority fill the slots.  A request of high priority overtakes them at the
@@ -613,7 +613,7 @@
   struct decide_request request = request_at (SECOND);
   struct decide_choice choice = choose (&request, SECOND);
 
-  decide_started (decide, &request, &choice, SECOND);
+  decide_attempt_started (decide, &request, &choice, SECOND);
   board_publish (board, BOARD_TARGET_REMOVED, gone, SECOND);
   table_remove (board->targets, gone);
   end (&request, choice, DECIDE_END_BROKEN, SECOND, 2 * SECOND);
--- a/tests/unit_decide_prefix.cc
+++ b/tests/unit_decide_prefix.cc
@@ -32,7 +32,7 @@
   store (struct handle target, uint32_t blocks, int64_t now)
   {
     for (uint32_t i = 0; i < blocks; i++)
-      prefix_note (index, prompt[i], target, now);
+      prefix_add (index, prompt[i], target, now);
   }
 
   std::vector<struct prefix_holder>
@@ -69,7 +69,7 @@
 {
   store (a, 32, SECOND);
   for (uint32_t i = 10; i < 32; i++)
-    prefix_drop (index, prompt[i], a);
+    prefix_remove (index, prompt[i], a);
   ASSERT_EQ (find (SECOND).size (), 1u);
   EXPECT_EQ (find (SECOND)[0].blocks, 9u);
 }
@@ -86,7 +86,7 @@
 TEST_F (PrefixTest, OldestEntriesAreEvictedWhenFull)
 {
   for (uint64_t i = 1; i < 100000; i++)
-    prefix_note (index, i * 4 * 0x9e3779b97f4a7c15u, a, SECOND);
+    prefix_add (index, i * 4 * 0x9e3779b97f4a7c15u, a, SECOND);
   store (b, 32, 2 * SECOND);
   ASSERT_FALSE (find (2 * SECOND).empty ());
   EXPECT_TRUE (handle_equal (find (2 * SECOND)[0].target, b));
--- a/tests/unit_decide_share.cc
+++ b/tests/unit_decide_share.cc
@@ -18,42 +18,43 @@
 
 TEST (ShareBook, SharesFollowDemandAndNeverExceedTheWhole)
 {
-  struct share_book *book = share_book_new (nullptr);
+  struct share_coordinator *coordinator = share_coordinator_new (nullptr);
   double a = 0;
   double b = 0;
 
   for (int64_t now = 0; now < 40 * SECOND; now += SHARE_PERIOD)
     {
       double demand = now < 20 * SECOND ? 9 : 1;
-      a = share_book_ask (book, "o", "a", demand, 2, now);
+      a = share_coordinator_grant (coordinator, "o", "a", demand, 2, now);
       EXPECT_LE (a + b, 1 - SHARE_RESERVE + 1e-9) << now;
-      b = share_book_ask (book, "o", "b", 10 - demand, 2, now + 1);
+      b = share_coordinator_grant (coordinator, "o", "b", 10 - demand, 2, now + 1);
       EXPECT_LE (a + b, 1 - SHARE_RESERVE + 1e-9) << now;
     }
   EXPECT_NEAR (a, 0.08, 0.001);
   EXPECT_NEAR (b, 0.72, 0.001);
-  talloc_free (book);
+  talloc_free (coordinator);
 }
 
 // A host that has leased nearly the whole limit fails.  Its share must not be granted again before
 // its lease has expired, and must be granted right after.
 TEST (ShareBook, ShareOfAFailedHostIsReleasedAfterItsLease)
 {
-  struct share_book *book = share_book_new (nullptr);
+  struct share_coordinator *coordinator = share_coordinator_new (nullptr);
   int64_t now = 0;
 
   for (; now < 20 * SECOND; now += SHARE_PERIOD)
-    share_book_ask (book, "o", "dead", 100, 2, now);
-  EXPECT_LE (share_book_ask (book, "o", "b", 10, 2, now), 0.1);
-  EXPECT_NEAR (share_book_ask (book, "o", "b", 10, 2, now + SHARE_LEASE), 0.8, 1e-9);
-  talloc_free (book);
+    share_coordinator_grant (coordinator, "o", "dead", 100, 2, now);
+  EXPECT_LE (share_coordinator_grant (coordinator, "o", "b", 10, 2, now), 0.1);
+  EXPECT_NEAR (share_coordinator_grant (coordinator, "o", "b", 10, 2, now + SHARE_LEASE), 0.8,
+               1e-9);
+  talloc_free (coordinator);
 }
 
 TEST (ShareMessage, RoundTripsAndRejectsMalformedMessages)
 {
   struct share_item items[2] = { { .organisation = "a", .value = 3.5, .sent_at = 7 },
                                  { .organisation = "b", .value = 0, .sent_at = 8 } };
-  struct share_message out = { .kind = SHARE_ASK, .n_items = 2, .items = items };
+  struct share_message out = { .kind = SHARE_REQUEST, .n_items = 2, .items = items };
   struct share_message in;
   struct bytes bytes;
 
@@ -90,7 +91,7 @@
   bool dead;
 };
 
-struct letter
+struct pending_message
 {
   int64_t due;
   std::string from;
@@ -101,7 +102,7 @@
 struct cluster
 {
   std::vector<std::unique_ptr<struct node>> nodes;
-  std::deque<struct letter> letters;
+  std::deque<struct pending_message> pending_messages;
   struct timer_service *timers;
   struct rng rng;
   int64_t now = 0;
@@ -109,17 +110,19 @@
 };
 
 enum status
-post (struct peer_port *port, const char *host, enum peer_channel, const void *data, size_t length)
+send_message (
+    struct peer_port *port, const char *host, enum peer_channel, const void *data, size_t length)
 {
   auto *self = reinterpret_cast<struct node *> (port);
   struct cluster *all = self->all;
 
   if (self->dead || rng_unit (&all->rng) < all->lost)
     return STATUS_OK;
-  all->letters.push_back ({ .due = all->now + static_cast<int64_t> (rng_below (&all->rng, SECOND)),
-                            .from = self->name,
-                            .to = host,
-                            .body = { static_cast<const char *> (data), length } });
+  all->pending_messages.push_back (
+      { .due = all->now + static_cast<int64_t> (rng_below (&all->rng, SECOND)),
+        .from = self->name,
+        .to = host,
+        .body = { static_cast<const char *> (data), length } });
   return STATUS_OK;
 }
 
@@ -130,7 +133,7 @@
 }
 
 const struct peer_port_ops port_ops = {
-  .set_address = nullptr, .forget = nullptr, .send = post, .listen = listen_to
+  .set_address = nullptr, .forget = nullptr, .send = send_message, .listen = listen_to
 };
 
 class ShareControl : public ::testing::Test
@@ -216,19 +219,20 @@
   {
     all.now += SECOND / 10;
     timer_service_run (all.timers, all.now);
-    for (size_t i = 0; i < all.letters.size ();)
+    for (size_t i = 0; i < all.pending_messages.size ();)
       {
-        struct letter letter = all.letters[i];
-        if (letter.due > all.now)
+        struct pending_message pending_message = all.pending_messages[i];
+        if (pending_message.due > all.now)
           {
             i++;
             continue;
           }
-        all.letters.erase (all.letters.begin () + static_cast<long> (i));
+        all.pending_messages.erase (all.pending_messages.begin () + static_cast<long> (i));
         for (auto &node : all.nodes)
-          if (node->name == letter.to && !node->dead)
-            node->listener->ops->received (node->listener, letter.from.c_str (),
-                                           letter.body.data (), letter.body.size (), all.now);
+          if (node->name == pending_message.to && !node->dead)
+            node->listener->ops->received (node->listener, pending_message.from.c_str (),
+                                           pending_message.body.data (),
+                                           pending_message.body.size (), all.now);
       }
   }
 
--- a/tests/unit_patience.cc
+++ b/tests/unit_request_age.cc
@@ -1,5 +1,5 @@
 // Estimated age of arriving requests.
-#include "patience.h"
+#include "request_age.h"
 #include <gtest/gtest.h>
 #include <talloc.h>
 
@@ -9,22 +9,23 @@
 class PatienceTest : public testing::Test
 {
 protected:
-  struct patience *patience = patience_new (nullptr);
+  struct request_age *request_age = request_age_new (nullptr);
 
   ~PatienceTest () override
   {
-    talloc_free (patience);
+    talloc_free (request_age);
   }
 
   int64_t
   age (const char *route, int64_t milliseconds_left)
   {
-    return patience_age (patience, route, milliseconds_left * USEC_PER_MSEC) / USEC_PER_MSEC;
+    return request_age_estimate (request_age, route, milliseconds_left * USEC_PER_MSEC)
+           / USEC_PER_MSEC;
   }
 
   // `n` new requests, whose network delay varies by a few milliseconds.
   void
-  see (const char *route, int64_t milliseconds, int n)
+  record_new_requests (const char *route, int64_t milliseconds, int n)
   {
     for (int i = 0; i < n; i++)
       age (route, milliseconds - i % 5);
@@ -39,7 +40,7 @@
 
 TEST_F (PatienceTest, EstimatesTheAgeOfARetry)
 {
-  see ("r", 8000, 32);
+  record_new_requests ("r", 8000, 32);
   EXPECT_EQ (age ("r", 5000), 3000);
   EXPECT_EQ (age ("r", 7990), 0);
   EXPECT_EQ (age ("other", 5000), 0);
@@ -76,8 +77,8 @@
 // The clients' deadline is shortened.  Their new requests must soon be recognised as new.
 TEST_F (PatienceTest, FollowsAChangedDeadline)
 {
-  see ("r", 8000, 32);
-  see ("r", 3000, 32);
+  record_new_requests ("r", 8000, 32);
+  record_new_requests ("r", 3000, 32);
   EXPECT_EQ (age ("r", 3000), 0);
   EXPECT_EQ (age ("r", 2000), 1000);
 }
@@ -85,7 +86,7 @@
 // Hundreds of routes are used once each, beside one in constant use, whose record must be kept.
 TEST_F (PatienceTest, EvictsTheLeastRecentlyUsedRoute)
 {
-  see ("used", 8000, 32);
+  record_new_requests ("used", 8000, 32);
   for (int i = 0; i < 1000; i++)
     {
       EXPECT_EQ (age (("r" + std::to_string (i)).c_str (), 1000), 0);
--- a/tests/unit_target_watch.cc
+++ b/tests/unit_target_watch.cc
@@ -90,7 +90,7 @@
     snprintf (at.id, sizeof at.id, "%s", id);
     snprintf (at.address, sizeof at.address, "%s", address.c_str ());
     at.id_hash = record->id_hash;
-    at.left = state == REGISTRY_LEAVING;
+    at.leaving = state == REGISTRY_LEAVING;
     return &at;
   }
 
