--- a/bench/cmd_quarantine.c
+++ b/bench/cmd_quarantine.c
@@ -45,49 +45,59 @@
 {
   const char *name;
   struct quarantine_fleet_config config;
-} plays[] = {
-  { "one, not held back", { .bad = 1, .bad_run = 100 * USEC_PER_MSEC } },
-  { "one", { .holds_back = true, .bad = 1, .bad_run = 100 * USEC_PER_MSEC } },
-  { "one, slow to end", { .holds_back = true, .bad = 1, .bad_run = 900 * USEC_PER_MSEC } },
+} scenarios[] = {
+  { "one, not held back", { .poison = 1, .poison_run_max = 100 * USEC_PER_MSEC } },
+  { "one", { .quarantine_enabled = true, .poison = 1, .poison_run_max = 100 * USEC_PER_MSEC } },
+  { "one, slow to end",
+    { .quarantine_enabled = true, .poison = 1, .poison_run_max = 900 * USEC_PER_MSEC } },
   { "three, restarts, cuts",
-    { .holds_back = true, .bad = 3, .bad_run = 300 * USEC_PER_MSEC, .restarts = 6, .cuts = 6 } },
+    { .quarantine_enabled = true,
+      .poison = 3,
+      .poison_run_max = 300 * USEC_PER_MSEC,
+      .restarts = 6,
+      .partitions = 6 } },
   { "one, all restart",
-    { .holds_back = true, .bad = 1, .bad_run = 300 * USEC_PER_MSEC, .blackouts = 1 } },
-  { "none, power cuts", { .holds_back = true, .power_cuts = 6 } },
-  { "none, runs reset", { .holds_back = true, .resets = 0.6 } },
+    { .quarantine_enabled = true,
+      .poison = 1,
+      .poison_run_max = 300 * USEC_PER_MSEC,
+      .full_restarts = 1 } },
+  { "none, power cuts", { .quarantine_enabled = true, .power_cuts = 6 } },
+  { "none, runs reset", { .quarantine_enabled = true, .reset_share = 0.6 } },
 };
 
 static const uint32_t sizes[] = { 3, 9, 30, 100, 300 };
 
 static void
-play (const struct options *options, const char *name, struct quarantine_fleet_config config)
+simulate (const struct options *options, const char *name, struct quarantine_fleet_config config)
 {
-  struct quarantine_fleet_figures sum = { .ends = 0 };
+  struct quarantine_fleet_figures sum = { .crashes = 0 };
 
   for (uint32_t i = 1; i <= options->seeds; i++)
     {
       struct quarantine_fleet_figures one;
 
       config.seed = i;
-      if (!quarantine_fleet_play (&config, &one))
+      if (!quarantine_fleet_simulate (&config, &one))
         {
           fprintf (stderr, "out of memory\n");
           exit (EXIT_FAILURE);
         }
-      sum.ends += one.ends;
-      sum.late_most = one.late_most > sum.late_most ? one.late_most : sum.late_most;
-      sum.sound += one.sound;
-      sum.sound_lost += one.sound_lost;
-      sum.sound_held += one.sound_held;
-      sum.sound_asked_to_wait += one.sound_asked_to_wait;
+      sum.crashes += one.crashes;
+      sum.late_sends_max =
+          one.late_sends_max > sum.late_sends_max ? one.late_sends_max : sum.late_sends_max;
+      sum.normal += one.normal;
+      sum.normal_lost += one.normal_lost;
+      sum.normal_held += one.normal_held;
+      sum.normal_deferred += one.normal_deferred;
       sum.messages += one.messages / options->seeds;
       sum.bytes += one.bytes / options->seeds;
-      sum.burst = one.burst > sum.burst ? one.burst : sum.burst;
-      sum.memory = one.memory > sum.memory ? one.memory : sum.memory;
+      sum.burst_bytes = one.burst_bytes > sum.burst_bytes ? one.burst_bytes : sum.burst_bytes;
+      sum.table_bytes = one.table_bytes > sum.table_bytes ? one.table_bytes : sum.table_bytes;
     }
   printf ("%-22s %5u %6.1f %5u %8.4f %5u %5u %7.2f %7.0f %8.0f %7u\n", name, config.hosts,
-          (double) sum.ends / options->seeds, sum.late_most, (double) sum.sound_lost / sum.sound,
-          sum.sound_held, sum.sound_asked_to_wait, sum.messages, sum.bytes, sum.burst, sum.memory);
+          (double) sum.crashes / options->seeds, sum.late_sends_max,
+          (double) sum.normal_lost / sum.normal, sum.normal_held, sum.normal_deferred, sum.messages,
+          sum.bytes, sum.burst_bytes, sum.table_bytes);
 }
 
 int
@@ -104,19 +114,19 @@
   argp_parse (&parser, argc, argv, 0, NULL, &options);
   printf ("%-22s %5s %6s %5s %8s %5s %5s %7s %7s %8s %7s\n", "play", "hosts", "ends", "late",
           "lost", "held", "wait", "msg/s", "B/s", "burst B", "table B");
-  for (size_t i = 0; i < sizeof plays / sizeof plays[0]; i++)
+  for (size_t i = 0; i < sizeof scenarios / sizeof scenarios[0]; i++)
     for (size_t j = 0; j < sizeof sizes / sizeof sizes[0]; j++)
       {
-        struct quarantine_fleet_config config = plays[i].config;
+        struct quarantine_fleet_config config = scenarios[i].config;
 
         config.hosts = sizes[j];
         config.controllers = sizes[j] < 100 ? 3 : 9;
         config.targets = 2 * sizes[j] < 12 ? 12 : 2 * sizes[j];
-        config.span = options.seconds * USEC_PER_SEC;
-        config.bad_rate = options.rate;
-        config.sound_rate = 5.0 * sizes[j];
+        config.duration = options.seconds * USEC_PER_SEC;
+        config.poison_rate = options.rate;
+        config.normal_rate = 5.0 * sizes[j];
         config.popular = 0.1;
-        play (&options, plays[i].name, config);
+        simulate (&options, scenarios[i].name, config);
       }
   return EXIT_SUCCESS;
 }
--- a/bench/fuzz_text.c
+++ b/bench/fuzz_text.c
@@ -189,12 +189,12 @@
       };
       struct stage_usage usage;
 
-      if (stage_take (&spec, &carried, data, length, &usage) == STATUS_OK)
+      if (stage_accept_answer (&spec, &carried, data, length, &usage) == STATUS_OK)
         {
           struct bytes body;
 
           bytes_init (&body, parent);
-          stage_body (&spec, &carried, &(struct stage_call){ .max_tokens = 1 }, &body);
+          stage_append_body (&spec, &carried, &(struct stage_call){ .max_tokens = 1 }, &body);
           bytes_clear (&body);
           status = STATUS_OK;
         }
@@ -226,7 +226,7 @@
 piece_decode (void *parent, const void *data, size_t length)
 {
   struct stage_piece piece;
-  enum status status = stage_piece_read (data, length, &piece);
+  enum status status = stage_piece_parse (data, length, &piece);
 
   (void) parent;
   if (status == STATUS_OK)
--- a/bench/quarantine_fleet.c
+++ b/bench/quarantine_fleet.c
@@ -9,25 +9,25 @@
 #define START (100 * USEC_PER_SEC)
 
 /* Delay in microseconds until a host learns that a broken connection was the end of the target. */
-#define PROBE_LEAST 200
-#define PROBE_SPREAD (10 * USEC_PER_MSEC)
+#define PROBE_DELAY_MIN_USEC 200
+#define PROBE_DELAY_SPREAD (10 * USEC_PER_MSEC)
 
 /* A target restarts after two to four seconds. */
-#define TARGET_BACK (2 * USEC_PER_SEC)
-#define SOUND_RUN (100 * USEC_PER_MSEC)
-#define SOUND_RUN_SPREAD (900 * USEC_PER_MSEC)
+#define TARGET_RESTART_TIME (2 * USEC_PER_SEC)
+#define NORMAL_RUN_MIN (100 * USEC_PER_MSEC)
+#define NORMAL_RUN_SPREAD (900 * USEC_PER_MSEC)
 
 /* A power cut takes one target in this many. */
 #define POWER_CUT_ONE_IN 4
 
 /* ---- targets ---- */
 
-static void run_learns (struct timer *timer, int64_t now);
+static void crash_detected (struct timer *timer, int64_t now);
 
-static const struct timer_ops learn_ops = { .fire = run_learns };
+static const struct timer_ops crash_detected_ops = { .fire = crash_detected };
 
 static void
-target_fired (struct timer *timer, int64_t now)
+target_restarted (struct timer *timer, int64_t now)
 {
   struct fleet_target *target = CONTAINER_OF (timer, struct fleet_target, timer);
 
@@ -36,7 +36,7 @@
   target->incarnation = rng_u64 (&target->fleet->rng);
 }
 
-static const struct timer_ops target_ops = { .fire = target_fired };
+static const struct timer_ops target_ops = { .fire = target_restarted };
 
 static void
 leave_target (struct run *run)
@@ -47,7 +47,7 @@
 
 /* All runs on the target break; each host learns of the end after a probe delay. */
 static void
-end_target (struct fleet_target *target, int64_t now)
+crash_target (struct fleet_target *target, int64_t now)
 {
   struct fleet *fleet = target->fleet;
   struct run *run;
@@ -56,18 +56,20 @@
   DL_FOREACH_SAFE (target->runs, run, next)
     {
       leave_target (run);
-      run->broke = now;
-      run->timer.ops = &learn_ops;
-      timer_arm (fleet->timers, &run->timer, now + PROBE_LEAST + fleet_draw (fleet, PROBE_SPREAD));
+      run->broke_at = now;
+      run->timer.ops = &crash_detected_ops;
+      timer_arm (fleet->timers, &run->timer,
+                 now + PROBE_DELAY_MIN_USEC + fleet_draw (fleet, PROBE_DELAY_SPREAD));
     }
   target->up = false;
-  timer_arm (fleet->timers, &target->timer, now + TARGET_BACK + fleet_draw (fleet, TARGET_BACK));
+  timer_arm (fleet->timers, &target->timer,
+             now + TARGET_RESTART_TIME + fleet_draw (fleet, TARGET_RESTART_TIME));
 }
 
 /* ---- requests ---- */
 
 static struct request_digest
-digest_of (uint32_t request)
+make_digest (uint32_t request)
 {
   struct request_digest digest = { .bytes = { 0 } };
 
@@ -76,101 +78,102 @@
 }
 
 static bool
-is_bad (const struct fleet *fleet, uint32_t request)
+is_poison (const struct fleet *fleet, uint32_t request)
 {
-  return request < fleet->config->bad;
+  return request < fleet->config->poison;
 }
 
 static bool
 is_popular (const struct fleet *fleet, uint32_t request)
 {
-  return request == fleet->config->bad;
+  return request == fleet->config->poison;
 }
 
 /* The suspect in the table of the run's host; NULL if there is none or the host has restarted. */
 static struct quarantine_suspect *
-suspect_of (const struct run *run)
+find_run_suspect (const struct run *run)
 {
-  struct request_digest digest = digest_of (run->request);
+  struct request_digest digest = make_digest (run->request);
 
-  if (run->host->control == NULL || run->host->start != run->start)
+  if (run->host->control == NULL || run->host->start_count != run->start_count)
     return NULL;
   return quarantine_find (quarantine_control_table (run->host->control), &digest);
 }
 
 static void
-end_run (struct run *run)
+finish_run (struct run *run)
 {
-  struct quarantine_suspect *suspect = suspect_of (run);
+  struct quarantine_suspect *suspect = find_run_suspect (run);
 
-  if (run->counted && suspect != NULL && suspect->running > 0)
-    suspect->running--;
-  run->counted = false;
+  if (run->is_counted && suspect != NULL && suspect->n_running > 0)
+    suspect->n_running--;
+  run->is_counted = false;
 }
 
-static void arrive (struct fleet *fleet, uint32_t request, bool again, int64_t now);
+static void handle_arrival (struct fleet *fleet, uint32_t request, bool is_retry, int64_t now);
 
 static void
-return_fired (struct timer *timer, int64_t now)
+retry_fired (struct timer *timer, int64_t now)
 {
   struct run *run = CONTAINER_OF (timer, struct run, timer);
 
-  arrive (run->fleet, run->request, true, now);
+  handle_arrival (run->fleet, run->request, true, now);
   talloc_free (run);
 }
 
-static const struct timer_ops return_ops = { .fire = return_fired };
+static const struct timer_ops retry_ops = { .fire = retry_fired };
 
 /* The client retries a normal request once; poison requests arrive at their own rate. */
 static void
-lose (struct run *run, int64_t now)
+retry_or_drop (struct run *run, int64_t now)
 {
   struct fleet *fleet = run->fleet;
 
-  if (is_bad (fleet, run->request))
+  if (is_poison (fleet, run->request))
     {
       talloc_free (run);
       return;
     }
-  if (run->again)
+  if (run->is_retry)
     {
-      fleet->figures->sound_lost++;
+      fleet->figures->normal_lost++;
       talloc_free (run);
       return;
     }
-  run->timer.ops = &return_ops;
-  timer_arm (fleet->timers, &run->timer, now + SOUND_RUN + fleet_draw (fleet, SOUND_RUN_SPREAD));
+  run->timer.ops = &retry_ops;
+  timer_arm (fleet->timers, &run->timer,
+             now + NORMAL_RUN_MIN + fleet_draw (fleet, NORMAL_RUN_SPREAD));
 }
 
 static void
-run_learns (struct timer *timer, int64_t now)
+crash_detected (struct timer *timer, int64_t now)
 {
   struct run *run = CONTAINER_OF (timer, struct run, timer);
-  int64_t instant = run->broke - QUARANTINE_INSTANT;
+  int64_t instant = run->broke_at - QUARANTINE_COMMON_CAUSE_SPAN;
   struct quarantine_suspect learnt = {
-    .digest = digest_of (run->request),
+    .digest = make_digest (run->request),
     .organisation = "o",
     .route = "r",
-    .seen = now,
-    .n_ends = 1,
-    .ends = { { .incarnation = run->incarnation,
-                .from = instant > run->sent ? instant : run->sent,
-                .to = run->broke } },
+    .last_seen = now,
+    .n_crashes = 1,
+    .crashes = { { .incarnation = run->incarnation,
+                   .from = instant > run->sent_at ? instant : run->sent_at,
+                   .to = run->broke_at } },
   };
 
-  end_run (run);
-  if (run->host->control != NULL && run->host->start == run->start)
+  finish_run (run);
+  if (run->host->control != NULL && run->host->start_count == run->start_count)
     quarantine_control_learn (run->host->control, &learnt, now);
-  lose (run, now);
+  retry_or_drop (run, now);
 }
 
 static void
-count_bad_end (struct bad_request *bad, struct fleet *fleet, int64_t now)
+count_poison_crash (struct poison_request *poison, struct fleet *fleet, int64_t now)
 {
-  fleet->figures->ends++;
-  bad->ends++;
-  if (bad->ends == QUARANTINE_ENDS)
-    bad->third = now;
+  fleet->figures->crashes++;
+  poison->crashes++;
+  if (poison->crashes == QUARANTINE_CRASH_THRESHOLD)
+    poison->third_crash_at = now;
 }
 
 /* The run reaches the outcome that was drawn for it. */
@@ -179,22 +182,22 @@
 {
   struct run *run = CONTAINER_OF (timer, struct run, timer);
   struct fleet *fleet = run->fleet;
-  struct request_digest digest = digest_of (run->request);
+  struct request_digest digest = make_digest (run->request);
 
-  if (is_bad (fleet, run->request))
+  if (is_poison (fleet, run->request))
     {
-      count_bad_end (&fleet->bad[run->request], fleet, now);
-      end_target (run->target, now);
+      count_poison_crash (&fleet->poison[run->request], fleet, now);
+      crash_target (run->target, now);
       return;
     }
   leave_target (run);
-  end_run (run);
-  if (is_popular (fleet, run->request) && rng_unit (&fleet->rng) < fleet->config->resets)
+  finish_run (run);
+  if (is_popular (fleet, run->request) && rng_unit (&fleet->rng) < fleet->config->reset_share)
     {
-      lose (run, now);
+      retry_or_drop (run, now);
       return;
     }
-  if (run->host->control != NULL && run->host->start == run->start)
+  if (run->host->control != NULL && run->host->start_count == run->start_count)
     quarantine_control_clear (run->host->control, &digest, "a whole answer", now);
   talloc_free (run);
 }
@@ -203,13 +206,13 @@
 
 /* A random target that is up; for a suspect the one with the fewest runs. */
 static struct fleet_target *
-choose_target (struct fleet *fleet, bool apart)
+choose_target (struct fleet *fleet, bool least_loaded)
 {
   uint32_t n = fleet->config->targets;
   uint32_t first = (uint32_t) rng_below (&fleet->rng, n);
   struct fleet_target *best = NULL;
 
-  for (uint32_t i = 0; i < n && (apart || best == NULL); i++)
+  for (uint32_t i = 0; i < n && (least_loaded || best == NULL); i++)
     {
       struct fleet_target *target = &fleet->targets[(first + i) % n];
 
@@ -220,54 +223,55 @@
 }
 
 static void
-note_send (struct run *run, int64_t now)
+count_late_send (struct run *run, int64_t now)
 {
   struct fleet *fleet = run->fleet;
-  struct bad_request *bad;
+  struct poison_request *poison;
 
-  if (!is_bad (fleet, run->request))
+  if (!is_poison (fleet, run->request))
     return;
-  bad = &fleet->bad[run->request];
-  if (bad->third != 0 && now > bad->third + FLEET_CONTACT && fleet_is_in_touch (run->host, now))
-    bad->late++;
+  poison = &fleet->poison[run->request];
+  if (poison->third_crash_at != 0 && now > poison->third_crash_at + FLEET_SETTLE_TIME
+      && fleet_is_settled (run->host, now))
+    poison->late_sends++;
 }
 
 static void
 refuse (struct run *run, enum quarantine_verdict verdict, int64_t now)
 {
   struct quarantine_fleet_figures *figures = run->fleet->figures;
-  bool last = now > START + run->fleet->config->span * 3 / 4;
+  bool last = now > START + run->fleet->config->duration * 3 / 4;
 
-  if (!is_bad (run->fleet, run->request) && verdict == QUARANTINE_REFUSE)
+  if (!is_poison (run->fleet, run->request) && verdict == QUARANTINE_REFUSE)
     {
-      figures->sound_held++;
-      figures->sound_held_last += last ? 1 : 0;
+      figures->normal_held++;
+      figures->normal_held_last += last ? 1 : 0;
     }
-  if (!is_bad (run->fleet, run->request) && verdict == QUARANTINE_WAIT)
-    figures->sound_asked_to_wait++;
+  if (!is_poison (run->fleet, run->request) && verdict == QUARANTINE_WAIT)
+    figures->normal_deferred++;
   talloc_free (run);
 }
 
 static void
-send_run (struct run *run, bool apart, int64_t now)
+send_run (struct run *run, bool least_loaded, int64_t now)
 {
   struct fleet *fleet = run->fleet;
-  struct quarantine_suspect *suspect = suspect_of (run);
-  bool bad = is_bad (fleet, run->request);
-  int64_t least = bad ? fleet->config->bad_run / 10 : SOUND_RUN;
-  int64_t spread = bad ? fleet->config->bad_run - least : SOUND_RUN_SPREAD;
+  struct quarantine_suspect *suspect = find_run_suspect (run);
+  bool poison = is_poison (fleet, run->request);
+  int64_t least = poison ? fleet->config->poison_run_max / 10 : NORMAL_RUN_MIN;
+  int64_t spread = poison ? fleet->config->poison_run_max - least : NORMAL_RUN_SPREAD;
 
-  run->target = choose_target (fleet, apart);
+  run->target = choose_target (fleet, least_loaded);
   if (run->target == NULL)
     {
-      lose (run, now);
+      retry_or_drop (run, now);
       return;
     }
-  note_send (run, now);
-  run->counted = suspect != NULL;
+  count_late_send (run, now);
+  run->is_counted = suspect != NULL;
   if (suspect != NULL)
-    suspect->running++;
-  run->sent = now;
+    suspect->n_running++;
+  run->sent_at = now;
   run->incarnation = run->target->incarnation;
   DL_APPEND (run->target->runs, run);
   run->target->n_runs++;
@@ -277,24 +281,24 @@
 
 /* Trials of a request are made by one host. */
 static enum quarantine_verdict
-judge (struct run *run, int64_t now)
+get_verdict (struct run *run, int64_t now)
 {
-  struct quarantine_suspect *suspect = suspect_of (run);
-  bool here = run->host == &run->fleet->nodes[run->request % run->fleet->config->hosts];
-  enum quarantine_verdict verdict = quarantine_judge (suspect, here, now);
+  struct quarantine_suspect *suspect = find_run_suspect (run);
+  bool is_trial_host = run->host == &run->fleet->nodes[run->request % run->fleet->config->hosts];
+  enum quarantine_verdict verdict = quarantine_get_verdict (suspect, is_trial_host, now);
   struct quarantine_suspect tried;
 
-  if (verdict != QUARANTINE_TRY)
+  if (verdict != QUARANTINE_TRIAL)
     return verdict;
   tried = *suspect;
-  tried.trials++;
-  tried.tried = now;
+  tried.n_trials++;
+  tried.last_trial = now;
   quarantine_control_learn (run->host->control, &tried, now);
   return verdict;
 }
 
 static void
-arrive (struct fleet *fleet, uint32_t request, bool again, int64_t now)
+handle_arrival (struct fleet *fleet, uint32_t request, bool is_retry, int64_t now)
 {
   struct run *run = talloc_zero (fleet, struct run);
   enum quarantine_verdict verdict = QUARANTINE_PASS;
@@ -303,16 +307,16 @@
     return;
   run->fleet = fleet;
   run->request = request;
-  run->again = again;
+  run->is_retry = is_retry;
   run->host = &fleet->nodes[rng_below (&fleet->rng, fleet->config->hosts)];
-  run->start = run->host->start;
+  run->start_count = run->host->start_count;
   if (run->host->control == NULL)
     {
-      lose (run, now);
+      retry_or_drop (run, now);
       return;
     }
-  if (fleet->config->holds_back)
-    verdict = judge (run, now);
+  if (fleet->config->quarantine_enabled)
+    verdict = get_verdict (run, now);
   if (verdict == QUARANTINE_REFUSE || verdict == QUARANTINE_WAIT)
     refuse (run, verdict, now);
   else
@@ -320,11 +324,11 @@
 }
 
 static int64_t
-time_to_next (const struct arrivals *arrivals)
+interarrival_time (const struct arrivals *arrivals)
 {
   struct fleet *fleet = arrivals->fleet;
   double mean = USEC_PER_SEC / arrivals->rate;
-  bool evenly = fleet->config->bad_evenly && is_bad (fleet, arrivals->request);
+  bool evenly = fleet->config->poison_is_periodic && is_poison (fleet, arrivals->request);
 
   return (int64_t) (evenly ? mean : rng_exponential (&fleet->rng, mean));
 }
@@ -337,16 +341,16 @@
   uint32_t request = arrivals->request;
 
   fleet->now = now;
-  timer_arm (fleet->timers, timer, now + time_to_next (arrivals));
-  if (request > fleet->config->bad)
+  timer_arm (fleet->timers, timer, now + interarrival_time (arrivals));
+  if (request > fleet->config->poison)
     {
       bool popular = rng_unit (&fleet->rng) < fleet->config->popular;
 
-      request = popular ? fleet->config->bad : fleet->next_request++;
-      fleet->figures->sound++;
+      request = popular ? fleet->config->poison : fleet->next_request++;
+      fleet->figures->normal++;
       fleet->figures->popular += popular ? 1 : 0;
     }
-  arrive (fleet, request, false, now);
+  handle_arrival (fleet, request, false, now);
 }
 
 static const struct timer_ops arrival_ops = { .fire = arrival_fired };
@@ -358,53 +362,55 @@
 {
   for (uint32_t i = 0; i < fleet->config->targets; i++)
     if (fleet->targets[i].up && rng_below (&fleet->rng, POWER_CUT_ONE_IN) == 0)
-      end_target (&fleet->targets[i], now);
+      crash_target (&fleet->targets[i], now);
 }
 
 static void
-trouble_fired (struct timer *timer, int64_t now)
+fault_fired (struct timer *timer, int64_t now)
 {
-  struct fleet *fleet = CONTAINER_OF (timer, struct fleet, troubles);
-  uint32_t left = fleet->left[0] + fleet->left[1] + fleet->left[2] + fleet->left[3];
+  struct fleet *fleet = CONTAINER_OF (timer, struct fleet, fault_timer);
+  uint32_t faults_left =
+      fleet->faults_left[0] + fleet->faults_left[1] + fleet->faults_left[2] + fleet->faults_left[3];
   uint32_t kind = (uint32_t) rng_below (&fleet->rng, 4);
 
   fleet->now = now;
-  if (left == 0)
+  if (faults_left == 0)
     return;
-  while (fleet->left[kind] == 0)
+  while (fleet->faults_left[kind] == 0)
     kind = (kind + 1) % 4;
-  fleet->left[kind]--;
+  fleet->faults_left[kind]--;
   if (kind == 0)
     cut_power (fleet, now);
   else if (kind == 3)
-    fleet_black_out (fleet, now);
+    fleet_restart_all (fleet, now);
   else
-    fleet_disturb (fleet, kind == 1, now);
-  timer_arm (fleet->timers, timer, now + 2 * fleet_draw (fleet, fleet->config->span / (left + 1)));
+    fleet_inject_fault (fleet, kind == 1, now);
+  timer_arm (fleet->timers, timer,
+             now + 2 * fleet_draw (fleet, fleet->config->duration / (faults_left + 1)));
 }
 
-static const struct timer_ops trouble_ops = { .fire = trouble_fired };
+static const struct timer_ops fault_ops = { .fire = fault_fired };
 
 /* ---- simulation ---- */
 
 static void
-begin_arrivals (struct fleet *fleet)
+start_arrivals (struct fleet *fleet)
 {
   const struct quarantine_fleet_config *config = fleet->config;
 
-  for (uint32_t i = 0; i <= config->bad; i++)
+  for (uint32_t i = 0; i <= config->poison; i++)
     {
-      bool all = i == config->bad;
+      bool all = i == config->poison;
       struct arrivals *arrivals = &fleet->arrivals[i];
 
       arrivals->fleet = fleet;
       arrivals->timer.ops = &arrival_ops;
-      arrivals->request = all ? config->bad + 1 : i;
-      arrivals->rate = all ? config->sound_rate : config->bad_rate;
+      arrivals->request = all ? config->poison + 1 : i;
+      arrivals->rate = all ? config->normal_rate : config->poison_rate;
       if (arrivals->rate > 0)
         timer_arm (fleet->timers, &arrivals->timer, fleet->now + USEC_PER_SEC);
     }
-  fleet->next_request = config->bad + 1;
+  fleet->next_request = config->poison + 1;
 }
 
 static bool
@@ -415,46 +421,46 @@
   rng_init (&fleet->rng, config->seed);
   fleet->now = START;
   fleet->targets = talloc_zero_array (fleet, struct fleet_target, config->targets);
-  if (fleet->targets == NULL || !fleet_build_nodes (fleet))
+  if (fleet->targets == NULL || !fleet_create_nodes (fleet))
     return false;
   for (uint32_t i = 0; i < config->targets; i++)
     {
       fleet->targets[i].fleet = fleet;
       fleet->targets[i].timer.ops = &target_ops;
-      target_fired (&fleet->targets[i].timer, fleet->now);
+      target_restarted (&fleet->targets[i].timer, fleet->now);
     }
-  fleet->left[0] = config->power_cuts;
-  fleet->left[1] = config->restarts;
-  fleet->left[2] = config->cuts;
-  fleet->left[3] = config->blackouts;
-  fleet->troubles.ops = &trouble_ops;
-  timer_arm (fleet->timers, &fleet->troubles, fleet->now + USEC_PER_SEC);
-  begin_arrivals (fleet);
+  fleet->faults_left[0] = config->power_cuts;
+  fleet->faults_left[1] = config->restarts;
+  fleet->faults_left[2] = config->partitions;
+  fleet->faults_left[3] = config->full_restarts;
+  fleet->fault_timer.ops = &fault_ops;
+  timer_arm (fleet->timers, &fleet->fault_timer, fleet->now + USEC_PER_SEC);
+  start_arrivals (fleet);
   return true;
 }
 
 static void
-note_memory (struct fleet *fleet)
+record_table_bytes (struct fleet *fleet)
 {
   for (uint32_t i = 0; i < fleet->n_nodes; i++)
     if (fleet->nodes[i].control != NULL)
       {
         size_t size = talloc_total_size (fleet->nodes[i].control);
 
-        if (size > fleet->figures->memory)
-          fleet->figures->memory = (uint32_t) size;
+        if (size > fleet->figures->table_bytes)
+          fleet->figures->table_bytes = (uint32_t) size;
       }
 }
 
 bool
-quarantine_fleet_play (const struct quarantine_fleet_config *config,
-                       struct quarantine_fleet_figures *out)
+quarantine_fleet_simulate (const struct quarantine_fleet_config *config,
+                           struct quarantine_fleet_figures *out)
 {
   struct fleet *fleet = talloc_zero (NULL, struct fleet);
   struct timer_service *timers = timer_service_new (fleet);
   bool built = false;
 
-  *out = (struct quarantine_fleet_figures){ .ends = 0 };
+  *out = (struct quarantine_fleet_figures){ .crashes = 0 };
   if (fleet != NULL && timers != NULL)
     {
       fleet->config = config;
@@ -462,7 +468,7 @@
       fleet->timers = timers;
       built = build (fleet);
     }
-  while (built && timer_service_next (timers) < START + config->span)
+  while (built && timer_service_next (timers) < START + config->duration)
     {
       if (timer_service_next (timers) > fleet->now)
         fleet->now = timer_service_next (timers);
@@ -470,12 +476,12 @@
     }
   if (built)
     {
-      note_memory (fleet);
-      out->messages = fleet->messages / config->hosts / ((double) config->span / USEC_PER_SEC);
-      out->bytes = fleet->bytes / config->hosts / ((double) config->span / USEC_PER_SEC);
-      for (uint32_t i = 0; i < config->bad; i++)
-        if (fleet->bad[i].late > out->late_most)
-          out->late_most = fleet->bad[i].late;
+      record_table_bytes (fleet);
+      out->messages = fleet->messages / config->hosts / ((double) config->duration / USEC_PER_SEC);
+      out->bytes = fleet->bytes / config->hosts / ((double) config->duration / USEC_PER_SEC);
+      for (uint32_t i = 0; i < config->poison; i++)
+        if (fleet->poison[i].late_sends > out->late_sends_max)
+          out->late_sends_max = fleet->poison[i].late_sends;
     }
   /* Each node disarms its timer; the objects that hold the other timers must still exist. */
   for (uint32_t i = 0; fleet != NULL && i < fleet->n_nodes; i++)
--- a/bench/quarantine_fleet.h
+++ b/bench/quarantine_fleet.h
@@ -14,10 +14,10 @@
 BEGIN_DECLS
 
 /* A host counts as in touch if it was undisturbed for this long. */
-#define FLEET_CONTACT (3 * USEC_PER_SEC)
+#define FLEET_SETTLE_TIME (3 * USEC_PER_SEC)
 
 /* Maximum number of poison requests. */
-#define FLEET_BAD_MAX 8
+#define FLEET_POISON_MAX 8
 
 struct quarantine_fleet_config
 {
@@ -25,42 +25,42 @@
   uint32_t controllers;
   uint32_t targets;
   uint64_t seed;
-  int64_t span;
-  bool holds_back;     /* false: requests are sent without a verdict */
-  uint32_t bad;        /* number of poison requests */
-  double bad_rate;     /* of each, arrivals per second */
-  bool bad_evenly;     /* at even intervals, each at any host */
-  int64_t bad_run;     /* longest run until its target ends */
-  double sound_rate;   /* arrivals per second of all other requests */
-  double popular;      /* share of the other requests that is one request */
-  uint32_t power_cuts; /* moments at which a quarter of the targets end together */
-  uint32_t restarts;   /* of single entry hosts and controllers, whose tables are lost */
-  uint32_t blackouts;  /* restarts of all entry hosts and controllers at once */
-  uint32_t cuts;       /* 4 s partitions of single entry hosts and controllers */
-  double resets;       /* share of the popular request's runs that break on a live target */
+  int64_t duration;
+  bool quarantine_enabled; /* false: requests are sent without a verdict */
+  uint32_t poison;         /* number of poison requests */
+  double poison_rate;      /* of each, arrivals per second */
+  bool poison_is_periodic; /* at even intervals, each at any host */
+  int64_t poison_run_max;  /* longest run until its target ends */
+  double normal_rate;      /* arrivals per second of all other requests */
+  double popular;          /* share of the other requests that is one request */
+  uint32_t power_cuts;     /* moments at which a quarter of the targets end together */
+  uint32_t restarts;       /* of single entry hosts and controllers, whose tables are lost */
+  uint32_t full_restarts;  /* restarts of all entry hosts and controllers at once */
+  uint32_t partitions;     /* 4 s partitions of single entry hosts and controllers */
+  double reset_share;      /* share of the popular request's runs that break on a live target */
 };
 
 struct quarantine_fleet_figures
 {
-  uint32_t ends; /* targets ended by poison requests */
-  /* Most sends of one poison request by hosts in touch, later than FLEET_CONTACT after its third
-   * end. */
-  uint32_t late_most;
-  uint32_t sound; /* requests that are not poison */
-  uint32_t sound_lost;
-  uint32_t sound_held;      /* refused because they were held */
-  uint32_t sound_held_last; /* of these, in the last quarter of the run */
-  uint32_t sound_asked_to_wait;
+  uint32_t crashes; /* targets ended by poison requests */
+  /* Most sends of one poison request by hosts in touch, later than FLEET_SETTLE_TIME after its
+   * third end. */
+  uint32_t late_sends_max;
+  uint32_t normal; /* requests that are not poison */
+  uint32_t normal_lost;
+  uint32_t normal_held;      /* refused because they were held */
+  uint32_t normal_held_last; /* of these, in the last quarter of the run */
+  uint32_t normal_deferred;
   uint32_t popular;
-  double messages; /* per host and second */
-  double bytes;    /* per host and second */
-  double burst;    /* most bytes that one host or controller sent in one second */
-  uint32_t memory; /* largest table, in bytes */
+  double messages;      /* per host and second */
+  double bytes;         /* per host and second */
+  double burst_bytes;   /* most bytes that one host or controller sent in one second */
+  uint32_t table_bytes; /* largest table, in bytes */
 };
 
 /* False if memory runs out. */
-bool quarantine_fleet_play (const struct quarantine_fleet_config *config,
-                            struct quarantine_fleet_figures *out);
+bool quarantine_fleet_simulate (const struct quarantine_fleet_config *config,
+                                struct quarantine_fleet_figures *out);
 
 END_DECLS
 
--- a/bench/quarantine_fleet_node.c
+++ b/bench/quarantine_fleet_node.c
@@ -7,12 +7,12 @@
 #include <talloc.h>
 
 /* Message delay in microseconds. */
-#define DELAY_LEAST 200
-#define DELAY_SPREAD (3 * USEC_PER_MSEC)
+#define MESSAGE_DELAY_MIN_USEC 200
+#define MESSAGE_DELAY_SPREAD (3 * USEC_PER_MSEC)
 
 /* A process restarts after one to two seconds. */
-#define PROCESS_BACK (1 * USEC_PER_SEC)
-#define CUT_FOR (4 * USEC_PER_SEC)
+#define PROCESS_RESTART_TIME (1 * USEC_PER_SEC)
+#define PARTITION_TIME (4 * USEC_PER_SEC)
 
 /* ---- messages ---- */
 
@@ -22,7 +22,8 @@
   struct message *message = CONTAINER_OF (timer, struct message, timer);
   struct node *to = message->to;
 
-  if (to->control != NULL && to->start == message->start && !to->cut && !message->from->cut)
+  if (to->control != NULL && to->start_count == message->start_count && !to->is_partitioned
+      && !message->from->is_partitioned)
     to->listener->ops->received (to->listener, message->from->name, message->bytes.data,
                                  message->bytes.length, now);
   talloc_free (message);
@@ -43,12 +44,12 @@
 {
   struct fleet *fleet = node->fleet;
 
-  if (node->second != fleet->now / USEC_PER_SEC)
-    node->bytes_of_second = 0;
-  node->second = fleet->now / USEC_PER_SEC;
-  node->bytes_of_second += (double) length;
-  if (node->bytes_of_second > fleet->figures->burst)
-    fleet->figures->burst = node->bytes_of_second;
+  if (node->current_second != fleet->now / USEC_PER_SEC)
+    node->bytes_this_second = 0;
+  node->current_second = fleet->now / USEC_PER_SEC;
+  node->bytes_this_second += (double) length;
+  if (node->bytes_this_second > fleet->figures->burst_bytes)
+    fleet->figures->burst_bytes = node->bytes_this_second;
   fleet->bytes += node->is_entry ? (double) length : 0;
   fleet->messages += node->is_entry ? 1 : 0;
 }
@@ -72,11 +73,11 @@
   message->timer.ops = &deliver_ops;
   message->from = from;
   message->to = find_node (fleet, host);
-  message->start = message->to->start;
+  message->start_count = message->to->start_count;
   bytes_init (&message->bytes, message);
   bytes_append (&message->bytes, data, length);
   timer_arm (fleet->timers, &message->timer,
-             fleet->now + DELAY_LEAST + fleet_draw (fleet, DELAY_SPREAD));
+             fleet->now + MESSAGE_DELAY_MIN_USEC + fleet_draw (fleet, MESSAGE_DELAY_SPREAD));
   return STATUS_OK;
 }
 
@@ -121,7 +122,7 @@
   };
 
   node->control = quarantine_control_new (node->fleet, &config);
-  node->start++;
+  node->start_count++;
   return node->control != NULL;
 }
 
@@ -130,8 +131,8 @@
 {
   struct node *node = CONTAINER_OF (timer, struct node, timer);
 
-  node->calm_since = now;
-  node->cut = false;
+  node->undisturbed_since = now;
+  node->is_partitioned = false;
   if (node->control == NULL)
     (void) start_node (node);
 }
@@ -139,13 +140,14 @@
 static const struct timer_ops node_ops = { .fire = node_fired };
 
 bool
-fleet_is_in_touch (const struct node *node, int64_t now)
+fleet_is_settled (const struct node *node, int64_t now)
 {
-  return node->control != NULL && !node->cut && now - node->calm_since >= FLEET_CONTACT;
+  return node->control != NULL && !node->is_partitioned
+         && now - node->undisturbed_since >= FLEET_SETTLE_TIME;
 }
 
 static uint32_t
-hosts_up (const struct fleet *fleet)
+count_hosts_up (const struct fleet *fleet)
 {
   uint32_t n = 0;
 
@@ -157,32 +159,33 @@
 static void
 restart (struct node *node, int64_t now)
 {
-  node->calm_since = now;
+  node->undisturbed_since = now;
   talloc_free (node->control);
   node->control = NULL;
   timer_arm (node->fleet->timers, &node->timer,
-             now + PROCESS_BACK + fleet_draw (node->fleet, PROCESS_BACK));
+             now + PROCESS_RESTART_TIME + fleet_draw (node->fleet, PROCESS_RESTART_TIME));
 }
 
 void
-fleet_disturb (struct fleet *fleet, bool restarts, int64_t now)
+fleet_inject_fault (struct fleet *fleet, bool restarts, int64_t now)
 {
   struct node *node = &fleet->nodes[rng_below (&fleet->rng, fleet->n_nodes)];
 
-  if (node->control == NULL || node->cut || (restarts && node->is_entry && hosts_up (fleet) < 2))
+  if (node->control == NULL || node->is_partitioned
+      || (restarts && node->is_entry && count_hosts_up (fleet) < 2))
     return;
   if (restarts)
     {
       restart (node, now);
       return;
     }
-  node->calm_since = now;
-  node->cut = true;
-  timer_arm (fleet->timers, &node->timer, now + CUT_FOR);
+  node->undisturbed_since = now;
+  node->is_partitioned = true;
+  timer_arm (fleet->timers, &node->timer, now + PARTITION_TIME);
 }
 
 void
-fleet_black_out (struct fleet *fleet, int64_t now)
+fleet_restart_all (struct fleet *fleet, int64_t now)
 {
   for (uint32_t i = 0; i < fleet->n_nodes; i++)
     if (fleet->nodes[i].control != NULL)
@@ -190,7 +193,7 @@
 }
 
 bool
-fleet_build_nodes (struct fleet *fleet)
+fleet_create_nodes (struct fleet *fleet)
 {
   uint32_t hosts = fleet->config->hosts;
 
--- a/bench/quarantine_fleet_private.h
+++ b/bench/quarantine_fleet_private.h
@@ -25,11 +25,11 @@
   struct timer timer; /* end of the restart or of the partition */
   char name[16];
   bool is_entry;
-  bool cut;
-  uint32_t start;     /* number of starts */
-  int64_t calm_since; /* time of the last restart, partition or return */
-  int64_t second;     /* the second in which bytes_of_second were sent */
-  double bytes_of_second;
+  bool is_partitioned;
+  uint32_t start_count;      /* number of starts */
+  int64_t undisturbed_since; /* time of the last restart, partition or return */
+  int64_t current_second;    /* the second in which bytes_this_second were sent */
+  double bytes_this_second;
 };
 
 struct message
@@ -37,7 +37,7 @@
   struct timer timer;
   struct node *from;
   struct node *to;
-  uint32_t start; /* of the receiver: a message sent before its restart is dropped */
+  uint32_t start_count; /* of the receiver: a message sent before its restart is dropped */
   struct bytes bytes;
 };
 
@@ -59,23 +59,23 @@
   struct fleet *fleet;
   struct timer timer; /* next event of the run */
   struct node *host;
-  uint32_t start; /* start number of the host at arrival */
+  uint32_t start_count; /* start number of the host at arrival */
   struct fleet_target *target;
   uint64_t incarnation; /* of the target it ran on */
   uint32_t request;     /* number of its content: poison requests first, then the popular one */
-  bool again;           /* the client's retry */
-  bool counted;         /* counted in the suspect's `running` */
-  int64_t sent;
-  int64_t broke;
+  bool is_retry;        /* the client's retry */
+  bool is_counted;      /* counted in the suspect's `running` */
+  int64_t sent_at;
+  int64_t broke_at;
   struct run *prev;
   struct run *next;
 };
 
-struct bad_request
+struct poison_request
 {
-  uint32_t ends;
-  uint32_t late;
-  int64_t third; /* time at which the third target ended */
+  uint32_t crashes;
+  uint32_t late_sends;
+  int64_t third_crash_at; /* time at which the third target ended */
 };
 
 /* Poisson arrivals of requests, or evenly spaced ones. */
@@ -97,10 +97,11 @@
   struct node nodes[FLEET_NODES_MAX];
   uint32_t n_nodes;
   struct fleet_target *targets;
-  struct bad_request bad[FLEET_BAD_MAX];
-  struct arrivals arrivals[FLEET_BAD_MAX + 1]; /* one per poison request, and one for all others */
-  struct timer troubles;
-  uint32_t left[4]; /* power cuts, restarts, partitions and full restarts still to come */
+  struct poison_request poison[FLEET_POISON_MAX];
+  struct arrivals
+      arrivals[FLEET_POISON_MAX + 1]; /* one per poison request, and one for all others */
+  struct timer fault_timer;
+  uint32_t faults_left[4]; /* power cuts, restarts, partitions and full restarts still to come */
   uint32_t next_request;
   double messages;
   double bytes;
@@ -115,15 +116,15 @@
 /* ---- quarantine_fleet_node.c ---- */
 
 /* False if memory runs out. */
-bool fleet_build_nodes (struct fleet *fleet);
+bool fleet_create_nodes (struct fleet *fleet);
 
 /* Restarts or partitions a random node, unless it is already down or cut off. */
-void fleet_disturb (struct fleet *fleet, bool restarts, int64_t now);
+void fleet_inject_fault (struct fleet *fleet, bool restarts, int64_t now);
 
 /* Restarts all nodes that are up. */
-void fleet_black_out (struct fleet *fleet, int64_t now);
+void fleet_restart_all (struct fleet *fleet, int64_t now);
 
-/* The host has been up, reachable and undisturbed for FLEET_CONTACT. */
-bool fleet_is_in_touch (const struct node *node, int64_t now);
+/* The host has been up, reachable and undisturbed for FLEET_SETTLE_TIME. */
+bool fleet_is_settled (const struct node *node, int64_t now);
 
 #endif
--- a/src/cli_quarantine.c
+++ b/src/cli_quarantine.c
@@ -24,9 +24,9 @@
       argp->child_inputs[0] = &options->common;
       return 0;
     case 'r':
-      if (!request_digest_read (arg, &digest))
+      if (!request_digest_parse (arg, &digest))
         argp_error (argp, "\"%s\" is no content: %d hexadecimal digits, as the list has them", arg,
-                    REQUEST_DIGEST_TEXT - 1);
+                    REQUEST_DIGEST_TEXT_SIZE - 1);
       options->release = arg;
       return 0;
     default:
@@ -92,7 +92,7 @@
   };
   struct quarantine_options options = { .release = NULL };
   struct cli_request request = { .method = "GET", .path = "/quarantine" };
-  char path[sizeof "/quarantine/release/" + REQUEST_DIGEST_TEXT];
+  char path[sizeof "/quarantine/release/" + REQUEST_DIGEST_TEXT_SIZE];
   struct cli_answer answer;
   struct cli_session *session;
   enum cli_exit code = CLI_EXIT_OK;
--- a/src/flow_attempt.c
+++ b/src/flow_attempt.c
@@ -271,7 +271,7 @@
 
   if (request->max_tokens > 0 && request->max_tokens < spec->max_tokens)
     call.max_tokens = request->max_tokens;
-  stage_body (spec, &request->data, &call, out);
+  stage_append_body (spec, &request->data, &call, out);
 }
 
 static enum status
@@ -340,7 +340,7 @@
   attempt->stage = request->decide.stage;
   attempt->input_tokens = request->raw != NULL
                               ? request->decide.input_tokens
-                              : stage_tokens (flow_stage_spec (request), &request->data);
+                              : stage_estimate_tokens (flow_stage_spec (request), &request->data);
   attempt->resumed_from = request->text.n_pieces;
   attempt->n_pieces = request->text.n_pieces;
   attempt->started = now;
--- a/src/flow_reply.c
+++ b/src/flow_reply.c
@@ -115,8 +115,8 @@
   else if (request->spec->service)
     status = store_raw_answer (request, &attempt->body);
   else
-    status = stage_take (spec, &request->data, attempt->body.data, attempt->body.length,
-                         &attempt->usage);
+    status = stage_accept_answer (spec, &request->data, attempt->body.data, attempt->body.length,
+                                  &attempt->usage);
   if (status == STATUS_OK)
     return flow_attempt_complete (attempt, request, now);
   log_event (LOG_MODULE_FLOW, LOG_LEVEL_WARNING, "answer-malformed", "{s:s,s:s,s:s,s:s}",
--- a/src/flow_stage.c
+++ b/src/flow_stage.c
@@ -21,7 +21,7 @@
 {
   if (request->raw != NULL)
     return request->decide.input_tokens;
-  return stage_tokens (flow_stage_spec (request), &request->data);
+  return stage_estimate_tokens (flow_stage_spec (request), &request->data);
 }
 
 /* Computes the hashes by which engines identify the blocks of a prompt, see docs/INTERFACES.md. */
@@ -33,7 +33,8 @@
   uint32_t n;
 
   bytes_init (&prompt, request->memory);
-  stage_prompt_start (&request->data, (size_t) DECIDE_PREFIX_BLOCKS * PREFIX_BLOCK_BYTES, &prompt);
+  stage_append_prompt_start (&request->data, (size_t) DECIDE_PREFIX_BLOCKS * PREFIX_BLOCK_BYTES,
+                             &prompt);
   for (n = 0; (n + 1) * PREFIX_BLOCK_BYTES <= prompt.length; n++)
     {
       hash = XXH3_64bits_withSeed (prompt.data + (size_t) n * PREFIX_BLOCK_BYTES,
--- a/src/flow_stream.c
+++ b/src/flow_stream.c
@@ -170,7 +170,7 @@
       flow_count_dropped (attempt->flow);
       return true;
     }
-  if (stage_piece_read (data, length, &piece) != STATUS_OK)
+  if (stage_piece_parse (data, length, &piece) != STATUS_OK)
     return false;
   can_continue = handle_piece (attempt, request, &piece);
   stage_piece_clear (&piece);
@@ -211,7 +211,7 @@
   /* The last piece completes the text; only the end of the stream may be missing after it. */
   if (!flow_stream_is_whole (attempt, request))
     return flow_attempt_fail (attempt, end_if_incomplete, !attempt->sent, false, now);
-  if (stage_take_text (&request->data, text->text.data, text->text.length) != STATUS_OK)
+  if (stage_set_input (&request->data, text->text.data, text->text.length) != STATUS_OK)
     return flow_attempt_fail (attempt, DECIDE_END_FAILED, false, false, now);
   if (attempt->usage.output_tokens < text->n_pieces)
     attempt->usage.output_tokens = text->n_pieces;
--- a/src/forward_attempt.c
+++ b/src/forward_attempt.c
@@ -99,10 +99,10 @@
 static void
 log_attempt (const struct forward_job *job, const char *outcome, int64_t now)
 {
-  char content[REQUEST_DIGEST_TEXT] = "";
+  char content[REQUEST_DIGEST_TEXT_SIZE] = "";
 
   if (job->has_digest)
-    request_digest_write (&job->digest, content);
+    request_digest_format (&job->digest, content);
   log_event (
       LOG_MODULE_FLOW, LOG_LEVEL_INFO, "attempt-ended",
       "{s:s,s:s,s:s,s:s,s:i,s:s,s:b,s:b,s:I,s:I,s:b,s:b,s:i,s:s,s:s,s:i}", "id", job->facts.id,
--- a/src/forward_quarantine.c
+++ b/src/forward_quarantine.c
@@ -15,7 +15,8 @@
 job_digest (struct forward_job *job)
 {
   if (!job->has_digest)
-    request_digest_of (job->exchange->head, job->exchange->body, job->organisation, &job->digest);
+    request_digest_compute (job->exchange->head, job->exchange->body, job->organisation,
+                            &job->digest);
   job->has_digest = true;
   return &job->digest;
 }
@@ -31,7 +32,7 @@
 {
   if (quarantine_entry_is_empty (quarantine_of (job)))
     return QUARANTINE_PASS;
-  return quarantine_entry_judge_again (quarantine_of (job), job_digest (job), now);
+  return quarantine_entry_get_verdict (quarantine_of (job), job_digest (job), now);
 }
 
 bool
@@ -40,8 +41,8 @@
   enum quarantine_verdict verdict = QUARANTINE_PASS;
 
   if (!quarantine_entry_is_empty (quarantine_of (job)))
-    verdict = quarantine_entry_judge (quarantine_of (job), job_digest (job), now);
-  job->is_trial = verdict == QUARANTINE_TRY;
+    verdict = quarantine_entry_admit (quarantine_of (job), job_digest (job), now);
+  job->is_trial = verdict == QUARANTINE_TRIAL;
   if (verdict == QUARANTINE_REFUSE)
     job_refuse (job, FORWARD_QUARANTINED, QUARANTINED_RETRY_AFTER_SEC);
   else if (verdict == QUARANTINE_WAIT)
@@ -74,21 +75,21 @@
 job_run_began (struct forward_job *job)
 {
   if (!quarantine_entry_is_empty (quarantine_of (job)))
-    job->is_counted = quarantine_entry_began (quarantine_of (job), job_digest (job));
+    job->is_counted = quarantine_entry_run_started (quarantine_of (job), job_digest (job));
 }
 
 void
 job_run_ended (struct forward_job *job)
 {
   if (job->is_counted)
-    quarantine_entry_over (quarantine_of (job), &job->digest);
+    quarantine_entry_run_finished (quarantine_of (job), &job->digest);
   job->is_counted = false;
 }
 
 static struct quarantine_suspect
 suspect_of (struct forward_job *job, int64_t now)
 {
-  struct quarantine_suspect suspect = { .digest = *job_digest (job), .seen = now };
+  struct quarantine_suspect suspect = { .digest = *job_digest (job), .last_seen = now };
 
   text_copy_cut (suspect.organisation, sizeof suspect.organisation, job->organisation);
   text_copy_cut (suspect.route, sizeof suspect.route, job->route.name);
@@ -99,11 +100,11 @@
 job_note_break (struct forward_job *job, enum h1_end end, int64_t now)
 {
   bool silent = end == H1_END_RESET && now - job->heard_at >= TIMEOUT_RESET_SILENCE;
-  int64_t instant = now - QUARANTINE_INSTANT;
+  int64_t instant = now - QUARANTINE_COMMON_CAUSE_SPAN;
   struct quarantine_suspect suspect = suspect_of (job, now);
 
-  suspect.n_ends = 1;
-  suspect.ends[0] = (struct quarantine_end){
+  suspect.n_crashes = 1;
+  suspect.crashes[0] = (struct quarantine_crash){
     .incarnation = job->target->id_hash,
     .from = silent                   ? job->heard_at
             : instant > job->sent_at ? instant
@@ -111,7 +112,7 @@
     .to = now,
   };
   job->is_suspected = judge_again (job, now) != QUARANTINE_PASS;
-  quarantine_entry_broke (quarantine_of (job), job->target, &suspect, now);
+  quarantine_entry_connection_broke (quarantine_of (job), job->target, &suspect, now);
 }
 
 /* The pool's owner has seen the targets end and which requests shared their calls.  The ends
@@ -122,13 +123,13 @@
 {
   struct quarantine_suspect suspect = suspect_of (job, now);
 
-  for (uint32_t i = 0; i < QUARANTINE_ENDS; i++)
+  for (uint32_t i = 0; i < QUARANTINE_CRASH_THRESHOLD; i++)
     {
-      int64_t at = now - (int64_t) i * 2 * QUARANTINE_INSTANT;
+      int64_t at = now - (int64_t) i * 2 * QUARANTINE_COMMON_CAUSE_SPAN;
 
-      suspect.ends[suspect.n_ends++] = (struct quarantine_end){
+      suspect.crashes[suspect.n_crashes++] = (struct quarantine_crash){
         .incarnation = rng_u64 (&job->forward->rng),
-        .from = at - QUARANTINE_INSTANT,
+        .from = at - QUARANTINE_COMMON_CAUSE_SPAN,
         .to = at,
       };
     }
@@ -140,5 +141,5 @@
 job_note_complete_answer (struct forward_job *job, int64_t now)
 {
   if (!quarantine_entry_is_empty (quarantine_of (job)))
-    quarantine_entry_whole (quarantine_of (job), job_digest (job), now);
+    quarantine_entry_answer_completed (quarantine_of (job), job_digest (job), now);
 }
--- a/src/quarantine.c
+++ b/src/quarantine.c
@@ -4,16 +4,16 @@
 #include <talloc.h>
 #include <xxhash.h>
 
-#define FIRST_ROOM 8
+#define INITIAL_CAPACITY 8
 
 /* A later `seen` is merged and passed on only if it is later by more than this. */
-#define SEEN_STEP (QUARANTINE_KEEP / 4)
+#define SEEN_STEP (QUARANTINE_SUSPECT_TTL / 4)
 
 struct quarantine
 {
   struct quarantine_suspect *suspects;
   uint32_t n;
-  uint32_t room;
+  uint32_t capacity;
 };
 
 static const char *const verdict_texts[] = {
@@ -67,19 +67,22 @@
 
 /* Of the valid ends that do not overlap `before`, the one with the earliest `to`; NULL if there is
  * none. */
-static const struct quarantine_end *
-next_end (const struct quarantine_end *ends, uint32_t n, const struct quarantine_end *before)
+static const struct quarantine_crash *
+next_disjoint_crash (const struct quarantine_crash *crashes,
+                     uint32_t n,
+                     const struct quarantine_crash *before)
 {
-  const struct quarantine_end *next = NULL;
+  const struct quarantine_crash *next = NULL;
 
   for (uint32_t i = 0; i < n; i++)
     {
-      const struct quarantine_end *end = &ends[i];
-      bool meets = before != NULL
-                   && (end->from < before->to - QUARANTINE_DATES_DIFFER || end->to <= before->to);
+      const struct quarantine_crash *crash = &crashes[i];
+      bool overlaps =
+          before != NULL
+          && (crash->from < before->to - QUARANTINE_CLOCK_TOLERANCE || crash->to <= before->to);
 
-      if (!end->taken_back && !meets && (next == NULL || end->to < next->to))
-        next = end;
+      if (!crash->retracted && !overlaps && (next == NULL || crash->to < next->to))
+        next = crash;
     }
   return next;
 }
@@ -87,100 +90,100 @@
 /* Size of the largest set of pairwise disjoint spans from `first` on: greedy interval scheduling
  * by earliest `to`. */
 static uint32_t
-count_from (const struct quarantine_suspect *suspect, const struct quarantine_end *first)
+count_disjoint_from (const struct quarantine_suspect *suspect, const struct quarantine_crash *first)
 {
-  const struct quarantine_end *end = first;
+  const struct quarantine_crash *crash = first;
   uint32_t n = 0;
 
-  for (; end != NULL && end->to - first->to <= QUARANTINE_WINDOW; n++)
-    end = next_end (suspect->ends, suspect->n_ends, end);
+  for (; crash != NULL && crash->to - first->to <= QUARANTINE_WINDOW; n++)
+    crash = next_disjoint_crash (suspect->crashes, suspect->n_crashes, crash);
   return n;
 }
 
 uint32_t
-quarantine_count (const struct quarantine_suspect *suspect, int64_t now)
+quarantine_count_crashes (const struct quarantine_suspect *suspect, int64_t now)
 {
   uint32_t most = 0;
 
-  for (uint32_t i = 0; i < suspect->n_ends; i++)
+  for (uint32_t i = 0; i < suspect->n_crashes; i++)
     {
-      const struct quarantine_end *first = &suspect->ends[i];
-      uint32_t n = first->taken_back ? 0 : count_from (suspect, first);
+      const struct quarantine_crash *first = &suspect->crashes[i];
+      uint32_t n = first->retracted ? 0 : count_disjoint_from (suspect, first);
 
-      if (n > most && (n >= QUARANTINE_ENDS || now - first->to <= QUARANTINE_WINDOW))
+      if (n > most && (n >= QUARANTINE_CRASH_THRESHOLD || now - first->to <= QUARANTINE_WINDOW))
         most = n;
     }
   return most;
 }
 
-static struct quarantine_end *
-find_end (struct quarantine_suspect *suspect, uint64_t incarnation)
+static struct quarantine_crash *
+find_crash (struct quarantine_suspect *suspect, uint64_t incarnation)
 {
-  for (uint32_t i = 0; i < suspect->n_ends; i++)
-    if (suspect->ends[i].incarnation == incarnation)
-      return &suspect->ends[i];
+  for (uint32_t i = 0; i < suspect->n_crashes; i++)
+    if (suspect->crashes[i].incarnation == incarnation)
+      return &suspect->crashes[i];
   return NULL;
 }
 
 /* The end to evict: the oldest one that was taken back, else the oldest one that is not counted.
  * Deterministic, so that hosts with the same ends evict the same one. */
 static uint32_t
-least_needed (const struct quarantine_end *ends, uint32_t n)
+select_crash_to_evict (const struct quarantine_crash *crashes, uint32_t n)
 {
-  const struct quarantine_end *counted = next_end (ends, n, NULL);
-  const struct quarantine_end *least = NULL;
+  const struct quarantine_crash *counted = next_disjoint_crash (crashes, n, NULL);
+  const struct quarantine_crash *least = NULL;
 
   for (uint32_t i = 0; i < n; i++)
-    if (ends[i].taken_back && (least == NULL || ends[i].to < least->to))
-      least = &ends[i];
+    if (crashes[i].retracted && (least == NULL || crashes[i].to < least->to))
+      least = &crashes[i];
   if (least != NULL)
-    return (uint32_t) (least - ends);
-  for (; counted != NULL; counted = next_end (ends, n, counted))
+    return (uint32_t) (least - crashes);
+  for (; counted != NULL; counted = next_disjoint_crash (crashes, n, counted))
     for (uint32_t i = 0; i < n; i++)
       {
-        const struct quarantine_end *after = next_end (ends, n, counted);
-        bool between = ends[i].to > counted->to && (after == NULL || ends[i].to < after->to);
+        const struct quarantine_crash *after = next_disjoint_crash (crashes, n, counted);
+        bool between = crashes[i].to > counted->to && (after == NULL || crashes[i].to < after->to);
 
-        if (between && (least == NULL || ends[i].to < least->to))
-          least = &ends[i];
+        if (between && (least == NULL || crashes[i].to < least->to))
+          least = &crashes[i];
       }
-  return least == NULL ? n - 1 : (uint32_t) (least - ends);
+  return least == NULL ? n - 1 : (uint32_t) (least - crashes);
 }
 
 /* False if `from` is the end to evict. */
 static bool
-add_end (struct quarantine_suspect *suspect, const struct quarantine_end *from)
+add_crash (struct quarantine_suspect *suspect, const struct quarantine_crash *from)
 {
-  struct quarantine_end ends[QUARANTINE_ENDS_KEPT + 1];
+  struct quarantine_crash crashes[QUARANTINE_CRASHES_MAX + 1];
   uint32_t least;
 
-  if (suspect->n_ends < QUARANTINE_ENDS_KEPT)
+  if (suspect->n_crashes < QUARANTINE_CRASHES_MAX)
     {
-      suspect->ends[suspect->n_ends++] = *from;
+      suspect->crashes[suspect->n_crashes++] = *from;
       return true;
     }
-  memcpy (ends, suspect->ends, sizeof suspect->ends);
-  ends[QUARANTINE_ENDS_KEPT] = *from;
-  least = least_needed (ends, QUARANTINE_ENDS_KEPT + 1);
-  if (least == QUARANTINE_ENDS_KEPT)
+  memcpy (crashes, suspect->crashes, sizeof suspect->crashes);
+  crashes[QUARANTINE_CRASHES_MAX] = *from;
+  least = select_crash_to_evict (crashes, QUARANTINE_CRASHES_MAX + 1);
+  if (least == QUARANTINE_CRASHES_MAX)
     return false;
-  suspect->ends[least] = *from;
+  suspect->crashes[least] = *from;
   return true;
 }
 
 static bool
-merge_end (struct quarantine_suspect *suspect, const struct quarantine_end *from)
+merge_crash (struct quarantine_suspect *suspect, const struct quarantine_crash *from)
 {
-  struct quarantine_end *end = find_end (suspect, from->incarnation);
-  bool news;
+  struct quarantine_crash *crash = find_crash (suspect, from->incarnation);
+  bool changed;
 
-  if (end != NULL)
+  if (crash != NULL)
     {
-      news = from->taken_back && !end->taken_back;
-      end->taken_back = end->taken_back || from->taken_back;
-      return news;
+      changed = from->retracted && !crash->retracted;
+      crash->retracted = crash->retracted || from->retracted;
+      return changed;
     }
-  return add_end (suspect, from);
+  return add_crash (suspect, from);
 }
 
 bool
@@ -188,29 +191,29 @@
 {
   bool any = false;
 
-  for (uint32_t i = 0; i < suspect->n_ends; i++)
+  for (uint32_t i = 0; i < suspect->n_crashes; i++)
     {
-      any = any || !suspect->ends[i].taken_back;
-      suspect->ends[i].taken_back = true;
+      any = any || !suspect->crashes[i].retracted;
+      suspect->crashes[i].retracted = true;
     }
   return any;
 }
 
 bool
-quarantine_take_back (struct quarantine_suspect *suspect, uint64_t incarnation, int64_t alive)
+quarantine_retract (struct quarantine_suspect *suspect, uint64_t incarnation, int64_t alive)
 {
-  struct quarantine_end *end = find_end (suspect, incarnation);
+  struct quarantine_crash *crash = find_crash (suspect, incarnation);
 
-  if (end == NULL || end->taken_back || end->to > alive)
+  if (crash == NULL || crash->retracted || crash->to > alive)
     return false;
-  end->taken_back = true;
+  crash->retracted = true;
   return true;
 }
 
 /* ---- suspects ---- */
 
 static void
-drop (struct quarantine *quarantine, struct quarantine_suspect *suspect)
+remove_suspect (struct quarantine *quarantine, struct quarantine_suspect *suspect)
 {
   *suspect = quarantine->suspects[--quarantine->n];
 }
@@ -218,20 +221,20 @@
 /* The suspect to evict: of those that may still be sent, the one with the fewest counted ends;
  * among equals the least recently seen.  NULL if there is none. */
 static struct quarantine_suspect *
-least_suspected (struct quarantine *quarantine, const char *organisation, int64_t now)
+select_suspect_to_evict (struct quarantine *quarantine, const char *organisation, int64_t now)
 {
   struct quarantine_suspect *least = NULL;
-  uint32_t least_count = QUARANTINE_ENDS;
+  uint32_t least_count = QUARANTINE_CRASH_THRESHOLD;
 
   for (uint32_t i = 0; i < quarantine->n; i++)
     {
       struct quarantine_suspect *suspect = &quarantine->suspects[i];
-      uint32_t count = quarantine_count (suspect, now);
+      uint32_t count = quarantine_count_crashes (suspect, now);
 
       if (organisation != NULL && strcmp (suspect->organisation, organisation) != 0)
         continue;
       if (count < least_count
-          || (least != NULL && count == least_count && suspect->seen < least->seen))
+          || (least != NULL && count == least_count && suspect->last_seen < least->last_seen))
         {
           least = suspect;
           least_count = count;
@@ -241,7 +244,7 @@
 }
 
 static uint32_t
-count_of (const struct quarantine *quarantine, const char *organisation)
+count_organisation_suspects (const struct quarantine *quarantine, const char *organisation)
 {
   uint32_t n = 0;
 
@@ -251,18 +254,18 @@
 }
 
 static bool
-grow (struct quarantine *quarantine)
+grow_table (struct quarantine *quarantine)
 {
-  uint32_t room = quarantine->room == 0 ? FIRST_ROOM : 2 * quarantine->room;
+  uint32_t capacity = quarantine->capacity == 0 ? INITIAL_CAPACITY : 2 * quarantine->capacity;
   struct quarantine_suspect *suspects;
 
-  if (quarantine->n < quarantine->room)
+  if (quarantine->n < quarantine->capacity)
     return true;
-  suspects = talloc_realloc (quarantine, quarantine->suspects, struct quarantine_suspect, room);
+  suspects = talloc_realloc (quarantine, quarantine->suspects, struct quarantine_suspect, capacity);
   if (suspects == NULL)
     return false;
   quarantine->suspects = suspects;
-  quarantine->room = room;
+  quarantine->capacity = capacity;
   return true;
 }
 
@@ -271,32 +274,33 @@
 {
   struct quarantine_suspect *least = NULL;
 
-  if (count_of (quarantine, organisation) >= QUARANTINE_OF_ONE_MAX)
-    least = least_suspected (quarantine, organisation, now);
+  if (count_organisation_suspects (quarantine, organisation)
+      >= QUARANTINE_ORGANISATION_SUSPECTS_MAX)
+    least = select_suspect_to_evict (quarantine, organisation, now);
   else if (quarantine->n >= QUARANTINE_SUSPECTS_MAX)
-    least = least_suspected (quarantine, NULL, now);
+    least = select_suspect_to_evict (quarantine, NULL, now);
   else
-    return grow (quarantine);
+    return grow_table (quarantine);
   if (least == NULL)
     return false;
-  drop (quarantine, least);
+  remove_suspect (quarantine, least);
   return true;
 }
 
 /* Adds a suspect without any ends or trials. */
 static bool
-add (struct quarantine *quarantine,
-     const struct quarantine_suspect *from,
-     int64_t now,
-     uint32_t *place)
+add_suspect (struct quarantine *quarantine,
+             const struct quarantine_suspect *from,
+             int64_t now,
+             uint32_t *place)
 {
   struct quarantine_suspect fresh = *from;
 
-  fresh.n_ends = 0;
-  fresh.trials = 0;
-  fresh.running = 0;
-  fresh.told = 0;
-  fresh.to_be_told = false;
+  fresh.n_crashes = 0;
+  fresh.n_trials = 0;
+  fresh.n_running = 0;
+  fresh.last_announced = 0;
+  fresh.announce_due = false;
   if (!make_room (quarantine, from->organisation, now))
     return false;
   *place = quarantine->n++;
@@ -312,51 +316,52 @@
 {
   uint32_t place = find_place (quarantine, &from->digest);
   struct quarantine_suspect *suspect;
-  bool news = false;
+  bool changed = false;
 
   *out = NULL;
-  if (now - from->seen >= QUARANTINE_KEEP
-      || (place == quarantine->n && !add (quarantine, from, now, &place)))
+  if (now - from->last_seen >= QUARANTINE_SUSPECT_TTL
+      || (place == quarantine->n && !add_suspect (quarantine, from, now, &place)))
     return false;
   suspect = &quarantine->suspects[place];
-  for (uint32_t i = 0; i < from->n_ends; i++)
-    news = merge_end (suspect, &from->ends[i]) || news;
-  if (from->trials > suspect->trials)
+  for (uint32_t i = 0; i < from->n_crashes; i++)
+    changed = merge_crash (suspect, &from->crashes[i]) || changed;
+  if (from->n_trials > suspect->n_trials)
     {
-      suspect->trials = from->trials;
-      suspect->tried = from->tried;
-      news = true;
+      suspect->n_trials = from->n_trials;
+      suspect->last_trial = from->last_trial;
+      changed = true;
     }
   /* Only in steps, because the times that hosts send each other differ by the message delay. */
-  if (from->seen > suspect->seen + SEEN_STEP)
+  if (from->last_seen > suspect->last_seen + SEEN_STEP)
     {
-      suspect->seen = from->seen;
-      news = true;
+      suspect->last_seen = from->last_seen;
+      changed = true;
     }
-  if (news)
-    suspect->told = now;
+  if (changed)
+    suspect->last_announced = now;
   *out = suspect;
-  return news;
+  return changed;
 }
 
 static int64_t
-last_end (const struct quarantine_suspect *suspect)
+last_crash_or_trial (const struct quarantine_suspect *suspect)
 {
-  int64_t last = suspect->tried;
+  int64_t last = suspect->last_trial;
 
-  for (uint32_t i = 0; i < suspect->n_ends; i++)
-    if (suspect->ends[i].to > last)
-      last = suspect->ends[i].to;
+  for (uint32_t i = 0; i < suspect->n_crashes; i++)
+    if (suspect->crashes[i].to > last)
+      last = suspect->crashes[i].to;
   return last;
 }
 
 /* None of its ends counts now or will count later.  A suspect that was once held is kept as
  * cleared, because a host that was cut off may still hold it. */
 static bool
-is_settled (const struct quarantine_suspect *suspect, int64_t now)
+is_expired (const struct quarantine_suspect *suspect, int64_t now)
 {
-  return suspect->n_ends < QUARANTINE_ENDS && quarantine_count (suspect, now) == 0
-         && now - last_end (suspect) > QUARANTINE_WINDOW;
+  return suspect->n_crashes < QUARANTINE_CRASH_THRESHOLD
+         && quarantine_count_crashes (suspect, now) == 0
+         && now - last_crash_or_trial (suspect) > QUARANTINE_WINDOW;
 }
 
 void
@@ -365,9 +370,9 @@
   uint32_t i = 0;
 
   while (i < quarantine->n)
-    if (now - quarantine->suspects[i].seen >= QUARANTINE_KEEP
-        || is_settled (&quarantine->suspects[i], now))
-      drop (quarantine, &quarantine->suspects[i]);
+    if (now - quarantine->suspects[i].last_seen >= QUARANTINE_SUSPECT_TTL
+        || is_expired (&quarantine->suspects[i], now))
+      remove_suspect (quarantine, &quarantine->suspects[i]);
     else
       i++;
 }
@@ -375,27 +380,27 @@
 /* ---- verdicts ---- */
 
 static bool
-is_due_for_try (const struct quarantine_suspect *suspect, int64_t now)
+is_due_for_trial (const struct quarantine_suspect *suspect, int64_t now)
 {
-  static const int64_t waits[QUARANTINE_TRIALS_MAX] = { QUARANTINE_FIRST_TRIAL,
-                                                        QUARANTINE_SECOND_TRIAL };
+  static const int64_t waits[QUARANTINE_TRIALS_MAX] = { QUARANTINE_FIRST_TRIAL_DELAY,
+                                                        QUARANTINE_SECOND_TRIAL_DELAY };
 
-  return suspect->trials < QUARANTINE_TRIALS_MAX
-         && now - last_end (suspect) >= waits[suspect->trials];
+  return suspect->n_trials < QUARANTINE_TRIALS_MAX
+         && now - last_crash_or_trial (suspect) >= waits[suspect->n_trials];
 }
 
 enum quarantine_verdict
-quarantine_judge (const struct quarantine_suspect *suspect, bool tries_here, int64_t now)
+quarantine_get_verdict (const struct quarantine_suspect *suspect, bool is_trial_host, int64_t now)
 {
-  uint32_t count = suspect == NULL ? 0 : quarantine_count (suspect, now);
+  uint32_t count = suspect == NULL ? 0 : quarantine_count_crashes (suspect, now);
 
   if (count == 0)
     return QUARANTINE_PASS;
-  if (count >= QUARANTINE_ENDS)
-    return tries_here && is_due_for_try (suspect, now) ? QUARANTINE_TRY : QUARANTINE_REFUSE;
-  if (count == QUARANTINE_ENDS - 1 && suspect->running > 0)
+  if (count >= QUARANTINE_CRASH_THRESHOLD)
+    return is_trial_host && is_due_for_trial (suspect, now) ? QUARANTINE_TRIAL : QUARANTINE_REFUSE;
+  if (count == QUARANTINE_CRASH_THRESHOLD - 1 && suspect->n_running > 0)
     return QUARANTINE_WAIT;
-  return QUARANTINE_APART;
+  return QUARANTINE_ISOLATE;
 }
 
 /* ---- comparing tables ---- */
@@ -403,7 +408,7 @@
 bool
 quarantine_is_shared (const struct quarantine_suspect *suspect)
 {
-  return suspect->n_ends >= 2;
+  return suspect->n_crashes >= 2;
 }
 
 uint64_t
@@ -415,10 +420,11 @@
     {
       const struct quarantine_suspect *suspect = &quarantine->suspects[i];
 
-      for (uint32_t j = 0; j < suspect->n_ends && quarantine_count (suspect, now) >= 2; j++)
-        if (!suspect->ends[j].taken_back)
+      for (uint32_t j = 0; j < suspect->n_crashes && quarantine_count_crashes (suspect, now) >= 2;
+           j++)
+        if (!suspect->crashes[j].retracted)
           summary ^= XXH3_64bits_withSeed (suspect->digest.bytes, REQUEST_DIGEST_SIZE,
-                                           suspect->ends[j].incarnation + suspect->trials);
+                                           suspect->crashes[j].incarnation + suspect->n_trials);
     }
   return summary;
 }
--- a/src/quarantine.h
+++ b/src/quarantine.h
@@ -25,27 +25,27 @@
 BEGIN_DECLS
 
 /* A request is not sent any more once this many of its ends are counted. */
-#define QUARANTINE_ENDS 3
+#define QUARANTINE_CRASH_THRESHOLD 3
 
 /* Ends stored per request, those taken back included. */
-#define QUARANTINE_ENDS_KEPT 8
+#define QUARANTINE_CRASHES_MAX 8
 
 #define QUARANTINE_SUSPECTS_MAX 512
 
 /* Suspects per organisation, so that one that sends invented requests cannot evict the suspects of
  * others. */
-#define QUARANTINE_OF_ONE_MAX 64
+#define QUARANTINE_ORGANISATION_SUSPECTS_MAX 64
 
 /* A suspect that no client has sent for this long is dropped. */
-#define QUARANTINE_KEEP (3600 * USEC_PER_SEC)
+#define QUARANTINE_SUSPECT_TTL (3600 * USEC_PER_SEC)
 
 /* Ends within this span may share one cause if runs of the request were in flight on all of these
  * targets. */
-#define QUARANTINE_INSTANT (200 * USEC_PER_MSEC)
+#define QUARANTINE_COMMON_CAUSE_SPAN (200 * USEC_PER_MSEC)
 
 /* Tolerated difference between the timestamps of two hosts when deciding whether one run began
  * after another one had finished. */
-#define QUARANTINE_DATES_DIFFER (20 * USEC_PER_MSEC)
+#define QUARANTINE_CLOCK_TOLERANCE (20 * USEC_PER_MSEC)
 
 /* Ends further apart than this are not counted together: a request that is sent all day is in
  * flight on some target whenever one ends. */
@@ -53,18 +53,18 @@
 
 /* A request that is not sent any more is tried again this long after its last end, and once more
  * this long after that trial: it may only have run beside a poison request. */
-#define QUARANTINE_FIRST_TRIAL (10 * USEC_PER_SEC)
-#define QUARANTINE_SECOND_TRIAL (600 * USEC_PER_SEC)
+#define QUARANTINE_FIRST_TRIAL_DELAY (10 * USEC_PER_SEC)
+#define QUARANTINE_SECOND_TRIAL_DELAY (600 * USEC_PER_SEC)
 #define QUARANTINE_TRIALS_MAX 2
 
 /* An incarnation that ended while it ran the request.  The cause lies between these two times and
  * within the run. */
-struct quarantine_end
+struct quarantine_crash
 {
   uint64_t incarnation;
   int64_t from;
   int64_t to;
-  bool taken_back; /* the incarnation lives, or a complete answer followed */
+  bool retracted; /* the incarnation lives, or a complete answer followed */
 };
 
 /* A request and the evidence against it. */
@@ -73,16 +73,16 @@
   struct request_digest digest;
   char organisation[ROUTING_NAME_SIZE];
   char route[ROUTING_NAME_SIZE]; /* by which it first came; for display only */
-  int64_t seen;                  /* last known time at which a client sent it */
-  int64_t tried;                 /* time of the last trial; 0 if this host knows of none */
-  uint32_t trials;
-  uint32_t n_ends;
-  struct quarantine_end ends[QUARANTINE_ENDS_KEPT];
+  int64_t last_seen;             /* last known time at which a client sent it */
+  int64_t last_trial;            /* time of the last trial; 0 if this host knows of none */
+  uint32_t n_trials;
+  uint32_t n_crashes;
+  struct quarantine_crash crashes[QUARANTINE_CRASHES_MAX];
 
   /* Local, not replicated. */
-  uint32_t running; /* runs in flight on this host */
-  int64_t told;     /* last time it was announced to other hosts */
-  bool to_be_told;  /* an announcement is due */
+  uint32_t n_running;     /* runs in flight on this host */
+  int64_t last_announced; /* last time it was announced to other hosts */
+  bool announce_due;      /* an announcement is due */
 };
 
 struct quarantine;
@@ -95,7 +95,7 @@
 
 /* Merges the evidence in `from`; true if any of it was new.  `out` receives the resulting suspect,
  * valid until the next call that modifies the table, or NULL if `from` is older than
- * QUARANTINE_KEEP or there is no room. */
+ * QUARANTINE_SUSPECT_TTL or there is no room. */
 bool quarantine_merge (struct quarantine *quarantine,
                        const struct quarantine_suspect *from,
                        int64_t now,
@@ -109,16 +109,16 @@
 struct quarantine_suspect *quarantine_at (struct quarantine *quarantine, uint32_t place);
 
 /* Number of ends that cannot share one cause and lie within one QUARANTINE_WINDOW.  A number below
- * QUARANTINE_ENDS expires QUARANTINE_WINDOW after the first of its ends. */
-uint32_t quarantine_count (const struct quarantine_suspect *suspect, int64_t now);
+ * QUARANTINE_CRASH_THRESHOLD expires QUARANTINE_WINDOW after the first of its ends. */
+uint32_t quarantine_count_crashes (const struct quarantine_suspect *suspect, int64_t now);
 
 /* name, text */
 #define QUARANTINE_VERDICT_LIST(X)                                                                 \
   X (PASS, "not suspected")                                                                        \
-  X (APART, "where it hurts least")                                                                \
+  X (ISOLATE, "where it hurts least")                                                              \
   X (WAIT, "one at a time")                                                                        \
   X (REFUSE, "not to be sent")                                                                     \
-  X (TRY, "another try")
+  X (TRIAL, "another try")
 
 enum quarantine_verdict
 {
@@ -130,18 +130,18 @@
 
 const char *quarantine_verdict_text (enum quarantine_verdict verdict);
 
-/* Whether and how a request may be sent now.  `tries_here`: this host makes its trials.  WAIT: not
- * while another run of it is in flight.  NULL stands for a request that is not suspected. */
-enum quarantine_verdict quarantine_judge (const struct quarantine_suspect *suspect,
-                                          bool tries_here,
-                                          int64_t now);
+/* Whether and how a request may be sent now.  `is_trial_host`: this host makes its trials.  WAIT:
+ * not while another run of it is in flight.  NULL stands for a request that is not suspected. */
+enum quarantine_verdict quarantine_get_verdict (const struct quarantine_suspect *suspect,
+                                                bool is_trial_host,
+                                                int64_t now);
 
 /* Takes back all ends of a request; false if none was valid. */
 bool quarantine_clear (struct quarantine_suspect *suspect);
 
 /* The incarnation was alive at `alive`: takes back its end if that lies before; false if nothing
  * changed. */
-bool quarantine_take_back (struct quarantine_suspect *suspect, uint64_t incarnation, int64_t alive);
+bool quarantine_retract (struct quarantine_suspect *suspect, uint64_t incarnation, int64_t alive);
 
 /* Drops suspects that expired or whose ends no longer count. */
 void quarantine_expire (struct quarantine *quarantine, int64_t now);
--- a/src/quarantine_control.c
+++ b/src/quarantine_control.c
@@ -13,10 +13,10 @@
   struct quarantine *table;
   struct peer_listener listener;
   struct timer timer; /* compares tables */
-  struct timer tell_timer;
-  uint32_t turn;        /* index of the next controller to compare with */
-  uint32_t next_sent;   /* where the next send_all() starts */
-  struct counter *held; /* requests that are not sent any more */
+  struct timer announce_timer;
+  uint32_t next_peer;    /* index of the next controller to compare with */
+  uint32_t next_to_send; /* where the next send_shared() starts */
+  struct counter *held;  /* requests that are not sent any more */
   struct counter *suspected;
   struct counter *learnt;
   struct counter *not_kept;
@@ -54,7 +54,7 @@
   struct bytes message;
 
   bytes_init (&message, NULL);
-  quarantine_write_summary (kind, quarantine_summary (control->table, now), &message);
+  quarantine_encode_summary (kind, quarantine_summary (control->table, now), &message);
   send_message (control, host, &message);
   bytes_clear (&message);
 }
@@ -67,17 +67,17 @@
                struct bytes *out)
 {
   bytes_init (out, NULL);
-  quarantine_write_news (kind, n, out);
+  quarantine_encode_header (kind, n, out);
   bytes_append (out, suspects->data, suspects->length);
 }
 
 /* Sends the suspects that entry hosts need, at most one message of them; the next call continues
  * behind the last one sent. */
 static void
-send_all (struct quarantine_control *control,
-          enum quarantine_message kind,
-          const char *host,
-          int64_t now)
+send_shared (struct quarantine_control *control,
+             enum quarantine_message kind,
+             const char *host,
+             int64_t now)
 {
   struct quarantine_suspect *suspect;
   struct bytes written;
@@ -85,17 +85,17 @@
   uint32_t n = 0;
 
   bytes_init (&written, NULL);
-  while (n < QUARANTINE_WIRE_MAX
-         && (suspect = quarantine_at (control->table, control->next_sent)) != NULL)
+  while (n < QUARANTINE_MESSAGE_SUSPECTS_MAX
+         && (suspect = quarantine_at (control->table, control->next_to_send)) != NULL)
     {
-      control->next_sent++;
+      control->next_to_send++;
       if (!quarantine_is_shared (suspect))
         continue;
-      quarantine_write_suspect (suspect, now, &written);
+      quarantine_encode_suspect (suspect, now, &written);
       n++;
     }
-  if (quarantine_at (control->table, control->next_sent) == NULL)
-    control->next_sent = 0;
+  if (quarantine_at (control->table, control->next_to_send) == NULL)
+    control->next_to_send = 0;
   write_message (kind, &written, n, &message);
   if (n > 0 && !bytes_failed (&written))
     send_message (control, host, &message);
@@ -106,17 +106,17 @@
 /* Sends new evidence to all peers.  An entry host asks the first controller that takes the message
  * to relay it. */
 static void
-tell (struct quarantine_control *control,
-      const struct bytes *suspects,
-      uint32_t n,
-      const char *const *peers,
-      uint32_t n_peers)
+send_update (struct quarantine_control *control,
+             const struct bytes *suspects,
+             uint32_t n,
+             const char *const *peers,
+             uint32_t n_peers)
 {
   bool relayed = !control->config.is_entry;
   struct bytes news;
   struct bytes relay;
 
-  write_message (QUARANTINE_NEWS, suspects, n, &news);
+  write_message (QUARANTINE_UPDATE, suspects, n, &news);
   write_message (QUARANTINE_RELAY, suspects, n, &relay);
   for (uint32_t i = 0; i < n_peers; i++)
     relayed = send_message (control, peers[i], relayed ? &news : &relay) || relayed;
@@ -126,9 +126,10 @@
 
 /* Sends at most one message and rearms the timer for the rest. */
 static void
-tell_fired (struct timer *timer, int64_t now)
+announce_fired (struct timer *timer, int64_t now)
 {
-  struct quarantine_control *control = CONTAINER_OF (timer, struct quarantine_control, tell_timer);
+  struct quarantine_control *control =
+      CONTAINER_OF (timer, struct quarantine_control, announce_timer);
   const char *peers[SYNC_HOSTS_MAX];
   uint32_t n_peers = control->config.peers->ops->list (control->config.peers, peers, now);
   struct quarantine_suspect *suspect;
@@ -138,45 +139,45 @@
   /* Evidence that only this host has is kept until a controller is reachable. */
   if (n_peers == 0 && control->config.is_entry)
     {
-      timer_arm (control->config.timers, timer, now + QUARANTINE_COMPARE_FIRST);
+      timer_arm (control->config.timers, timer, now + QUARANTINE_COMPARE_RETRY_PERIOD);
       return;
     }
   bytes_init (&written, NULL);
   for (uint32_t i = 0; (suspect = quarantine_at (control->table, i)) != NULL; i++)
     {
-      if (!suspect->to_be_told)
+      if (!suspect->announce_due)
         continue;
-      if (n == QUARANTINE_WIRE_MAX)
+      if (n == QUARANTINE_MESSAGE_SUSPECTS_MAX)
         {
-          timer_arm (control->config.timers, timer, now + QUARANTINE_TELL);
+          timer_arm (control->config.timers, timer, now + QUARANTINE_ANNOUNCE_DELAY);
           break;
         }
-      suspect->to_be_told = false;
-      suspect->told = now;
-      quarantine_write_suspect (suspect, now, &written);
+      suspect->announce_due = false;
+      suspect->last_announced = now;
+      quarantine_encode_suspect (suspect, now, &written);
       n++;
     }
   if (n > 0 && !bytes_failed (&written))
-    tell (control, &written, n, peers, n_peers);
+    send_update (control, &written, n, peers, n_peers);
   bytes_clear (&written);
 }
 
-static const struct timer_ops tell_ops = { .fire = tell_fired };
+static const struct timer_ops announce_ops = { .fire = announce_fired };
 
 void
-quarantine_control_tell (struct quarantine_control *control,
-                         struct quarantine_suspect *suspect,
-                         int64_t now)
+quarantine_control_announce (struct quarantine_control *control,
+                             struct quarantine_suspect *suspect,
+                             int64_t now)
 {
-  suspect->to_be_told = true;
-  if (!timer_is_armed (&control->tell_timer))
-    timer_arm (control->config.timers, &control->tell_timer, now + QUARANTINE_TELL);
+  suspect->announce_due = true;
+  if (!timer_is_armed (&control->announce_timer))
+    timer_arm (control->config.timers, &control->announce_timer, now + QUARANTINE_ANNOUNCE_DELAY);
 }
 
 /* ---- local changes ---- */
 
 static void
-show_gauges (struct quarantine_control *control, int64_t now)
+update_gauges (struct quarantine_control *control, int64_t now)
 {
   const struct quarantine_suspect *suspect;
   uint32_t held = 0;
@@ -184,60 +185,61 @@
 
   for (uint32_t i = 0; (suspect = quarantine_at (control->table, i)) != NULL; i++)
     {
-      uint32_t count = quarantine_count (suspect, now);
+      uint32_t count = quarantine_count_crashes (suspect, now);
 
-      held += count >= QUARANTINE_ENDS ? 1 : 0;
-      suspected += count > 0 && count < QUARANTINE_ENDS ? 1 : 0;
+      held += count >= QUARANTINE_CRASH_THRESHOLD ? 1 : 0;
+      suspected += count > 0 && count < QUARANTINE_CRASH_THRESHOLD ? 1 : 0;
     }
   gauge_set (control->held, held);
   gauge_set (control->suspected, suspected);
 }
 
 static int64_t
-newest_end (const struct quarantine_suspect *suspect)
+newest_crash (const struct quarantine_suspect *suspect)
 {
   int64_t newest = INT64_MIN;
 
-  for (uint32_t i = 0; i < suspect->n_ends; i++)
-    if (!suspect->ends[i].taken_back && suspect->ends[i].to > newest)
-      newest = suspect->ends[i].to;
+  for (uint32_t i = 0; i < suspect->n_crashes; i++)
+    if (!suspect->crashes[i].retracted && suspect->crashes[i].to > newest)
+      newest = suspect->crashes[i].to;
   return newest;
 }
 
 static void
-log_belief (const struct quarantine_suspect *suspect,
+log_change (const struct quarantine_suspect *suspect,
             uint32_t before,
             const char *source,
             int64_t now)
 {
-  uint32_t count = quarantine_count (suspect, now);
+  uint32_t count = quarantine_count_crashes (suspect, now);
   const char *event = "request-suspected";
-  char content[REQUEST_DIGEST_TEXT];
+  char content[REQUEST_DIGEST_TEXT_SIZE];
 
   if (count == before)
     return;
-  if (count >= QUARANTINE_ENDS && before < QUARANTINE_ENDS)
+  if (count >= QUARANTINE_CRASH_THRESHOLD && before < QUARANTINE_CRASH_THRESHOLD)
     event = "request-held";
   else if (count < before)
     event = count == 0 ? "request-cleared" : "request-suspected-less";
-  request_digest_write (&suspect->digest, content);
-  log_event (LOG_MODULE_FLOW, count >= QUARANTINE_ENDS ? LOG_LEVEL_WARNING : LOG_LEVEL_INFO, event,
+  request_digest_format (&suspect->digest, content);
+  log_event (LOG_MODULE_FLOW,
+             count >= QUARANTINE_CRASH_THRESHOLD ? LOG_LEVEL_WARNING : LOG_LEVEL_INFO, event,
              "{s:s,s:s,s:s,s:i,s:i,s:s,s:I,s:I}", "content", content, "organisation",
              suspect->organisation, "route", suspect->route, "ends", (int) count, "before",
              (int) before, "source", source, "newest_end_ms",
-             (json_int_t) (count == 0 ? -1 : (now - newest_end (suspect)) / USEC_PER_MSEC),
-             "seen_ms", (json_int_t) ((now - suspect->seen) / USEC_PER_MSEC));
+             (json_int_t) (count == 0 ? -1 : (now - newest_crash (suspect)) / USEC_PER_MSEC),
+             "seen_ms", (json_int_t) ((now - suspect->last_seen) / USEC_PER_MSEC));
 }
 
 /* NULL if nothing of it was new. */
 static struct quarantine_suspect *
-take (struct quarantine_control *control,
-      const struct quarantine_suspect *from,
-      const char *source,
-      int64_t now)
+merge_evidence (struct quarantine_control *control,
+                const struct quarantine_suspect *from,
+                const char *source,
+                int64_t now)
 {
   const struct quarantine_suspect *known = quarantine_find (control->table, &from->digest);
-  uint32_t before = known == NULL ? 0 : quarantine_count (known, now);
+  uint32_t before = known == NULL ? 0 : quarantine_count_crashes (known, now);
   struct quarantine_suspect *suspect;
   bool news = quarantine_merge (control->table, from, now, &suspect);
 
@@ -246,14 +248,14 @@
       counter_add (control->not_kept, 1);
       log_event (LOG_MODULE_FLOW, LOG_LEVEL_WARNING, "suspect-not-kept", "{s:s,s:s,s:I}",
                  "organisation", from->organisation, "route", from->route, "seen_ms",
-                 (json_int_t) ((now - from->seen) / USEC_PER_MSEC));
+                 (json_int_t) ((now - from->last_seen) / USEC_PER_MSEC));
       return NULL;
     }
   if (!news)
     return NULL;
   counter_add (control->learnt, 1);
-  log_belief (suspect, before, source, now);
-  show_gauges (control, now);
+  log_change (suspect, before, source, now);
+  update_gauges (control, now);
   return suspect;
 }
 
@@ -262,10 +264,10 @@
                           const struct quarantine_suspect *learnt,
                           int64_t now)
 {
-  struct quarantine_suspect *suspect = take (control, learnt, "here", now);
+  struct quarantine_suspect *suspect = merge_evidence (control, learnt, "here", now);
 
   if (suspect != NULL)
-    quarantine_control_tell (control, suspect, now);
+    quarantine_control_announce (control, suspect, now);
 }
 
 void
@@ -275,34 +277,34 @@
                           int64_t now)
 {
   struct quarantine_suspect *suspect = quarantine_find (control->table, digest);
-  uint32_t before = suspect == NULL ? 0 : quarantine_count (suspect, now);
+  uint32_t before = suspect == NULL ? 0 : quarantine_count_crashes (suspect, now);
 
   if (suspect == NULL || !quarantine_clear (suspect))
     return;
-  log_belief (suspect, before, why, now);
-  show_gauges (control, now);
-  quarantine_control_tell (control, suspect, now);
+  log_change (suspect, before, why, now);
+  update_gauges (control, now);
+  quarantine_control_announce (control, suspect, now);
 }
 
 void
-quarantine_control_take_back (struct quarantine_control *control,
-                              uint64_t incarnation,
-                              int64_t alive,
-                              const char *why,
-                              int64_t now)
+quarantine_control_retract (struct quarantine_control *control,
+                            uint64_t incarnation,
+                            int64_t alive,
+                            const char *why,
+                            int64_t now)
 {
   struct quarantine_suspect *suspect;
 
   for (uint32_t i = 0; (suspect = quarantine_at (control->table, i)) != NULL; i++)
     {
-      uint32_t before = quarantine_count (suspect, now);
+      uint32_t before = quarantine_count_crashes (suspect, now);
 
-      if (!quarantine_take_back (suspect, incarnation, alive))
+      if (!quarantine_retract (suspect, incarnation, alive))
         continue;
-      log_belief (suspect, before, why, now);
-      quarantine_control_tell (control, suspect, now);
+      log_change (suspect, before, why, now);
+      quarantine_control_announce (control, suspect, now);
     }
-  show_gauges (control, now);
+  update_gauges (control, now);
 }
 
 /* ---- receiving ---- */
@@ -310,37 +312,38 @@
 /* A relayed message is passed on to all entry hosts where it is new; its sender is included, as it
  * may know less than this table by now. */
 static void
-take_news (struct quarantine_control *control,
-           const struct quarantine_said *said,
-           const char *from,
-           int64_t now)
+receive_update (struct quarantine_control *control,
+                const struct quarantine_decoded *decoded,
+                const char *from,
+                int64_t now)
 {
-  bool passes_on = said->kind == QUARANTINE_RELAY && !control->config.is_entry;
+  bool relays = decoded->kind == QUARANTINE_RELAY && !control->config.is_entry;
 
-  for (uint32_t i = 0; i < said->n; i++)
+  for (uint32_t i = 0; i < decoded->n; i++)
     {
-      struct quarantine_suspect *suspect = take (control, &said->suspects[i], from, now);
+      struct quarantine_suspect *suspect =
+          merge_evidence (control, &decoded->suspects[i], from, now);
 
-      if (suspect != NULL && passes_on && quarantine_is_shared (suspect))
-        quarantine_control_tell (control, suspect, now);
+      if (suspect != NULL && relays && quarantine_is_shared (suspect))
+        quarantine_control_announce (control, suspect, now);
     }
 }
 
 static void
-compare (struct quarantine_control *control,
-         const struct quarantine_said *said,
-         const char *from,
-         int64_t now)
+compare_tables (struct quarantine_control *control,
+                const struct quarantine_decoded *decoded,
+                const char *from,
+                int64_t now)
 {
-  if (said->summary == quarantine_summary (control->table, now))
+  if (decoded->summary == quarantine_summary (control->table, now))
     return;
-  if (said->kind == QUARANTINE_ANSWER)
+  if (decoded->kind == QUARANTINE_SUMMARY_REPLY)
     {
-      send_all (control, QUARANTINE_RELAY, from, now);
+      send_shared (control, QUARANTINE_RELAY, from, now);
       return;
     }
-  send_all (control, QUARANTINE_NEWS, from, now);
-  send_summary (control, QUARANTINE_ANSWER, from, now);
+  send_shared (control, QUARANTINE_UPDATE, from, now);
+  send_summary (control, QUARANTINE_SUMMARY_REPLY, from, now);
 }
 
 static void
@@ -348,19 +351,19 @@
     struct peer_listener *listener, const char *from, const void *data, size_t length, int64_t now)
 {
   struct quarantine_control *control = CONTAINER_OF (listener, struct quarantine_control, listener);
-  struct quarantine_said *said = talloc (control, struct quarantine_said);
+  struct quarantine_decoded *decoded = talloc (control, struct quarantine_decoded);
 
-  if (said != NULL && quarantine_read (data, length, now, said))
+  if (decoded != NULL && quarantine_decode (data, length, now, decoded))
     {
-      if (said->kind == QUARANTINE_NEWS || said->kind == QUARANTINE_RELAY)
-        take_news (control, said, from, now);
+      if (decoded->kind == QUARANTINE_UPDATE || decoded->kind == QUARANTINE_RELAY)
+        receive_update (control, decoded, from, now);
       else
-        compare (control, said, from, now);
+        compare_tables (control, decoded, from, now);
     }
   else
     log_event (LOG_MODULE_PEER, LOG_LEVEL_WARNING, "quarantine-message-refused", "{s:s,s:I}",
                "from", from, "length", (json_int_t) length);
-  talloc_free (said);
+  talloc_free (decoded);
 }
 
 static const struct peer_listener_ops listener_ops = { .received = received };
@@ -377,15 +380,16 @@
   if (!quarantine_is_empty (control->table))
     {
       quarantine_expire (control->table, now);
-      show_gauges (control, now);
+      update_gauges (control, now);
     }
   if (control->config.is_entry)
     n = control->config.peers->ops->list (control->config.peers, peers, now);
   if (n > 0)
-    send_summary (control, QUARANTINE_SUMMARY, peers[control->turn++ % n], now);
-  timer_arm (
-      control->config.timers, timer,
-      now + (n == 0 && control->config.is_entry ? QUARANTINE_COMPARE_FIRST : QUARANTINE_COMPARE));
+    send_summary (control, QUARANTINE_SUMMARY, peers[control->next_peer++ % n], now);
+  timer_arm (control->config.timers, timer,
+             now
+                 + (n == 0 && control->config.is_entry ? QUARANTINE_COMPARE_RETRY_PERIOD
+                                                       : QUARANTINE_COMPARE_PERIOD));
 }
 
 static const struct timer_ops timer_ops = { .fire = timer_fired };
@@ -393,30 +397,31 @@
 /* ---- dump ---- */
 
 static json_t *
-describe_end (const struct quarantine_end *end, int64_t now)
+describe_crash (const struct quarantine_crash *crash, int64_t now)
 {
   char incarnation[17];
 
-  snprintf (incarnation, sizeof incarnation, "%016llx", (unsigned long long) end->incarnation);
+  snprintf (incarnation, sizeof incarnation, "%016llx", (unsigned long long) crash->incarnation);
   return json_pack ("{s:s,s:I,s:b}", "incarnation", incarnation, "ago_ms",
-                    (json_int_t) ((now - end->to) / USEC_PER_MSEC), "taken_back", end->taken_back);
+                    (json_int_t) ((now - crash->to) / USEC_PER_MSEC), "taken_back",
+                    crash->retracted);
 }
 
 static json_t *
 describe_suspect (const struct quarantine_suspect *suspect, int64_t now)
 {
-  char content[REQUEST_DIGEST_TEXT];
+  char content[REQUEST_DIGEST_TEXT_SIZE];
   json_t *ends = json_array ();
 
-  for (uint32_t i = 0; i < suspect->n_ends; i++)
-    json_array_append_new (ends, describe_end (&suspect->ends[i], now));
-  request_digest_write (&suspect->digest, content);
+  for (uint32_t i = 0; i < suspect->n_crashes; i++)
+    json_array_append_new (ends, describe_crash (&suspect->crashes[i], now));
+  request_digest_format (&suspect->digest, content);
   return json_pack ("{s:s,s:s,s:s,s:s,s:i,s:i,s:i,s:I,s:o}", "content", content, "organisation",
                     suspect->organisation, "route", suspect->route, "verdict",
-                    quarantine_verdict_text (quarantine_judge (suspect, false, now)), "ends",
-                    (int) quarantine_count (suspect, now), "running", (int) suspect->running,
-                    "tries", (int) suspect->trials, "seen_ms",
-                    (json_int_t) ((now - suspect->seen) / USEC_PER_MSEC), "evidence", ends);
+                    quarantine_verdict_text (quarantine_get_verdict (suspect, false, now)), "ends",
+                    (int) quarantine_count_crashes (suspect, now), "running",
+                    (int) suspect->n_running, "tries", (int) suspect->n_trials, "seen_ms",
+                    (json_int_t) ((now - suspect->last_seen) / USEC_PER_MSEC), "evidence", ends);
 }
 
 json_t *
@@ -436,12 +441,12 @@
 free_control (struct quarantine_control *control)
 {
   timer_disarm (control->config.timers, &control->timer);
-  timer_disarm (control->config.timers, &control->tell_timer);
+  timer_disarm (control->config.timers, &control->announce_timer);
   return 0;
 }
 
 static void
-take_counters (struct quarantine_control *control)
+create_counters (struct quarantine_control *control)
 {
   struct counters *counters = control->config.counters;
 
@@ -471,13 +476,13 @@
   control->table = quarantine_new (control);
   control->listener.ops = &listener_ops;
   control->timer.ops = &timer_ops;
-  control->tell_timer.ops = &tell_ops;
+  control->announce_timer.ops = &announce_ops;
   if (control->table == NULL)
     {
       talloc_free (control);
       return NULL;
     }
-  take_counters (control);
+  create_counters (control);
   config->port->ops->listen (config->port, PEER_CHANNEL_QUARANTINE, &control->listener);
   timer_arm (config->timers, &control->timer, 0);
   talloc_set_destructor (control, free_control);
--- a/src/quarantine_control.h
+++ b/src/quarantine_control.h
@@ -4,11 +4,11 @@
  * A host sends new evidence to all controllers; one of them relays it to all entry hosts if these
  * need it.
  *
- * Anti-entropy: each QUARANTINE_COMPARE an entry host compares its table with that of one
+ * Anti-entropy: each QUARANTINE_COMPARE_PERIOD an entry host compares its table with that of one
  * controller, in turn.  This repairs lost messages and fills the table of a host that starts or
  * was cut off.  A host that reaches the controllers thus knows what any other host has known for
- * QUARANTINE_COMPARE plus two message delays, or that time again for each controller asked that
- * did not know it. */
+ * QUARANTINE_COMPARE_PERIOD plus two message delays, or that time again for each controller asked
+ * that did not know it. */
 #ifndef QUARANTINE_CONTROL_H
 #define QUARANTINE_CONTROL_H
 
@@ -22,13 +22,13 @@
 
 BEGIN_DECLS
 
-#define QUARANTINE_COMPARE (1000 * USEC_PER_MSEC)
+#define QUARANTINE_COMPARE_PERIOD (1000 * USEC_PER_MSEC)
 
 /* Delay of an announcement, so that one message carries all that ran on a target. */
-#define QUARANTINE_TELL (5 * USEC_PER_MSEC)
+#define QUARANTINE_ANNOUNCE_DELAY (5 * USEC_PER_MSEC)
 
 /* Period until a first controller is reached. */
-#define QUARANTINE_COMPARE_FIRST (100 * USEC_PER_MSEC)
+#define QUARANTINE_COMPARE_RETRY_PERIOD (100 * USEC_PER_MSEC)
 
 /* Recipients: on an entry host the controllers, those it reaches first; on a controller the entry
  * hosts. */
@@ -65,10 +65,10 @@
                                const struct quarantine_suspect *learnt,
                                int64_t now);
 
-/* Schedules an announcement of the suspect after QUARANTINE_TELL. */
-void quarantine_control_tell (struct quarantine_control *control,
-                              struct quarantine_suspect *suspect,
-                              int64_t now);
+/* Schedules an announcement of the suspect after QUARANTINE_ANNOUNCE_DELAY. */
+void quarantine_control_announce (struct quarantine_control *control,
+                                  struct quarantine_suspect *suspect,
+                                  int64_t now);
 
 /* Take back all ends of a request, or the ends of an incarnation that was alive at `alive`, where
  * they lie before that, and announce the change.  `why` is logged. */
@@ -76,11 +76,11 @@
                                const struct request_digest *digest,
                                const char *why,
                                int64_t now);
-void quarantine_control_take_back (struct quarantine_control *control,
-                                   uint64_t incarnation,
-                                   int64_t alive,
-                                   const char *why,
-                                   int64_t now);
+void quarantine_control_retract (struct quarantine_control *control,
+                                 uint64_t incarnation,
+                                 int64_t alive,
+                                 const char *why,
+                                 int64_t now);
 
 /* The table as JSON, for the state dump. */
 json_t *quarantine_control_describe (struct quarantine_control *control, int64_t now);
--- a/src/quarantine_entry.c
+++ b/src/quarantine_entry.c
@@ -9,13 +9,13 @@
 
 /* Least time between announcements that clients still send a held request, so that others keep
  * it. */
-#define TELL_SEEN (QUARANTINE_KEEP / 4)
+#define SEEN_ANNOUNCE_INTERVAL (QUARANTINE_SUSPECT_TTL / 4)
 
 struct quarantine_entry
 {
   struct quarantine_entry_config config;
   struct quarantine_peers peers;
-  struct target_watch_listener fates;
+  struct target_watch_listener fate_listener;
   struct quarantine_control *control;
   struct quarantine *table;
   struct target_watch *watch;
@@ -46,16 +46,16 @@
       int64_t until,
       int64_t now)
 {
-  struct quarantine_entry *entry = CONTAINER_OF (listener, struct quarantine_entry, fates);
+  struct quarantine_entry *entry = CONTAINER_OF (listener, struct quarantine_entry, fate_listener);
   uint32_t kept = 0;
 
   if (fate == TARGET_FATE_LIVES)
-    quarantine_control_take_back (entry->control, incarnation, until, "the target lives", now);
+    quarantine_control_retract (entry->control, incarnation, until, "the target lives", now);
   for (uint32_t i = 0; i < entry->n_pending; i++)
     {
       struct quarantine_suspect *suspect = &entry->pending[i];
 
-      if (suspect->ends[0].incarnation != incarnation || suspect->ends[0].to > until)
+      if (suspect->crashes[0].incarnation != incarnation || suspect->crashes[0].to > until)
         entry->pending[kept++] = *suspect;
       else if (fate == TARGET_FATE_ENDED)
         quarantine_control_learn (entry->control, suspect, now);
@@ -78,10 +78,10 @@
 static const struct target_watch_listener_ops fate_ops = { .fate = fate };
 
 void
-quarantine_entry_broke (struct quarantine_entry *entry,
-                        const struct balance_target *target,
-                        const struct quarantine_suspect *suspect,
-                        int64_t now)
+quarantine_entry_connection_broke (struct quarantine_entry *entry,
+                                   const struct balance_target *target,
+                                   const struct quarantine_suspect *suspect,
+                                   int64_t now)
 {
   enum target_fate known = target_watch_connection_broke (entry->watch, target, now);
 
@@ -99,7 +99,7 @@
 /* All trials of a request are made by one host, so that there is at most one at a time: the host
  * with the highest rendezvous hash of its name and the request. */
 static bool
-tries_here (const struct quarantine_entry *entry, const struct request_digest *digest)
+is_trial_host (const struct quarantine_entry *entry, const struct request_digest *digest)
 {
   const struct host_view *view = subscriber_hosts (entry->config.subscriber);
   uint64_t seed = XXH3_64bits (digest->bytes, REQUEST_DIGEST_SIZE);
@@ -121,23 +121,24 @@
 
 /* Announces the trial before the request itself is sent. */
 static void
-note_try (struct quarantine_entry *entry, const struct quarantine_suspect *suspect, int64_t now)
+record_trial (struct quarantine_entry *entry, const struct quarantine_suspect *suspect, int64_t now)
 {
   struct quarantine_suspect tried = *suspect;
 
-  tried.trials++;
-  tried.tried = now;
-  tried.seen = now;
+  tried.n_trials++;
+  tried.last_trial = now;
+  tried.last_seen = now;
   quarantine_control_learn (entry->control, &tried, now);
 }
 
 static void
-note_seen (struct quarantine_entry *entry, struct quarantine_suspect *suspect, int64_t now)
+record_seen (struct quarantine_entry *entry, struct quarantine_suspect *suspect, int64_t now)
 {
-  suspect->seen = now;
-  if (quarantine_count (suspect, now) < QUARANTINE_ENDS || now - suspect->told < TELL_SEEN)
+  suspect->last_seen = now;
+  if (quarantine_count_crashes (suspect, now) < QUARANTINE_CRASH_THRESHOLD
+      || now - suspect->last_announced < SEEN_ANNOUNCE_INTERVAL)
     return;
-  quarantine_control_tell (entry->control, suspect, now);
+  quarantine_control_announce (entry->control, suspect, now);
 }
 
 bool
@@ -147,15 +148,15 @@
 }
 
 enum quarantine_verdict
-quarantine_entry_judge_again (const struct quarantine_entry *entry,
+quarantine_entry_get_verdict (const struct quarantine_entry *entry,
                               const struct request_digest *digest,
                               int64_t now)
 {
-  return quarantine_judge (quarantine_find (entry->table, digest), false, now);
+  return quarantine_get_verdict (quarantine_find (entry->table, digest), false, now);
 }
 
 enum quarantine_verdict
-quarantine_entry_judge (struct quarantine_entry *entry,
+quarantine_entry_admit (struct quarantine_entry *entry,
                         const struct request_digest *digest,
                         int64_t now)
 {
@@ -164,38 +165,38 @@
 
   if (suspect == NULL)
     return QUARANTINE_PASS;
-  verdict = quarantine_judge (suspect, tries_here (entry, digest), now);
+  verdict = quarantine_get_verdict (suspect, is_trial_host (entry, digest), now);
   counter_add (entry->verdicts[verdict], 1);
-  if (verdict == QUARANTINE_TRY)
-    note_try (entry, suspect, now);
+  if (verdict == QUARANTINE_TRIAL)
+    record_trial (entry, suspect, now);
   else
-    note_seen (entry, suspect, now);
+    record_seen (entry, suspect, now);
   return verdict;
 }
 
 bool
-quarantine_entry_began (struct quarantine_entry *entry, const struct request_digest *digest)
+quarantine_entry_run_started (struct quarantine_entry *entry, const struct request_digest *digest)
 {
   struct quarantine_suspect *suspect = quarantine_find (entry->table, digest);
 
   if (suspect != NULL)
-    suspect->running++;
+    suspect->n_running++;
   return suspect != NULL;
 }
 
 void
-quarantine_entry_over (struct quarantine_entry *entry, const struct request_digest *digest)
+quarantine_entry_run_finished (struct quarantine_entry *entry, const struct request_digest *digest)
 {
   struct quarantine_suspect *suspect = quarantine_find (entry->table, digest);
 
-  if (suspect != NULL && suspect->running > 0)
-    suspect->running--;
+  if (suspect != NULL && suspect->n_running > 0)
+    suspect->n_running--;
 }
 
 void
-quarantine_entry_whole (struct quarantine_entry *entry,
-                        const struct request_digest *digest,
-                        int64_t now)
+quarantine_entry_answer_completed (struct quarantine_entry *entry,
+                                   const struct request_digest *digest,
+                                   int64_t now)
 {
   drop_pending (entry, digest);
   quarantine_control_clear (entry->control, digest, "a whole answer", now);
@@ -216,7 +217,7 @@
 /* ---- construction ---- */
 
 static void
-take_counters (struct quarantine_entry *entry)
+create_counters (struct quarantine_entry *entry)
 {
   for (int verdict = 0; verdict < QUARANTINE_VERDICT_COUNT; verdict++)
     {
@@ -244,11 +245,11 @@
     .loop = entry->config.loop,
     .registry = subscriber_registry (entry->config.subscriber),
     .counters = entry->config.counters,
-    .listener = &entry->fates,
+    .listener = &entry->fate_listener,
   };
 
   entry->peers.ops = &peers_ops;
-  entry->fates.ops = &fate_ops;
+  entry->fate_listener.ops = &fate_ops;
   entry->control = quarantine_control_new (entry, &control);
   entry->watch = target_watch_new (entry, &watch);
   entry->pending = talloc_array (entry, struct quarantine_suspect, QUARANTINE_PENDING_MAX);
@@ -271,6 +272,6 @@
       talloc_free (entry);
       return NULL;
     }
-  take_counters (entry);
+  create_counters (entry);
   return entry;
 }
--- a/src/quarantine_entry.h
+++ b/src/quarantine_entry.h
@@ -35,32 +35,34 @@
 bool quarantine_entry_is_empty (const struct quarantine_entry *entry);
 
 /* Verdict on a request that a client sends.  TRY is returned once and recorded as a trial. */
-enum quarantine_verdict quarantine_entry_judge (struct quarantine_entry *entry,
+enum quarantine_verdict quarantine_entry_admit (struct quarantine_entry *entry,
                                                 const struct request_digest *digest,
                                                 int64_t now);
 
 /* Verdict on a request that was admitted, just before it is sent to a target. */
-enum quarantine_verdict quarantine_entry_judge_again (const struct quarantine_entry *entry,
+enum quarantine_verdict quarantine_entry_get_verdict (const struct quarantine_entry *entry,
                                                       const struct request_digest *digest,
                                                       int64_t now);
 
-/* Count a run in and out.  False: the request is not suspected, and quarantine_entry_over() need
- * not be called. */
-bool quarantine_entry_began (struct quarantine_entry *entry, const struct request_digest *digest);
-void quarantine_entry_over (struct quarantine_entry *entry, const struct request_digest *digest);
+/* Count a run in and out.  False: the request is not suspected, and quarantine_entry_run_finished()
+ * need not be called. */
+bool quarantine_entry_run_started (struct quarantine_entry *entry,
+                                   const struct request_digest *digest);
+void quarantine_entry_run_finished (struct quarantine_entry *entry,
+                                    const struct request_digest *digest);
 
 /* The request has had a complete answer, which clears it also of breaks whose target's fate is not
  * known yet. */
-void quarantine_entry_whole (struct quarantine_entry *entry,
-                             const struct request_digest *digest,
-                             int64_t now);
+void quarantine_entry_answer_completed (struct quarantine_entry *entry,
+                                        const struct request_digest *digest,
+                                        int64_t now);
 
 /* The connection to the target broke while it ran `suspect`, which has one end: the span in which
  * the target ended, if it did. */
-void quarantine_entry_broke (struct quarantine_entry *entry,
-                             const struct balance_target *target,
-                             const struct quarantine_suspect *suspect,
-                             int64_t now);
+void quarantine_entry_connection_broke (struct quarantine_entry *entry,
+                                        const struct balance_target *target,
+                                        const struct quarantine_suspect *suspect,
+                                        int64_t now);
 
 /* The watch that finds out whether targets ended when connections to them broke. */
 struct target_watch *quarantine_entry_watch (struct quarantine_entry *entry);
--- a/src/quarantine_wire.h
+++ b/src/quarantine_wire.h
@@ -11,35 +11,38 @@
 BEGIN_DECLS
 
 /* Suspects per message; a full message takes about 24 kB. */
-#define QUARANTINE_WIRE_MAX 64
+#define QUARANTINE_MESSAGE_SUSPECTS_MAX 64
 
 /* Written into messages: never renumbered. */
 enum quarantine_message
 {
-  QUARANTINE_NEWS = 1,    /* suspects */
-  QUARANTINE_RELAY = 2,   /* suspects, to be relayed to all entry hosts */
-  QUARANTINE_SUMMARY = 3, /* table hash; a receiver that differs sends suspects and hash */
-  QUARANTINE_ANSWER = 4,  /* hash in a reply; a receiver that differs sends suspects */
+  QUARANTINE_UPDATE = 1,        /* suspects */
+  QUARANTINE_RELAY = 2,         /* suspects, to be relayed to all entry hosts */
+  QUARANTINE_SUMMARY = 3,       /* table hash; a receiver that differs sends suspects and hash */
+  QUARANTINE_SUMMARY_REPLY = 4, /* hash in a reply; a receiver that differs sends suspects */
 };
 
 /* Header of a message of suspects; `n` suspects follow. */
-void quarantine_write_news (enum quarantine_message kind, uint32_t n, struct bytes *out);
-void quarantine_write_suspect (const struct quarantine_suspect *suspect,
-                               int64_t now,
-                               struct bytes *out);
-void quarantine_write_summary (enum quarantine_message kind, uint64_t summary, struct bytes *out);
+void quarantine_encode_header (enum quarantine_message kind, uint32_t n, struct bytes *out);
+void quarantine_encode_suspect (const struct quarantine_suspect *suspect,
+                                int64_t now,
+                                struct bytes *out);
+void quarantine_encode_summary (enum quarantine_message kind, uint64_t summary, struct bytes *out);
 
 /* A decoded message. */
-struct quarantine_said
+struct quarantine_decoded
 {
   enum quarantine_message kind;
   uint64_t summary;
   uint32_t n;
-  struct quarantine_suspect suspects[QUARANTINE_WIRE_MAX];
+  struct quarantine_suspect suspects[QUARANTINE_MESSAGE_SUSPECTS_MAX];
 };
 
 /* False if the message is malformed or incomplete. */
-bool quarantine_read (const void *data, size_t length, int64_t now, struct quarantine_said *out);
+bool quarantine_decode (const void *data,
+                        size_t length,
+                        int64_t now,
+                        struct quarantine_decoded *out);
 
 END_DECLS
 
--- a/src/request_digest.c
+++ b/src/request_digest.c
@@ -9,7 +9,7 @@
 
 /* Hashes the length first, so that different lists of parts never give the same bytes. */
 static void
-add (crypto_generichash_state *state, const void *part, size_t length)
+hash_part (crypto_generichash_state *state, const void *part, size_t length)
 {
   uint64_t size = length;
 
@@ -19,26 +19,26 @@
 }
 
 static void
-add_text (crypto_generichash_state *state, const char *text)
+hash_text (crypto_generichash_state *state, const char *text)
 {
-  add (state, text, strlen (text));
+  hash_part (state, text, strlen (text));
 }
 
 void
-request_digest_of (const struct h1_head *head,
-                   const struct bytes *body,
-                   const char *organisation,
-                   struct request_digest *out)
+request_digest_compute (const struct h1_head *head,
+                        const struct bytes *body,
+                        const char *organisation,
+                        struct request_digest *out)
 {
   const char *host = h1_value (head, "host");
   crypto_generichash_state state;
 
   crypto_generichash_init (&state, NULL, 0, REQUEST_DIGEST_SIZE);
-  add_text (&state, http_method_str ((enum http_method) head->method));
-  add_text (&state, host == NULL ? "" : host);
-  add_text (&state, head->target);
-  add_text (&state, organisation);
-  add (&state, body->data, body->length);
+  hash_text (&state, http_method_str ((enum http_method) head->method));
+  hash_text (&state, host == NULL ? "" : host);
+  hash_text (&state, head->target);
+  hash_text (&state, organisation);
+  hash_part (&state, body->data, body->length);
   crypto_generichash_final (&state, out->bytes, REQUEST_DIGEST_SIZE);
 }
 
@@ -49,13 +49,13 @@
 }
 
 void
-request_digest_write (const struct request_digest *digest, char out[REQUEST_DIGEST_TEXT])
+request_digest_format (const struct request_digest *digest, char out[REQUEST_DIGEST_TEXT_SIZE])
 {
-  sodium_bin2hex (out, REQUEST_DIGEST_TEXT, digest->bytes, REQUEST_DIGEST_SIZE);
+  sodium_bin2hex (out, REQUEST_DIGEST_TEXT_SIZE, digest->bytes, REQUEST_DIGEST_SIZE);
 }
 
 bool
-request_digest_read (const char *text, struct request_digest *out)
+request_digest_parse (const char *text, struct request_digest *out)
 {
   size_t length;
 
--- a/src/request_digest.h
+++ b/src/request_digest.h
@@ -15,7 +15,7 @@
 BEGIN_DECLS
 
 #define REQUEST_DIGEST_SIZE 32 /* bytes of BLAKE2b: collisions are infeasible */
-#define REQUEST_DIGEST_TEXT (2 * REQUEST_DIGEST_SIZE + 1)
+#define REQUEST_DIGEST_TEXT_SIZE (2 * REQUEST_DIGEST_SIZE + 1)
 
 struct request_digest
 {
@@ -23,18 +23,19 @@
 };
 
 /* `organisation` is "" where requests carry no API keys. */
-void request_digest_of (const struct h1_head *head,
-                        const struct bytes *body,
-                        const char *organisation,
-                        struct request_digest *out);
+void request_digest_compute (const struct h1_head *head,
+                             const struct bytes *body,
+                             const char *organisation,
+                             struct request_digest *out);
 
 bool request_digest_equal (const struct request_digest *a, const struct request_digest *b);
 
 /* Hexadecimal digits, as in logs and commands. */
-void request_digest_write (const struct request_digest *digest, char out[REQUEST_DIGEST_TEXT]);
+void request_digest_format (const struct request_digest *digest,
+                            char out[REQUEST_DIGEST_TEXT_SIZE]);
 
 /* False if `text` is not a digest. */
-bool request_digest_read (const char *text, struct request_digest *out);
+bool request_digest_parse (const char *text, struct request_digest *out);
 
 END_DECLS
 
--- a/src/role_base.c
+++ b/src/role_base.c
@@ -40,7 +40,7 @@
 
   if (exchange->head->method != HTTP_POST)
     status = HTTP_STATUS_METHOD_NOT_ALLOWED;
-  else if (!request_digest_read (content, &digest))
+  else if (!request_digest_parse (content, &digest))
     status = HTTP_STATUS_BAD_REQUEST;
   else if (quarantine_find (quarantine_control_table (base->quarantine), &digest) == NULL)
     status = HTTP_STATUS_NOT_FOUND;
--- a/src/stage.h
+++ b/src/stage.h
@@ -26,7 +26,7 @@
   json_t *embedding;
   json_t *documents; /* array of {"id", "text"} */
   json_t *result;    /* answer of the last STAGE_CALL */
-  char *input_text;  /* `input` as JSON text, cached by stage_body() */
+  char *input_text;  /* `input` as JSON text, cached by stage_append_body() */
 };
 
 /* Parameters that differ between calls of one stage. */
@@ -63,32 +63,32 @@
 
 /* Appends the first `max` bytes of a generation's prompt: the input, then a newline and the text
  * of each document. */
-void stage_prompt_start (const struct stage_data *data, size_t max, struct bytes *out);
+void stage_append_prompt_start (const struct stage_data *data, size_t max, struct bytes *out);
 
 /* Appends the body of the call; check bytes_failed().  Caches the input's JSON text in `data`,
  * because a long document goes to several stages and escaping it is most of the work of a body. */
-void stage_body (const struct stage_spec *spec,
-                 struct stage_data *data,
-                 const struct stage_call *call,
-                 struct bytes *out);
+void stage_append_body (const struct stage_spec *spec,
+                        struct stage_data *data,
+                        const struct stage_call *call,
+                        struct bytes *out);
 
 /* Number of tokens the stage reads, estimated as one per STAGE_BYTES_PER_TOKEN bytes. */
-uint32_t stage_tokens (const struct stage_spec *spec, const struct stage_data *data);
+uint32_t stage_estimate_tokens (const struct stage_spec *spec, const struct stage_data *data);
 
 /* Checks a complete JSON answer and stores its result in `data`, which changes only on STATUS_OK;
  * else STATUS_MALFORMED with status_message().  Not for STAGE_GENERATE. */
-enum status stage_take (const struct stage_spec *spec,
-                        struct stage_data *data,
-                        const char *body,
-                        size_t length,
-                        struct stage_usage *usage);
+enum status stage_accept_answer (const struct stage_spec *spec,
+                                 struct stage_data *data,
+                                 const char *body,
+                                 size_t length,
+                                 struct stage_usage *usage);
 
 /* Parses one event of a generation's stream.  STATUS_MALFORMED with status_message() on error. */
-enum status stage_piece_read (const char *event, size_t length, struct stage_piece *out);
+enum status stage_piece_parse (const char *event, size_t length, struct stage_piece *out);
 void stage_piece_clear (struct stage_piece *piece);
 
 /* Makes the generated text the input of later stages. */
-enum status stage_take_text (struct stage_data *data, const char *text, size_t length);
+enum status stage_set_input (struct stage_data *data, const char *text, size_t length);
 
 /* Appends the "result" object of a pipeline whose last stage is of kind `last`. */
 void stage_append_result (enum stage_kind last, struct stage_data *data, struct bytes *out);
--- a/src/stage_answer.c
+++ b/src/stage_answer.c
@@ -7,7 +7,7 @@
 /* The nesting depth is checked before parsing, because jansson's own limit is fixed at its build:
  * the parser, and later json_decref(), would recurse into a deep nesting. */
 static bool
-depth_within (const char *text, size_t length, uint32_t max)
+depth_is_within (const char *text, size_t length, uint32_t max)
 {
   uint32_t depth = 0;
   bool string = false;
@@ -41,7 +41,7 @@
   json_error_t error;
   json_t *json;
 
-  if (!depth_within (text, length, depth))
+  if (!depth_is_within (text, length, depth))
     {
       status_fail (STATUS_MALFORMED, "JSON nested deeper than %u", depth);
       return NULL;
@@ -70,7 +70,7 @@
 }
 
 static uint32_t
-count_of (const json_t *object, const char *name)
+get_count (const json_t *object, const char *name)
 {
   json_int_t value = json_integer_value (json_object_get (object, name));
 
@@ -83,21 +83,21 @@
   const json_t *usage = json_object_get (answer, "usage");
 
   *out = (struct stage_usage){
-    .input_tokens = count_of (usage, "prompt_tokens"),
-    .cached_tokens = count_of (usage, "cached_tokens"),
-    .output_tokens = count_of (usage, "completion_tokens"),
+    .input_tokens = get_count (usage, "prompt_tokens"),
+    .cached_tokens = get_count (usage, "cached_tokens"),
+    .output_tokens = get_count (usage, "completion_tokens"),
   };
 }
 
 static void
-replace (json_t **field, json_t *value)
+replace_field (json_t **field, json_t *value)
 {
   json_decref (*field);
   *field = value;
 }
 
 static enum status
-take_embedding (const struct stage_spec *spec, struct stage_data *data, json_t *answer)
+accept_embedding (const struct stage_spec *spec, struct stage_data *data, json_t *answer)
 {
   json_t *first = json_array_get (json_object_get (answer, "data"), 0);
   json_t *embedding = json_object_get (first, "embedding");
@@ -112,12 +112,12 @@
       if (!json_is_number (number))
         return status_fail (STATUS_MALFORMED, "data[0].embedding[%zu]: expected a number", i);
     }
-  replace (&data->embedding, json_incref (embedding));
+  replace_field (&data->embedding, json_incref (embedding));
   return STATUS_OK;
 }
 
 static enum status
-take_documents (const struct stage_spec *spec, struct stage_data *data, json_t *answer)
+accept_documents (const struct stage_spec *spec, struct stage_data *data, json_t *answer)
 {
   json_t *documents = json_object_get (answer, "documents");
   json_t *document;
@@ -133,13 +133,13 @@
           || !json_is_string (json_object_get (document, "text")))
         return status_fail (STATUS_MALFORMED, "documents[%zu]: expected id and text", i);
     }
-  replace (&data->documents, json_incref (documents));
+  replace_field (&data->documents, json_incref (documents));
   return STATUS_OK;
 }
 
 /* The document that a rerank result names; NULL if it names none or one already taken. */
 static json_t *
-ranked (const json_t *documents, const json_t *result, bool *taken)
+find_ranked_document (const json_t *documents, const json_t *result, bool *taken)
 {
   const json_t *index = json_object_get (result, "index");
   json_int_t i = json_integer_value (index);
@@ -153,7 +153,7 @@
 }
 
 static enum status
-take_order (const struct stage_spec *spec, struct stage_data *data, json_t *answer)
+accept_ranking (const struct stage_spec *spec, struct stage_data *data, json_t *answer)
 {
   json_t *results = json_object_get (answer, "results");
   size_t n = json_array_size (data->documents);
@@ -169,7 +169,7 @@
   taken = calloc (n + 1, sizeof *taken);
   for (i = 0; kept != NULL && taken != NULL && i < wanted; i++)
     {
-      json_t *document = ranked (data->documents, json_array_get (results, i), taken);
+      json_t *document = find_ranked_document (data->documents, json_array_get (results, i), taken);
 
       if (document == NULL || json_array_append (kept, document) != 0)
         break;
@@ -180,30 +180,31 @@
       json_decref (kept);
       return status_fail (STATUS_MALFORMED, "results[%zu]: expected an index not yet named", i);
     }
-  replace (&data->documents, kept);
+  replace_field (&data->documents, kept);
   return STATUS_OK;
 }
 
 static enum status
-take_result (const struct stage_spec *spec, struct stage_data *data, json_t *answer)
+accept_result (const struct stage_spec *spec, struct stage_data *data, json_t *answer)
 {
   (void) spec;
-  replace (&data->result, json_incref (answer));
+  replace_field (&data->result, json_incref (answer));
   return STATUS_OK;
 }
 
 enum status
-stage_take (const struct stage_spec *spec,
-            struct stage_data *data,
-            const char *body,
-            size_t length,
-            struct stage_usage *usage)
+stage_accept_answer (const struct stage_spec *spec,
+                     struct stage_data *data,
+                     const char *body,
+                     size_t length,
+                     struct stage_usage *usage)
 {
-  static enum status (*const takes[]) (const struct stage_spec *, struct stage_data *, json_t *) = {
-    [STAGE_ENCODE] = take_embedding,
-    [STAGE_RETRIEVE] = take_documents,
-    [STAGE_RERANK] = take_order,
-    [STAGE_CALL] = take_result,
+  static enum status (*const acceptors[]) (const struct stage_spec *, struct stage_data *,
+                                           json_t *) = {
+    [STAGE_ENCODE] = accept_embedding,
+    [STAGE_RETRIEVE] = accept_documents,
+    [STAGE_RERANK] = accept_ranking,
+    [STAGE_CALL] = accept_result,
   };
   json_t *answer = stage_parse_json (body, length, STAGE_JSON_DEPTH);
   enum status status;
@@ -211,7 +212,7 @@
   INVARIANT (spec->kind != STAGE_GENERATE);
   if (answer == NULL)
     return STATUS_MALFORMED;
-  status = takes[spec->kind](spec, data, answer);
+  status = acceptors[spec->kind](spec, data, answer);
   if (status == STATUS_OK)
     read_usage (answer, usage);
   json_decref (answer);
@@ -221,7 +222,7 @@
 /* The engine finished or reached the requested number of tokens.  With any other reason, such as
  * an abort, the text is incomplete. */
 static bool
-ends_whole (const json_t *reason)
+finish_reason_is_complete (const json_t *reason)
 {
   const char *word = json_string_value (reason);
 
@@ -238,13 +239,13 @@
       || (!piece->finished && !json_is_string (json_object_get (choice, "text")))
       || (piece->text_length > 0 && !piece->has_index) || index < 0 || index >= UINT32_MAX)
     return status_fail (STATUS_MALFORMED, "choices[0]: expected text and index");
-  if (piece->finished && !ends_whole (reason))
+  if (piece->finished && !finish_reason_is_complete (reason))
     return status_fail (STATUS_MALFORMED, "finish_reason: %s", json_string_value (reason));
   return STATUS_OK;
 }
 
 enum status
-stage_piece_read (const char *event, size_t length, struct stage_piece *out)
+stage_piece_parse (const char *event, size_t length, struct stage_piece *out)
 {
   json_t *document = stage_parse_json (event, length, STAGE_JSON_DEPTH);
   json_t *choice = json_array_get (json_object_get (document, "choices"), 0);
@@ -261,7 +262,7 @@
       out->text = json_string_value (text);
       out->text_length = json_string_length (text);
     }
-  out->index = count_of (choice, "index");
+  out->index = get_count (choice, "index");
   read_usage (document, &out->usage);
   status = check_piece (out, choice);
   if (status != STATUS_OK)
@@ -279,13 +280,13 @@
 }
 
 enum status
-stage_take_text (struct stage_data *data, const char *text, size_t length)
+stage_set_input (struct stage_data *data, const char *text, size_t length)
 {
   json_t *input = json_stringn_nocheck (length > 0 ? text : "", length);
 
   if (input == NULL)
     return status_fail (STATUS_NO_MEMORY, "no memory for the text");
-  replace (&data->input, input);
+  replace_field (&data->input, input);
   free (data->input_text);
   data->input_text = NULL;
   return STATUS_OK;
--- a/src/stage_body.c
+++ b/src/stage_body.c
@@ -27,7 +27,7 @@
 }
 
 void
-stage_prompt_start (const struct stage_data *data, size_t max, struct bytes *out)
+stage_append_prompt_start (const struct stage_data *data, size_t max, struct bytes *out)
 {
   size_t length = json_string_length (data->input);
   json_t *document;
@@ -50,7 +50,7 @@
 /* ---- JSON text ---- */
 
 static int
-take_text (const char *buffer, size_t size, void *out)
+append_dump (const char *buffer, size_t size, void *out)
 {
   bytes_append (out, buffer, size);
   return 0;
@@ -59,7 +59,7 @@
 void
 stage_append_json (const json_t *json, struct bytes *out)
 {
-  if (json_dump_callback (json, take_text, out, JSON_COMPACT | JSON_ENCODE_ANY) != 0)
+  if (json_dump_callback (json, append_dump, out, JSON_COMPACT | JSON_ENCODE_ANY) != 0)
     out->failed = true;
 }
 
@@ -207,22 +207,22 @@
                             const struct stage_call *call,
                             struct bytes *out);
 
-static body_function *const bodies[] = {
+static body_function *const body_builders[] = {
   [STAGE_ENCODE] = encode_body,     [STAGE_RETRIEVE] = retrieve_body, [STAGE_RERANK] = rerank_body,
   [STAGE_GENERATE] = generate_body, [STAGE_CALL] = call_body,
 };
 
 void
-stage_body (const struct stage_spec *spec,
-            struct stage_data *data,
-            const struct stage_call *call,
-            struct bytes *out)
+stage_append_body (const struct stage_spec *spec,
+                   struct stage_data *data,
+                   const struct stage_call *call,
+                   struct bytes *out)
 {
-  bodies[spec->kind](spec, data, call, out);
+  body_builders[spec->kind](spec, data, call, out);
 }
 
 static size_t
-documents_bytes (const json_t *documents)
+count_document_bytes (const json_t *documents)
 {
   json_t *document;
   size_t bytes = 0;
@@ -236,12 +236,12 @@
 }
 
 uint32_t
-stage_tokens (const struct stage_spec *spec, const struct stage_data *data)
+stage_estimate_tokens (const struct stage_spec *spec, const struct stage_data *data)
 {
   size_t bytes = json_string_length (data->input);
 
   if (spec->kind == STAGE_RERANK || spec->kind == STAGE_GENERATE || spec->kind == STAGE_CALL)
-    bytes += documents_bytes (data->documents);
+    bytes += count_document_bytes (data->documents);
   return (uint32_t) (bytes / STAGE_BYTES_PER_TOKEN) + 1;
 }
 
--- a/tests/unit_quarantine.cc
+++ b/tests/unit_quarantine.cc
@@ -12,27 +12,27 @@
 namespace
 {
 
-const int64_t START = 7 * QUARANTINE_KEEP;
+const int64_t START = 7 * QUARANTINE_SUSPECT_TTL;
 const int64_t RUN = 30 * USEC_PER_MSEC;
 
 // Evidence of one end, as one host reports it; `took` is the duration of the run.
 struct quarantine_suspect
-learnt (int request,
-        uint64_t incarnation,
-        int64_t at,
-        int64_t took = RUN,
-        const char *organisation = "org")
+make_evidence (int request,
+               uint64_t incarnation,
+               int64_t at,
+               int64_t took = RUN,
+               const char *organisation = "org")
 {
   struct quarantine_suspect suspect = {};
 
   memcpy (suspect.digest.bytes, &request, sizeof request);
   snprintf (suspect.organisation, sizeof suspect.organisation, "%s", organisation);
   snprintf (suspect.route, sizeof suspect.route, "r");
-  suspect.seen = at;
-  suspect.n_ends = 1;
-  suspect.ends[0].incarnation = incarnation;
-  suspect.ends[0].from = at - std::min (took, QUARANTINE_INSTANT);
-  suspect.ends[0].to = at;
+  suspect.last_seen = at;
+  suspect.n_crashes = 1;
+  suspect.crashes[0].incarnation = incarnation;
+  suspect.crashes[0].from = at - std::min (took, QUARANTINE_COMMON_CAUSE_SPAN);
+  suspect.crashes[0].to = at;
   return suspect;
 }
 
@@ -55,7 +55,7 @@
   {
     struct quarantine_suspect *out;
 
-    quarantine_merge (table, &of, of.seen, &out);
+    quarantine_merge (table, &of, of.last_seen, &out);
     return out;
   }
 
@@ -63,27 +63,27 @@
   int64_t
   hold (int request, const char *organisation = "org")
   {
-    for (int i = 0; i < QUARANTINE_ENDS; i++)
-      add (learnt (request, static_cast<uint64_t> (10 * request + i), START + i * USEC_PER_SEC, RUN,
-                   organisation));
-    return START + (QUARANTINE_ENDS - 1) * USEC_PER_SEC;
+    for (int i = 0; i < QUARANTINE_CRASH_THRESHOLD; i++)
+      add (make_evidence (request, static_cast<uint64_t> (10 * request + i),
+                          START + i * USEC_PER_SEC, RUN, organisation));
+    return START + (QUARANTINE_CRASH_THRESHOLD - 1) * USEC_PER_SEC;
   }
 
   enum quarantine_verdict
-  judge (int request, int64_t now, bool here = false)
+  judge (int request, int64_t now, bool is_trial_host = false)
   {
-    struct quarantine_suspect of = learnt (request, 0, now);
+    struct quarantine_suspect of = make_evidence (request, 0, now);
 
-    return quarantine_judge (quarantine_find (table, &of.digest), here, now);
+    return quarantine_get_verdict (quarantine_find (table, &of.digest), is_trial_host, now);
   }
 
   uint32_t
   count (int request)
   {
-    struct quarantine_suspect of = learnt (request, 0, START);
+    struct quarantine_suspect of = make_evidence (request, 0, START);
     struct quarantine_suspect *suspect = quarantine_find (table, &of.digest);
 
-    return suspect == nullptr ? 0 : quarantine_count (suspect, START);
+    return suspect == nullptr ? 0 : quarantine_count_crashes (suspect, START);
   }
 
   void *parent = talloc_new (nullptr);
@@ -93,14 +93,14 @@
 TEST_F (Quarantine, HoldsARequestUnderWhichThreeTargetsEnded)
 {
   EXPECT_EQ (judge (1, START), QUARANTINE_PASS);
-  add (learnt (1, 11, START));
-  EXPECT_EQ (judge (1, START), QUARANTINE_APART);
-  struct quarantine_suspect *suspect = add (learnt (1, 12, START + USEC_PER_SEC));
+  add (make_evidence (1, 11, START));
+  EXPECT_EQ (judge (1, START), QUARANTINE_ISOLATE);
+  struct quarantine_suspect *suspect = add (make_evidence (1, 12, START + USEC_PER_SEC));
 
-  EXPECT_EQ (judge (1, START + USEC_PER_SEC), QUARANTINE_APART);
-  suspect->running = 1;
+  EXPECT_EQ (judge (1, START + USEC_PER_SEC), QUARANTINE_ISOLATE);
+  suspect->n_running = 1;
   EXPECT_EQ (judge (1, START + USEC_PER_SEC), QUARANTINE_WAIT);
-  add (learnt (1, 13, START + 2 * USEC_PER_SEC));
+  add (make_evidence (1, 13, START + 2 * USEC_PER_SEC));
   EXPECT_EQ (judge (1, START + 2 * USEC_PER_SEC), QUARANTINE_REFUSE);
   EXPECT_EQ (judge (2, START + 2 * USEC_PER_SEC), QUARANTINE_PASS);
 }
@@ -109,7 +109,7 @@
 TEST_F (Quarantine, CountsAnIncarnationOnce)
 {
   for (int i = 0; i < 9; i++)
-    add (learnt (1, 11, START + i * USEC_PER_SEC));
+    add (make_evidence (1, 11, START + i * USEC_PER_SEC));
   EXPECT_EQ (count (1), 1u);
 }
 
@@ -117,16 +117,17 @@
 TEST_F (Quarantine, CountsTargetsThatEndTogetherOnce)
 {
   for (uint64_t i = 0; i < 6; i++)
-    add (learnt (1, 10 + i, START + static_cast<int64_t> (i) * USEC_PER_MSEC, USEC_PER_SEC));
+    add (make_evidence (1, 10 + i, START + static_cast<int64_t> (i) * USEC_PER_MSEC, USEC_PER_SEC));
   EXPECT_EQ (count (1), 1u);
-  EXPECT_EQ (judge (1, START), QUARANTINE_APART);
+  EXPECT_EQ (judge (1, START), QUARANTINE_ISOLATE);
 }
 
 // A client repeats a request at once, and its targets end within milliseconds of each other.
 TEST_F (Quarantine, CountsEndsOfConsecutiveRunsSeparately)
 {
   for (uint64_t i = 0; i < 3; i++)
-    add (learnt (1, 10 + i, START + static_cast<int64_t> (i) * 2 * USEC_PER_MSEC, USEC_PER_MSEC));
+    add (make_evidence (1, 10 + i, START + static_cast<int64_t> (i) * 2 * USEC_PER_MSEC,
+                        USEC_PER_MSEC));
   EXPECT_EQ (count (1), 3u);
 }
 
@@ -134,8 +135,9 @@
 TEST_F (Quarantine, CountsUnrelatedEndsOfOverlappingRunsSeparately)
 {
   for (uint64_t i = 0; i < 3; i++)
-    add (learnt (1, 10 + i, START + static_cast<int64_t> (i) * 2 * QUARANTINE_INSTANT,
-                 5 * USEC_PER_SEC));
+    add (make_evidence (1, 10 + i,
+                        START + static_cast<int64_t> (i) * 2 * QUARANTINE_COMMON_CAUSE_SPAN,
+                        5 * USEC_PER_SEC));
   EXPECT_EQ (count (1), 3u);
 }
 
@@ -144,13 +146,13 @@
 TEST_F (Quarantine, CountsLaterEndsAfterMoreSimultaneousEndsThanAreStored)
 {
   for (uint64_t i = 0; i < 30; i++)
-    add (learnt (1, 10 + i, START + static_cast<int64_t> (i) * USEC_PER_MSEC, USEC_PER_SEC));
+    add (make_evidence (1, 10 + i, START + static_cast<int64_t> (i) * USEC_PER_MSEC, USEC_PER_SEC));
   EXPECT_EQ (count (1), 1u);
-  add (learnt (1, 50, START + USEC_PER_SEC));
-  add (learnt (1, 51, START + 2 * USEC_PER_SEC));
+  add (make_evidence (1, 50, START + USEC_PER_SEC));
+  add (make_evidence (1, 51, START + 2 * USEC_PER_SEC));
   EXPECT_EQ (count (1), 3u);
   // An evicted end that is reported again is not new.
-  struct quarantine_suspect again = learnt (1, 11, START + USEC_PER_MSEC, USEC_PER_SEC);
+  struct quarantine_suspect again = make_evidence (1, 11, START + USEC_PER_MSEC, USEC_PER_SEC);
   struct quarantine_suspect *out;
 
   quarantine_merge (table, &again, START, &out);
@@ -162,7 +164,7 @@
 TEST_F (Quarantine, CountsOnlyEndsWithinOneWindow)
 {
   for (uint64_t i = 0; i < 5; i++)
-    add (learnt (1, 10 + i, START + static_cast<int64_t> (i) * QUARANTINE_WINDOW * 2 / 3));
+    add (make_evidence (1, 10 + i, START + static_cast<int64_t> (i) * QUARANTINE_WINDOW * 2 / 3));
   EXPECT_EQ (count (1), 2u);
   EXPECT_EQ (judge (1, START + 10 * QUARANTINE_WINDOW), QUARANTINE_PASS);
 }
@@ -174,9 +176,9 @@
   for (uint64_t i = 0; i < 3; i++)
     {
       struct quarantine_suspect silent =
-          learnt (1, 10 + i, START + static_cast<int64_t> (i) * USEC_PER_SEC);
+          make_evidence (1, 10 + i, START + static_cast<int64_t> (i) * USEC_PER_SEC);
 
-      silent.ends[0].from = START - 3 * USEC_PER_SEC;
+      silent.crashes[0].from = START - 3 * USEC_PER_SEC;
       add (silent);
     }
   EXPECT_EQ (count (1), 1u);
@@ -187,37 +189,37 @@
 TEST_F (Quarantine, ACompleteAnswerClearsOlderEvidencePermanently)
 {
   int64_t now = hold (1);
-  struct quarantine_suspect of = learnt (1, 0, now);
+  struct quarantine_suspect of = make_evidence (1, 0, now);
 
   EXPECT_TRUE (quarantine_clear (quarantine_find (table, &of.digest)));
   EXPECT_EQ (judge (1, now), QUARANTINE_PASS);
   hold (1);
   EXPECT_EQ (judge (1, now), QUARANTINE_PASS);
-  add (learnt (1, 99, now + USEC_PER_SEC));
-  EXPECT_EQ (judge (1, now + USEC_PER_SEC), QUARANTINE_APART);
+  add (make_evidence (1, 99, now + USEC_PER_SEC));
+  EXPECT_EQ (judge (1, now + USEC_PER_SEC), QUARANTINE_ISOLATE);
 }
 
 TEST_F (Quarantine, TakesBackTheEndOfALiveTarget)
 {
   int64_t now = hold (1);
-  struct quarantine_suspect of = learnt (1, 0, now);
+  struct quarantine_suspect of = make_evidence (1, 0, now);
 
-  EXPECT_TRUE (quarantine_take_back (quarantine_find (table, &of.digest), 11, now));
+  EXPECT_TRUE (quarantine_retract (quarantine_find (table, &of.digest), 11, now));
   EXPECT_EQ (count (1), 2u);
-  EXPECT_FALSE (quarantine_take_back (quarantine_find (table, &of.digest), 11, now));
+  EXPECT_FALSE (quarantine_retract (quarantine_find (table, &of.digest), 11, now));
 }
 
 // One host saw the target alive before another host saw it end: the end is valid.
 TEST_F (Quarantine, KeepsAnEndAfterTheTargetWasLastSeenAlive)
 {
-  struct quarantine_suspect of = learnt (1, 0, hold (1));
+  struct quarantine_suspect of = make_evidence (1, 0, hold (1));
   struct quarantine_suspect *held = quarantine_find (table, &of.digest);
-  int64_t ended = held->ends[0].to;
-  uint64_t incarnation = held->ends[0].incarnation;
+  int64_t ended = held->crashes[0].to;
+  uint64_t incarnation = held->crashes[0].incarnation;
 
-  EXPECT_FALSE (quarantine_take_back (held, incarnation, ended - 1));
+  EXPECT_FALSE (quarantine_retract (held, incarnation, ended - 1));
   EXPECT_EQ (count (1), 3u);
-  EXPECT_TRUE (quarantine_take_back (held, incarnation, ended));
+  EXPECT_TRUE (quarantine_retract (held, incarnation, ended));
 }
 
 // Hosts receive the same evidence in different orders and with duplicates: their tables must
@@ -233,13 +235,14 @@
       for (int i = 0; i < 12; i++)
         {
           struct quarantine_suspect one =
-              learnt (static_cast<int> (rng_below (&rng, 3)), 1 + rng_below (&rng, 5),
-                      START + static_cast<int64_t> (rng_below (&rng, 5)) * USEC_PER_SEC);
+              make_evidence (static_cast<int> (rng_below (&rng, 3)), 1 + rng_below (&rng, 5),
+                             START + static_cast<int64_t> (rng_below (&rng, 5)) * USEC_PER_SEC);
 
           // One incarnation has one end, whichever host reports it.
-          one.ends[0].to = START + static_cast<int64_t> (one.ends[0].incarnation) * USEC_PER_SEC;
-          one.ends[0].from = one.ends[0].to - RUN;
-          one.ends[0].taken_back = rng_below (&rng, 4) == 0;
+          one.crashes[0].to =
+              START + static_cast<int64_t> (one.crashes[0].incarnation) * USEC_PER_SEC;
+          one.crashes[0].from = one.crashes[0].to - RUN;
+          one.crashes[0].retracted = rng_below (&rng, 4) == 0;
           news.push_back (one);
         }
       std::vector<struct quarantine *> tables = { make (), make () };
@@ -264,8 +267,8 @@
       ASSERT_EQ (quarantine_summary (tables[0], START), quarantine_summary (tables[1], START))
           << seed;
       for (const auto &one : news)
-        ASSERT_EQ (quarantine_count (quarantine_find (tables[0], &one.digest), START),
-                   quarantine_count (quarantine_find (tables[1], &one.digest), START))
+        ASSERT_EQ (quarantine_count_crashes (quarantine_find (tables[0], &one.digest), START),
+                   quarantine_count_crashes (quarantine_find (tables[1], &one.digest), START))
             << seed;
     }
 }
@@ -276,14 +279,14 @@
 {
   hold (1, "other");
   hold (2, "many");
-  for (int i = 0; i < 3 * QUARANTINE_OF_ONE_MAX; i++)
-    add (learnt (100 + i, 5000 + static_cast<uint64_t> (i), START + 3 * USEC_PER_SEC + i, RUN,
-                 "many"));
+  for (int i = 0; i < 3 * QUARANTINE_ORGANISATION_SUSPECTS_MAX; i++)
+    add (make_evidence (100 + i, 5000 + static_cast<uint64_t> (i), START + 3 * USEC_PER_SEC + i,
+                        RUN, "many"));
   EXPECT_EQ (judge (1, START + 4 * USEC_PER_SEC), QUARANTINE_REFUSE);
   EXPECT_EQ (judge (2, START + 4 * USEC_PER_SEC), QUARANTINE_REFUSE);
   for (int i = 0; i < 2 * QUARANTINE_SUSPECTS_MAX; i++)
-    add (learnt (1000 + i, 9000 + static_cast<uint64_t> (i), START + 3 * USEC_PER_SEC + i, RUN,
-                 std::to_string (i % 50).c_str ()));
+    add (make_evidence (1000 + i, 9000 + static_cast<uint64_t> (i), START + 3 * USEC_PER_SEC + i,
+                        RUN, std::to_string (i % 50).c_str ()));
   EXPECT_EQ (judge (1, START + 4 * USEC_PER_SEC), QUARANTINE_REFUSE);
   uint32_t n = 0;
 
@@ -296,34 +299,34 @@
 // it is tried again, at most twice.
 TEST_F (Quarantine, TriesAHeldRequestAgainTwice)
 {
-  const int64_t waits[] = { QUARANTINE_FIRST_TRIAL, QUARANTINE_SECOND_TRIAL };
+  const int64_t waits[] = { QUARANTINE_FIRST_TRIAL_DELAY, QUARANTINE_SECOND_TRIAL_DELAY };
   int64_t now = hold (1);
 
-  EXPECT_EQ (judge (1, now + QUARANTINE_FIRST_TRIAL - 1, true), QUARANTINE_REFUSE);
-  EXPECT_EQ (judge (1, now + QUARANTINE_FIRST_TRIAL, false), QUARANTINE_REFUSE);
+  EXPECT_EQ (judge (1, now + QUARANTINE_FIRST_TRIAL_DELAY - 1, true), QUARANTINE_REFUSE);
+  EXPECT_EQ (judge (1, now + QUARANTINE_FIRST_TRIAL_DELAY, false), QUARANTINE_REFUSE);
   for (uint32_t i = 0; i < QUARANTINE_TRIALS_MAX; i++)
     {
       now += waits[i];
-      ASSERT_EQ (judge (1, now, true), QUARANTINE_TRY);
-      struct quarantine_suspect tried = learnt (1, 10, now);
+      ASSERT_EQ (judge (1, now, true), QUARANTINE_TRIAL);
+      struct quarantine_suspect tried = make_evidence (1, 10, now);
 
-      tried.trials = i + 1;
-      tried.tried = now;
+      tried.n_trials = i + 1;
+      tried.last_trial = now;
       add (tried);
       EXPECT_EQ (judge (1, now, true), QUARANTINE_REFUSE);
     }
-  EXPECT_EQ (judge (1, now + 100 * QUARANTINE_SECOND_TRIAL, true), QUARANTINE_REFUSE);
+  EXPECT_EQ (judge (1, now + 100 * QUARANTINE_SECOND_TRIAL_DELAY, true), QUARANTINE_REFUSE);
 }
 
 TEST_F (Quarantine, DropsRequestsThatNoClientSends)
 {
   hold (1);
-  quarantine_expire (table, START + QUARANTINE_KEEP - 1);
+  quarantine_expire (table, START + QUARANTINE_SUSPECT_TTL - 1);
   EXPECT_EQ (count (1), 3u);
-  quarantine_at (table, 0)->seen = START + USEC_PER_SEC;
-  quarantine_expire (table, START + QUARANTINE_KEEP);
+  quarantine_at (table, 0)->last_seen = START + USEC_PER_SEC;
+  quarantine_expire (table, START + QUARANTINE_SUSPECT_TTL);
   EXPECT_EQ (count (1), 3u);
-  quarantine_expire (table, START + USEC_PER_SEC + QUARANTINE_KEEP);
+  quarantine_expire (table, START + USEC_PER_SEC + QUARANTINE_SUSPECT_TTL);
   EXPECT_TRUE (quarantine_is_empty (table));
 }
 
@@ -331,7 +334,7 @@
 // those that ran there.
 TEST_F (Quarantine, DropsASuspectWhoseEndExpired)
 {
-  add (learnt (1, 11, START));
+  add (make_evidence (1, 11, START));
   quarantine_expire (table, START + QUARANTINE_WINDOW);
   EXPECT_FALSE (quarantine_is_empty (table));
   quarantine_expire (table, START + QUARANTINE_WINDOW + 1);
@@ -355,32 +358,32 @@
 {
   int64_t now = hold (1) + USEC_PER_SEC;
   struct quarantine_suspect *suspect = quarantine_at (table, 0);
-  struct quarantine_said read;
+  struct quarantine_decoded read;
   struct bytes message;
 
-  suspect->ends[1].taken_back = true;
-  suspect->trials = 1;
-  suspect->tried = now - 5;
+  suspect->crashes[1].retracted = true;
+  suspect->n_trials = 1;
+  suspect->last_trial = now - 5;
   bytes_init (&message, parent);
-  quarantine_write_news (QUARANTINE_RELAY, 1, &message);
-  quarantine_write_suspect (suspect, now, &message);
+  quarantine_encode_header (QUARANTINE_RELAY, 1, &message);
+  quarantine_encode_suspect (suspect, now, &message);
   // Decoded on a host whose clock differs.
-  ASSERT_TRUE (quarantine_read (message.data, message.length, now + 77, &read));
+  ASSERT_TRUE (quarantine_decode (message.data, message.length, now + 77, &read));
   ASSERT_EQ (read.n, 1u);
   EXPECT_EQ (read.kind, QUARANTINE_RELAY);
   EXPECT_TRUE (request_digest_equal (&read.suspects[0].digest, &suspect->digest));
   EXPECT_STREQ (read.suspects[0].organisation, "org");
   EXPECT_STREQ (read.suspects[0].route, "r");
-  EXPECT_EQ (read.suspects[0].seen, suspect->seen + 77);
-  EXPECT_EQ (read.suspects[0].trials, 1u);
-  EXPECT_EQ (read.suspects[0].tried, suspect->tried + 77);
-  ASSERT_EQ (read.suspects[0].n_ends, 3u);
+  EXPECT_EQ (read.suspects[0].last_seen, suspect->last_seen + 77);
+  EXPECT_EQ (read.suspects[0].n_trials, 1u);
+  EXPECT_EQ (read.suspects[0].last_trial, suspect->last_trial + 77);
+  ASSERT_EQ (read.suspects[0].n_crashes, 3u);
   for (uint32_t i = 0; i < 3; i++)
     {
-      EXPECT_EQ (read.suspects[0].ends[i].incarnation, suspect->ends[i].incarnation);
-      EXPECT_EQ (read.suspects[0].ends[i].from, suspect->ends[i].from + 77);
-      EXPECT_EQ (read.suspects[0].ends[i].to, suspect->ends[i].to + 77);
-      EXPECT_EQ (read.suspects[0].ends[i].taken_back, suspect->ends[i].taken_back);
+      EXPECT_EQ (read.suspects[0].crashes[i].incarnation, suspect->crashes[i].incarnation);
+      EXPECT_EQ (read.suspects[0].crashes[i].from, suspect->crashes[i].from + 77);
+      EXPECT_EQ (read.suspects[0].crashes[i].to, suspect->crashes[i].to + 77);
+      EXPECT_EQ (read.suspects[0].crashes[i].retracted, suspect->crashes[i].retracted);
     }
 }
 
@@ -388,28 +391,28 @@
 // nothing outside it is read.
 TEST_F (Quarantine, RejectsTruncatedMessagesAndBoundsCorruptedOnes)
 {
-  struct quarantine_said read;
+  struct quarantine_decoded read;
   struct bytes message;
   struct rng rng;
 
   hold (1);
   bytes_init (&message, parent);
-  quarantine_write_news (QUARANTINE_NEWS, 1, &message);
-  quarantine_write_suspect (quarantine_at (table, 0), START, &message);
+  quarantine_encode_header (QUARANTINE_UPDATE, 1, &message);
+  quarantine_encode_suspect (quarantine_at (table, 0), START, &message);
   for (size_t i = 0; i < message.length; i++)
-    EXPECT_FALSE (quarantine_read (message.data, i, START, &read)) << i;
-  EXPECT_FALSE (quarantine_read ("\x05\x00", 2, START, &read));
+    EXPECT_FALSE (quarantine_decode (message.data, i, START, &read)) << i;
+  EXPECT_FALSE (quarantine_decode ("\x05\x00", 2, START, &read));
   rng_init (&rng, 1);
   for (int i = 0; i < 20000; i++)
     {
       std::string damaged (message.data, message.length);
 
       damaged[rng_below (&rng, damaged.size ())] = static_cast<char> (rng_below (&rng, 256));
-      if (quarantine_read (damaged.data (), damaged.size (), START, &read))
+      if (quarantine_decode (damaged.data (), damaged.size (), START, &read))
         {
-          EXPECT_LE (read.n, static_cast<uint32_t> (QUARANTINE_WIRE_MAX));
+          EXPECT_LE (read.n, static_cast<uint32_t> (QUARANTINE_MESSAGE_SUSPECTS_MAX));
           for (uint32_t j = 0; j < read.n; j++)
-            EXPECT_LE (read.suspects[j].n_ends, static_cast<uint32_t> (QUARANTINE_ENDS_KEPT));
+            EXPECT_LE (read.suspects[j].n_crashes, static_cast<uint32_t> (QUARANTINE_CRASHES_MAX));
         }
     }
 }
--- a/tests/unit_quarantine_control.cc
+++ b/tests/unit_quarantine_control.cc
@@ -49,19 +49,19 @@
   }
 
   struct quarantine_suspect
-  learnt (uint64_t incarnation)
+  make_evidence (uint64_t incarnation)
   {
     struct quarantine_suspect suspect = {};
 
     suspect.digest.bytes[0] = 1;
-    suspect.seen = now;
-    suspect.n_ends = 1;
-    suspect.ends[0] = { incarnation, now - USEC_PER_MSEC, now, false };
+    suspect.last_seen = now;
+    suspect.n_crashes = 1;
+    suspect.crashes[0] = { incarnation, now - USEC_PER_MSEC, now, false };
     return suspect;
   }
 
   void
-  pass (int64_t span)
+  advance (int64_t span)
   {
     now += span;
     timer_service_run (timers, now);
@@ -69,30 +69,30 @@
 
   // Recipient, kind and number of ends of each message of suspects; summaries are left out.
   std::vector<std::string>
-  told () const
+  announcements () const
   {
     std::vector<std::string> out;
 
     for (const auto &[host, channel, bytes] : port.sent)
       {
-        struct quarantine_said said;
+        struct quarantine_decoded decoded;
 
-        EXPECT_TRUE (quarantine_read (bytes.data (), bytes.size (), now, &said));
-        if (said.n > 0)
-          out.push_back (host + (said.kind == QUARANTINE_RELAY ? " relay " : " news ")
-                         + std::to_string (said.suspects[0].n_ends));
+        EXPECT_TRUE (quarantine_decode (bytes.data (), bytes.size (), now, &decoded));
+        if (decoded.n > 0)
+          out.push_back (host + (decoded.kind == QUARANTINE_RELAY ? " relay " : " news ")
+                         + std::to_string (decoded.suspects[0].n_crashes));
       }
     return out;
   }
 
   void
-  hear (enum quarantine_message kind, const struct quarantine_suspect &suspect)
+  receive (enum quarantine_message kind, const struct quarantine_suspect &suspect)
   {
     struct bytes message;
 
     bytes_init (&message, parent);
-    quarantine_write_news (kind, 1, &message);
-    quarantine_write_suspect (&suspect, now, &message);
+    quarantine_encode_header (kind, 1, &message);
+    quarantine_encode_suspect (&suspect, now, &message);
     port.deliver ("other:1", PEER_CHANNEL_QUARANTINE, &message, now);
     bytes_clear (&message);
   }
@@ -108,28 +108,28 @@
 // An end is recorded while no controller is reachable: it must not be lost.
 TEST_F (QuarantineControl, AnnouncesOnceAControllerIsReachable)
 {
-  struct quarantine_suspect suspect = learnt (11);
+  struct quarantine_suspect suspect = make_evidence (11);
 
   start (true);
   quarantine_control_learn (control, &suspect, now);
-  pass (USEC_PER_SEC);
-  EXPECT_TRUE (told ().empty ());
+  advance (USEC_PER_SEC);
+  EXPECT_TRUE (announcements ().empty ());
   peers.names = { "c1:1", "c2:1" };
-  pass (QUARANTINE_COMPARE_FIRST);
-  EXPECT_EQ (told (), (std::vector<std::string>{ "c1:1 relay 1", "c2:1 news 1" }));
+  advance (QUARANTINE_COMPARE_RETRY_PERIOD);
+  EXPECT_EQ (announcements (), (std::vector<std::string>{ "c1:1 relay 1", "c2:1 news 1" }));
 }
 
 // The controller that is asked to relay is unreachable: the next one is asked.
 TEST_F (QuarantineControl, AsksTheNextControllerToRelayWhenTheFirstIsUnreachable)
 {
-  struct quarantine_suspect suspect = learnt (11);
+  struct quarantine_suspect suspect = make_evidence (11);
 
   start (true);
   peers.names = { "c1:1", "c2:1", "c3:1" };
   port.unreachable["c1:1"] = true;
   quarantine_control_learn (control, &suspect, now);
-  pass (QUARANTINE_TELL);
-  EXPECT_EQ (told (), (std::vector<std::string>{ "c2:1 relay 1", "c3:1 news 1" }));
+  advance (QUARANTINE_ANNOUNCE_DELAY);
+  EXPECT_EQ (announcements (), (std::vector<std::string>{ "c2:1 relay 1", "c3:1 news 1" }));
 }
 
 // When a host of targets loses power, hundreds of requests get one end each.  Controllers keep
@@ -139,17 +139,17 @@
 {
   start (false);
   peers.names = { "h1:1", "h2:1" };
-  hear (QUARANTINE_RELAY, learnt (11));
-  pass (QUARANTINE_TELL);
-  EXPECT_TRUE (told ().empty ());
-  pass (USEC_PER_SEC);
-  hear (QUARANTINE_RELAY, learnt (12));
-  pass (QUARANTINE_TELL);
-  EXPECT_EQ (told (), (std::vector<std::string>{ "h1:1 news 2", "h2:1 news 2" }));
+  receive (QUARANTINE_RELAY, make_evidence (11));
+  advance (QUARANTINE_ANNOUNCE_DELAY);
+  EXPECT_TRUE (announcements ().empty ());
+  advance (USEC_PER_SEC);
+  receive (QUARANTINE_RELAY, make_evidence (12));
+  advance (QUARANTINE_ANNOUNCE_DELAY);
+  EXPECT_EQ (announcements (), (std::vector<std::string>{ "h1:1 news 2", "h2:1 news 2" }));
   // Evidence that is not new is not announced.
-  hear (QUARANTINE_RELAY, learnt (12));
-  pass (QUARANTINE_TELL);
-  EXPECT_EQ (told ().size (), 2u);
+  receive (QUARANTINE_RELAY, make_evidence (12));
+  advance (QUARANTINE_ANNOUNCE_DELAY);
+  EXPECT_EQ (announcements ().size (), 2u);
 }
 
 // Tables differ: the host that is asked replies with its suspects and the hash of its table.
@@ -159,18 +159,18 @@
 
   start (false);
   peers.names = { "h1:1" };
-  hear (QUARANTINE_NEWS, learnt (11));
+  receive (QUARANTINE_UPDATE, make_evidence (11));
   now += USEC_PER_SEC;
-  hear (QUARANTINE_NEWS, learnt (12));
+  receive (QUARANTINE_UPDATE, make_evidence (12));
   bytes_init (&message, parent);
-  quarantine_write_summary (QUARANTINE_SUMMARY, 0, &message);
+  quarantine_encode_summary (QUARANTINE_SUMMARY, 0, &message);
   port.deliver ("h1:1", PEER_CHANNEL_QUARANTINE, &message, now);
-  EXPECT_EQ (told (), (std::vector<std::string>{ "h1:1 news 2" }));
+  EXPECT_EQ (announcements (), (std::vector<std::string>{ "h1:1 news 2" }));
   EXPECT_EQ (port.sent.size (), 2u);
   bytes_clear (&message);
   // A host whose table is equal gets no reply.
-  quarantine_write_summary (QUARANTINE_SUMMARY,
-                            quarantine_summary (quarantine_control_table (control), now), &message);
+  quarantine_encode_summary (
+      QUARANTINE_SUMMARY, quarantine_summary (quarantine_control_table (control), now), &message);
   port.deliver ("h1:1", PEER_CHANNEL_QUARANTINE, &message, now);
   EXPECT_EQ (port.sent.size (), 2u);
 }
--- a/tests/unit_quarantine_fleet.cc
+++ b/tests/unit_quarantine_fleet.cc
@@ -6,12 +6,12 @@
 namespace
 {
 
-// Limit on the sends of one request by hosts in touch, later than FLEET_CONTACT after it ended a
-// third target.
-const uint32_t LATE_MAX = 3;
+// Limit on the sends of one request by hosts in touch, later than FLEET_SETTLE_TIME after it ended
+// a third target.
+const uint32_t LATE_SENDS_MAX = 3;
 
 // Limit on the ends by one request of which no two runs are in flight at once.
-const uint32_t ENDS_MAX = 3;
+const uint32_t CRASHES_MAX = 3;
 
 struct quarantine_fleet_config
 fleet (uint32_t hosts, uint64_t seed)
@@ -22,19 +22,19 @@
   config.controllers = hosts < 100 ? 3 : 9;
   config.targets = 2 * hosts < 12 ? 12 : 2 * hosts;
   config.seed = seed;
-  config.span = 25 * USEC_PER_SEC;
-  config.holds_back = true;
-  config.sound_rate = 5.0 * hosts;
+  config.duration = 25 * USEC_PER_SEC;
+  config.quarantine_enabled = true;
+  config.normal_rate = 5.0 * hosts;
   config.popular = 0.1;
   return config;
 }
 
 struct quarantine_fleet_figures
-play (const struct quarantine_fleet_config &config)
+simulate (const struct quarantine_fleet_config &config)
 {
   struct quarantine_fleet_figures figures;
 
-  EXPECT_TRUE (quarantine_fleet_play (&config, &figures));
+  EXPECT_TRUE (quarantine_fleet_simulate (&config, &figures));
   return figures;
 }
 
@@ -43,14 +43,14 @@
 {
   struct quarantine_fleet_config config = fleet (3, 1);
 
-  config.holds_back = false;
-  config.bad = 1;
-  config.bad_rate = 8;
-  config.bad_run = 100 * USEC_PER_MSEC;
-  struct quarantine_fleet_figures figures = play (config);
+  config.quarantine_enabled = false;
+  config.poison = 1;
+  config.poison_rate = 8;
+  config.poison_run_max = 100 * USEC_PER_MSEC;
+  struct quarantine_fleet_figures figures = simulate (config);
 
-  EXPECT_GT (figures.ends, 50u);
-  EXPECT_GT (figures.late_most, 50u);
+  EXPECT_GT (figures.crashes, 50u);
+  EXPECT_GT (figures.late_sends_max, 50u);
 }
 
 // One poison request arrives at every host several times a second.
@@ -61,17 +61,17 @@
       {
         struct quarantine_fleet_config config = fleet (hosts, seed);
 
-        config.bad = 1;
-        config.bad_rate = 4;
-        config.bad_evenly = true;
+        config.poison = 1;
+        config.poison_rate = 4;
+        config.poison_is_periodic = true;
         // The simulation stops before the first trial.
-        config.span = QUARANTINE_FIRST_TRIAL - USEC_PER_SEC;
-        config.bad_run = 100 * USEC_PER_MSEC;
-        struct quarantine_fleet_figures figures = play (config);
+        config.duration = QUARANTINE_FIRST_TRIAL_DELAY - USEC_PER_SEC;
+        config.poison_run_max = 100 * USEC_PER_MSEC;
+        struct quarantine_fleet_figures figures = simulate (config);
 
-        EXPECT_LE (figures.late_most, LATE_MAX) << hosts << " hosts, seed " << seed;
-        EXPECT_LE (figures.ends, ENDS_MAX) << hosts << " hosts, seed " << seed;
-        EXPECT_EQ (figures.sound_held, 0u) << hosts << " hosts, seed " << seed;
+        EXPECT_LE (figures.late_sends_max, LATE_SENDS_MAX) << hosts << " hosts, seed " << seed;
+        EXPECT_LE (figures.crashes, CRASHES_MAX) << hosts << " hosts, seed " << seed;
+        EXPECT_EQ (figures.normal_held, 0u) << hosts << " hosts, seed " << seed;
       }
 }
 
@@ -82,10 +82,10 @@
     {
       struct quarantine_fleet_config config = fleet (6, seed);
 
-      config.bad = 1;
-      config.bad_rate = 20;
-      config.bad_run = 900 * USEC_PER_MSEC;
-      EXPECT_LE (play (config).late_most, LATE_MAX) << "seed " << seed;
+      config.poison = 1;
+      config.poison_rate = 20;
+      config.poison_run_max = 900 * USEC_PER_MSEC;
+      EXPECT_LE (simulate (config).late_sends_max, LATE_SENDS_MAX) << "seed " << seed;
     }
 }
 
@@ -97,14 +97,14 @@
     {
       struct quarantine_fleet_config config = fleet (6, seed);
 
-      config.bad = 3;
-      config.bad_rate = 3;
-      config.bad_run = 900 * USEC_PER_MSEC;
+      config.poison = 3;
+      config.poison_rate = 3;
+      config.poison_run_max = 900 * USEC_PER_MSEC;
       config.restarts = 5;
-      config.cuts = 5;
-      struct quarantine_fleet_figures figures = play (config);
+      config.partitions = 5;
+      struct quarantine_fleet_figures figures = simulate (config);
 
-      EXPECT_LE (figures.late_most, LATE_MAX) << "seed " << seed;
+      EXPECT_LE (figures.late_sends_max, LATE_SENDS_MAX) << "seed " << seed;
     }
 }
 
@@ -116,11 +116,11 @@
     {
       struct quarantine_fleet_config config = fleet (6, seed);
 
-      config.bad = 1;
-      config.bad_rate = 3;
-      config.bad_run = 300 * USEC_PER_MSEC;
-      config.blackouts = 1;
-      EXPECT_LE (play (config).late_most, LATE_MAX) << "seed " << seed;
+      config.poison = 1;
+      config.poison_rate = 3;
+      config.poison_run_max = 300 * USEC_PER_MSEC;
+      config.full_restarts = 1;
+      EXPECT_LE (simulate (config).late_sends_max, LATE_SENDS_MAX) << "seed " << seed;
     }
 }
 
@@ -134,7 +134,7 @@
 
       config.popular = 0.5;
       config.power_cuts = 6;
-      EXPECT_EQ (play (config).sound_held, 0u) << "seed " << seed;
+      EXPECT_EQ (simulate (config).normal_held, 0u) << "seed " << seed;
     }
 }
 
@@ -146,16 +146,16 @@
     {
       struct quarantine_fleet_config config = fleet (9, seed);
 
-      config.span = 60 * USEC_PER_SEC;
-      config.bad = 3;
-      config.bad_rate = 8;
-      config.bad_run = 300 * USEC_PER_MSEC;
+      config.duration = 60 * USEC_PER_SEC;
+      config.poison = 3;
+      config.poison_rate = 8;
+      config.poison_run_max = 300 * USEC_PER_MSEC;
       config.restarts = 3;
-      config.cuts = 3;
-      struct quarantine_fleet_figures figures = play (config);
+      config.partitions = 3;
+      struct quarantine_fleet_figures figures = simulate (config);
 
-      EXPECT_EQ (figures.sound_held_last, 0u) << "seed " << seed;
-      EXPECT_LE (figures.late_most, LATE_MAX) << "seed " << seed;
+      EXPECT_EQ (figures.normal_held_last, 0u) << "seed " << seed;
+      EXPECT_LE (figures.late_sends_max, LATE_SENDS_MAX) << "seed " << seed;
     }
 }
 
@@ -165,11 +165,11 @@
   struct quarantine_fleet_config config = fleet (6, 1);
 
   config.popular = 0.5;
-  config.resets = 0.6;
-  struct quarantine_fleet_figures figures = play (config);
+  config.reset_share = 0.6;
+  struct quarantine_fleet_figures figures = simulate (config);
 
-  EXPECT_EQ (figures.sound_held, 0u);
-  EXPECT_EQ (figures.sound_asked_to_wait, 0u);
+  EXPECT_EQ (figures.normal_held, 0u);
+  EXPECT_EQ (figures.normal_deferred, 0u);
 }
 
 }
--- a/tests/unit_stage.cc
+++ b/tests/unit_stage.cc
@@ -128,7 +128,7 @@
 
     spec.kind = kind;
     spec.top = top;
-    return stage_take (&spec, &data, body.data (), body.size (), &usage);
+    return stage_accept_answer (&spec, &data, body.data (), body.size (), &usage);
   }
 
   std::string
@@ -231,17 +231,17 @@
                            R"( "usage": {"prompt_tokens": 7, "cached_tokens": 4}})";
   const std::string no_index = R"({"choices": [{"text":"ab"}]})";
 
-  ASSERT_EQ (stage_piece_read (text.data (), text.size (), &piece), STATUS_OK);
+  ASSERT_EQ (stage_piece_parse (text.data (), text.size (), &piece), STATUS_OK);
   EXPECT_EQ (std::string (piece.text, piece.text_length), "ab");
   EXPECT_EQ (piece.index, 3u);
   EXPECT_FALSE (piece.finished);
   stage_piece_clear (&piece);
-  ASSERT_EQ (stage_piece_read (last.data (), last.size (), &piece), STATUS_OK);
+  ASSERT_EQ (stage_piece_parse (last.data (), last.size (), &piece), STATUS_OK);
   EXPECT_TRUE (piece.finished);
   EXPECT_EQ (piece.usage.cached_tokens, 4u);
   stage_piece_clear (&piece);
-  EXPECT_EQ (stage_piece_read (no_index.data (), no_index.size (), &piece), STATUS_MALFORMED);
-  EXPECT_EQ (stage_piece_read ("{}", 2, &piece), STATUS_MALFORMED);
+  EXPECT_EQ (stage_piece_parse (no_index.data (), no_index.size (), &piece), STATUS_MALFORMED);
+  EXPECT_EQ (stage_piece_parse ("{}", 2, &piece), STATUS_MALFORMED);
 }
 
 // An index out of range must not be read as 0, the index of the first piece.
@@ -254,7 +254,7 @@
           R"({"choices": [{"text": "ab", "index": )" + std::string (index) + "}]}";
       struct stage_piece piece;
 
-      EXPECT_EQ (stage_piece_read (text.data (), text.size (), &piece), STATUS_MALFORMED) << index;
+      EXPECT_EQ (stage_piece_parse (text.data (), text.size (), &piece), STATUS_MALFORMED) << index;
     }
 }
 
@@ -272,7 +272,7 @@
           R"({"choices": [{"text": "", "index": 2, "finish_reason": ")" + reason + "\"}]}";
       struct stage_piece piece;
 
-      EXPECT_EQ (stage_piece_read (text.data (), text.size (), &piece), expected) << reason;
+      EXPECT_EQ (stage_piece_parse (text.data (), text.size (), &piece), expected) << reason;
       stage_piece_clear (&piece);
     }
 }
@@ -285,7 +285,7 @@
   spec.kind = STAGE_GENERATE;
   struct bytes body;
   bytes_init (&body, nullptr);
-  stage_body (&spec, &data, &call, &body);
+  stage_append_body (&spec, &data, &call, &body);
   EXPECT_STREQ (body.data, R"({"model":"","prompt":"query\nA\nB\nC","max_tokens":5,"stream":true,)"
                            R"("priority":9,"resume_from":2})");
   bytes_clear (&body);
--- a/tests/unit_target_watch.cc
+++ b/tests/unit_target_watch.cc
@@ -278,7 +278,7 @@
       .complete = [] (struct h1_reader *) {},
     };
     struct request_digest out;
-    char text[REQUEST_DIGEST_TEXT];
+    char text[REQUEST_DIGEST_TEXT_SIZE];
     reading at;
     size_t used;
 
@@ -286,8 +286,8 @@
     h1_reader_init (&at.reader, &ops, HTTP_REQUEST, H1_HEAD_BYTES_MAX);
     EXPECT_EQ (h1_read (&at.reader, message.data (), message.size (), &used), STATUS_OK);
     EXPECT_TRUE (at.reader.done);
-    request_digest_of (&at.reader.head, &at.body, organisation, &out);
-    request_digest_write (&out, text);
+    request_digest_compute (&at.reader.head, &at.body, organisation, &out);
+    request_digest_format (&out, text);
     h1_reader_clear (&at.reader);
     return text;
   }
@@ -313,7 +313,7 @@
   std::string first =
       digest (post ("/a?b", "X-Attempt-Id: 1\r\nX-Deadline-Ms: 9\r\n", "body"), "o");
 
-  EXPECT_EQ (first.size (), REQUEST_DIGEST_TEXT - 1u);
+  EXPECT_EQ (first.size (), REQUEST_DIGEST_TEXT_SIZE - 1u);
   EXPECT_EQ (digest (post ("/a?b", "X-Attempt-Id: 2\r\nConnection: close\r\n", "body"), "o"),
              first);
   EXPECT_EQ (digest ("POST /a?b HTTP/1.1\r\nHost: h\r\nTransfer-Encoding: chunked\r\n\r\n"
@@ -339,15 +339,15 @@
 TEST_F (RequestDigest, IsReadBackAsWritten)
 {
   struct request_digest read;
-  char text[REQUEST_DIGEST_TEXT];
+  char text[REQUEST_DIGEST_TEXT_SIZE];
   std::string first = digest (post ("/a", "", ""), "");
 
-  ASSERT_TRUE (request_digest_read (first.c_str (), &read));
-  request_digest_write (&read, text);
+  ASSERT_TRUE (request_digest_parse (first.c_str (), &read));
+  request_digest_format (&read, text);
   EXPECT_EQ (text, first);
-  EXPECT_FALSE (request_digest_read ("12", &read));
-  EXPECT_FALSE (request_digest_read ((first + "00").c_str (), &read));
-  EXPECT_FALSE (request_digest_read ("zz", &read));
+  EXPECT_FALSE (request_digest_parse ("12", &read));
+  EXPECT_FALSE (request_digest_parse ((first + "00").c_str (), &read));
+  EXPECT_FALSE (request_digest_parse ("zz", &read));
 }
 
 }
