--- a/bench/engine_model.c
+++ b/bench/engine_model.c
@@ -335,11 +335,12 @@
 
       engine->lost = lost;
       memset (engine->holds, 0, model->options.parts * sizeof *engine->holds);
-      engine->record.word.state = lost ? REGISTRY_LEAVING : REGISTRY_READY;
-      engine->record.word.started += 1000;
+      engine->record.registration.state = lost ? REGISTRY_LEAVING : REGISTRY_READY;
+      engine->record.registration.started_unix_ms += 1000;
       for (uint32_t j = 0; j < model->options.hosts; j++)
         {
-          engine->record.user = balance_find (&model->hosts[j].balance, engine->record.word.id);
+          engine->record.user =
+              balance_find (&model->hosts[j].balance, engine->record.registration.id);
           balance_update (&model->hosts[j].balance, model->hosts[j].memory, &engine->record);
         }
     }
@@ -435,14 +436,14 @@
 {
   for (uint32_t i = 0; i < model->options.engines; i++)
     {
-      struct registry_word *word = &model->engines[i].record.word;
+      struct registry_registration *word = &model->engines[i].record.registration;
 
       snprintf (word->id, sizeof word->id, "e%u", i);
       snprintf (word->pool, sizeof word->pool, "%s", POOL);
       snprintf (word->address, sizeof word->address, "127.0.0.1:%u", 1000 + i);
       snprintf (word->domain, sizeof word->domain, "d%u", i % DOMAINS);
       word->state = REGISTRY_READY;
-      word->started = 1;
+      word->started_unix_ms = 1;
       model->engines[i].holds = talloc_zero_array (model, bool, model->options.parts);
     }
 }
--- a/bench/fuzz_message.c
+++ b/bench/fuzz_message.c
@@ -326,17 +326,19 @@
 static void
 directory_sample (uint32_t i, struct bytes *out)
 {
-  struct directory_ask_message ask = { .asked_at = 5, .epoch = 7, .version = 1, .n_interest = 1 };
+  struct directory_request_message ask = {
+    .requested_at = 5, .epoch = 7, .version = 1, .n_interest = 1
+  };
   struct directory_change change = { .slot = 0, .version = 2, .phase = DIRECTORY_READY };
   struct directory_head *head = talloc_zero (NULL, struct directory_head);
   struct board_target target;
 
   fill_target (&target);
-  text_copy (change.said.name, sizeof change.said.name, target.name);
-  change.said.incarnation = target.incarnation;
-  change.said.sequence = target.sequence;
+  text_copy (change.record.name, sizeof change.record.name, target.name);
+  change.record.incarnation = target.incarnation;
+  change.record.sequence = target.sequence;
   head->kind = i == 1 ? DIRECTORY_ANSWER_MESSAGE : DIRECTORY_PUSH_MESSAGE;
-  head->asked_at = i == 1 ? NOW - USEC_PER_MSEC : 0;
+  head->requested_at = i == 1 ? NOW - USEC_PER_MSEC : 0;
   head->epoch = INCARNATION;
   head->version = 2;
   head->current = 2;
@@ -344,7 +346,7 @@
   head->reset = true;
   head->n_changes = 1;
   if (i == 0)
-    directory_write_ask (out, &ask);
+    directory_write_request (out, &ask);
   else
     {
       directory_write_head (out, head);
@@ -391,7 +393,7 @@
   };
   struct directory *directory;
   struct pack_reader reader;
-  struct directory_ask_message ask;
+  struct directory_request_message ask;
   struct directory_head *head = talloc (parent, struct directory_head);
   uint64_t kind;
 
@@ -404,8 +406,8 @@
   json_decref (directory_describe (directory));
   pack_reader_init (&reader, data, length);
   kind = pack_read_uint (&reader, DIRECTORY_PUSH_MESSAGE);
-  return as_status (kind == DIRECTORY_ASK_MESSAGE ? directory_read_ask (&reader, &ask)
-                                                  : directory_read_head (&reader, head));
+  return as_status (kind == DIRECTORY_REQUEST_MESSAGE ? directory_read_request (&reader, &ask)
+                                                      : directory_read_head (&reader, head));
 }
 
 const struct fuzz_decoder fuzz_directory = {
--- a/bench/spread_directory.c
+++ b/bench/spread_directory.c
@@ -119,7 +119,7 @@
       t->incarnation = 1700000000000;
       t->sequence = 1;
       INVARIANT (directory_announce (bed->hosts[i % bed->n_homes]->directory, t, now) == STATUS_OK);
-      bed->renew_at[i] = now + (int64_t) rng_below (rng, DIRECTORY_RENEW);
+      bed->renew_at[i] = now + (int64_t) rng_below (rng, DIRECTORY_RENEW_INTERVAL);
     }
 }
 
@@ -162,7 +162,7 @@
           if (now < bed->renew_at[i])
             continue;
           (void) directory_renew (bed->hosts[i % bed->n_homes]->directory, &key, now);
-          bed->renew_at[i] += DIRECTORY_RENEW;
+          bed->renew_at[i] += DIRECTORY_RENEW_INTERVAL;
         }
       spread_net_run (bed->net, POLL);
     }
@@ -256,7 +256,7 @@
   if (ending == LEAVES_UNTOLD)
     spread_net_cut (bed->net, HOME, 1 + (uint32_t) (seed % (n_hosts - 1)), true);
   if (ending == DIES)
-    from = bed->renew_at[7] - DIRECTORY_RENEW; /* its last renewal */
+    from = bed->renew_at[7] - DIRECTORY_RENEW_INTERVAL; /* its last renewal */
   else
     INVARIANT (directory_leave (bed->hosts[HOME]->directory, &key, from) == STATUS_OK);
   bed->renew_at[7] = USEC_NEVER;
--- a/src/balance.c
+++ b/src/balance.c
@@ -47,11 +47,11 @@
 static void
 reset_incarnation (struct balance *balance, struct balance_target *target)
 {
-  const struct registry_word *word = &target->record->word;
+  const struct registry_registration *word = &target->record->registration;
 
   if (target->id_hash != 0)
     engine_load_remove_target (balance->engines, target->id_hash);
-  target->started = word->started;
+  target->started = word->started_unix_ms;
   target->id_hash = XXH3_64bits_withSeed (target->id, strlen (target->id), target->started);
   text_copy_cut (target->pool, sizeof target->pool, word->pool);
   text_copy_cut (target->domain, sizeof target->domain, word->domain);
@@ -71,24 +71,24 @@
 
   if (target == NULL)
     {
-      if (record->word.state == REGISTRY_GONE)
+      if (record->registration.state == REGISTRY_GONE)
         return;
       target = talloc_zero (parent, struct balance_target);
       if (target == NULL)
         return;
-      text_copy_cut (target->id, sizeof target->id, record->word.id);
+      text_copy_cut (target->id, sizeof target->id, record->registration.id);
       target->record = record;
       reset_incarnation (balance, target);
       target->next = balance->targets;
       balance->targets = target;
       record->user = target;
     }
-  if (target->started != record->word.started)
+  if (target->started != record->registration.started_unix_ms)
     reset_incarnation (balance, target);
-  target->usable = registry_usable (record);
-  target->excluded = record->word.state != REGISTRY_READY;
-  target->leaving = target->leaving || record->word.state == REGISTRY_LEAVING;
-  if (record->word.state == REGISTRY_GONE)
+  target->usable = registry_target_is_usable (record);
+  target->excluded = record->registration.state != REGISTRY_READY;
+  target->leaving = target->leaving || record->registration.state == REGISTRY_LEAVING;
+  if (record->registration.state == REGISTRY_GONE)
     engine_load_remove_target (balance->engines, target->id_hash);
 }
 
@@ -101,7 +101,7 @@
     {
       struct balance_target *target = *at;
 
-      if (target->record->word.state != REGISTRY_GONE || target->in_flight > 0)
+      if (target->record->registration.state != REGISTRY_GONE || target->in_flight > 0)
         {
           at = &target->next;
           continue;
--- a/src/controller.c
+++ b/src/controller.c
@@ -319,7 +319,7 @@
   struct controller *controller = CONTAINER_OF (timer, struct controller, tick);
 
   update_list (controller, now);
-  registry_expire (controller->registry, REGISTRY_REMEMBER, now);
+  registry_expire (controller->registry, REGISTRY_RETENTION, now);
   timer_arm (controller->config.timers, timer, now + TICK_PERIOD);
 }
 
--- a/src/controller.h
+++ b/src/controller.h
@@ -80,7 +80,7 @@
 
 /* A target renewed, leaves, or is gone.  True: taken, and done() will not come. */
 bool controller_register (struct controller *controller,
-                          const struct registry_word *word,
+                          const struct registry_registration *word,
                           struct controller_wait *wait,
                           int64_t now);
 
--- a/src/controller_state.c
+++ b/src/controller_state.c
@@ -34,8 +34,8 @@
 static bool
 renewal_is_due (const struct registry_target *target, const struct fed_host *host)
 {
-  return target->revision <= host->targets && target->heard > host->renewed_until
-         && target->word.state != REGISTRY_GONE;
+  return target->revision <= host->targets && target->last_heard_at > host->renewed_until
+         && target->registration.state != REGISTRY_GONE;
 }
 
 static void
@@ -58,9 +58,9 @@
     {
       struct sync_renewal renewal = {
         .id_hash = target->id_hash,
-        .started = target->word.started,
-        .sequence = target->word.sequence,
-        .age = (uint64_t) (now - target->heard),
+        .started = target->registration.started_unix_ms,
+        .sequence = target->registration.sequence,
+        .age = (uint64_t) (now - target->last_heard_at),
       };
 
       if (renewal_is_due (target, host))
--- a/src/controller_target.c
+++ b/src/controller_target.c
@@ -9,26 +9,26 @@
 static void
 log_target (const struct registry_target *target, const char *by, int64_t now)
 {
-  const struct registry_word *word = &target->word;
+  const struct registry_registration *word = &target->registration;
 
   log_event (LOG_MODULE_DIRECTORY, LOG_LEVEL_INFO, "target", "{s:s,s:I,s:s,s:s,s:s,s:I,s:I,s:s}",
-             "id", word->id, "started", (json_int_t) word->started, "pool", word->pool, "address",
-             word->address, "state", registry_state_text (word->state), "sequence",
+             "id", word->id, "started", (json_int_t) word->started_unix_ms, "pool", word->pool,
+             "address", word->address, "state", registry_state_text (word->state), "sequence",
              (json_int_t) word->sequence, "age_ms",
-             (json_int_t) ((now - target->heard) / USEC_PER_MSEC), "by", by);
+             (json_int_t) ((now - target->last_heard_at) / USEC_PER_MSEC), "by", by);
 }
 
 static struct registry_target *
 merge (struct controller *controller,
-       const struct registry_word *word,
+       const struct registry_registration *word,
        int64_t age,
        const char *by,
        int64_t now)
 {
   struct registry_target *target;
-  enum registry_news news = registry_merge (controller->registry, word, age, now, &target);
+  enum registry_merge_result news = registry_merge (controller->registry, word, age, now, &target);
 
-  if (target == NULL || news == REGISTRY_NEWS_NONE || news == REGISTRY_NEWS_STALE)
+  if (target == NULL || news == REGISTRY_MERGE_NONE || news == REGISTRY_MERGE_STALE)
     return target;
   log_target (target, by, now);
   gauge_set (controller->n_targets, HASH_COUNT (controller->registry->targets));
@@ -142,7 +142,7 @@
  * the word goes to a majority first.  A renewal that is lost is repeated by the target. */
 bool
 controller_register (struct controller *controller,
-                     const struct registry_word *word,
+                     const struct registry_registration *word,
                      struct controller_wait *wait,
                      int64_t now)
 {
@@ -161,15 +161,15 @@
                        int64_t now)
 {
   struct registry_target *target = registry_find (controller->registry, id);
-  struct registry_word word = { .state = REGISTRY_GONE };
+  struct registry_registration word = { .state = REGISTRY_GONE };
 
   if (target != NULL)
-    word = target->word;
+    word = target->registration;
   else
     text_copy_cut (word.id, sizeof word.id, id);
   word.state = REGISTRY_GONE;
   if (started != 0)
-    word.started = started;
+    word.started_unix_ms = started;
   return controller_register (controller, &word, wait, now);
 }
 
@@ -193,7 +193,7 @@
 {
   uint64_t incarnation = pack_read_uint (in, UINT64_MAX);
   uint64_t number = pack_read_uint (in, UINT64_MAX);
-  struct registry_word word;
+  struct registry_registration word;
   int64_t age;
   struct bytes out;
 
--- a/src/directory.c
+++ b/src/directory.c
@@ -6,11 +6,11 @@
 #include <string.h>
 #include <talloc.h>
 
-#define TICK (100 * USEC_PER_MSEC)
+#define TICK_INTERVAL (100 * USEC_PER_MSEC)
 
 /* A renewal that arrives when less than this is left of the lease is pushed to the other hosts at
  * once. */
-#define LAST_MOMENT (600 * USEC_PER_MSEC)
+#define LATE_RENEWAL_MARGIN (600 * USEC_PER_MSEC)
 
 static int
 free_directory (struct directory *directory)
@@ -23,8 +23,8 @@
 static void
 register_counters (struct directory *directory, struct counters *counters)
 {
-  directory->refused_old = counter_get (counters, "cherryarch_directory_refused_old_total",
-                                        "Targets' words that were old", NULL);
+  directory->refused_outdated = counter_get (counters, "cherryarch_directory_refused_old_total",
+                                             "Targets' words that were old", NULL);
   directory->malformed = counter_get (counters, "cherryarch_directory_malformed_total",
                                       "Messages about targets that could not be read", NULL);
   directory->lapsed = counter_get (counters, "cherryarch_directory_lapsed_total",
@@ -51,59 +51,59 @@
   directory->push_at = USEC_NEVER;
   rng_init (&directory->rng, config->seed);
   register_counters (directory, config->counters);
-  directory->ours = directory_home_of (directory, config->self);
-  if (directory->ours == NULL)
+  directory->own_home = directory_find_or_add_home (directory, config->self);
+  if (directory->own_home == NULL)
     {
       talloc_free (directory);
       return NULL;
     }
-  directory->ours->epoch = config->incarnation;
+  directory->own_home->epoch = config->incarnation;
   return directory;
 }
 
 /* ---- calls of targets ---- */
 
 static enum status
-refuse_old (struct directory *directory, const char *name)
+refuse_outdated (struct directory *directory, const char *name)
 {
-  counter_add (directory->refused_old, 1);
+  counter_add (directory->refused_outdated, 1);
   return status_fail (STATUS_CONFLICT, "target %s has said newer words", name);
 }
 
 static enum status
-renew (struct directory *directory, struct directory_entry *entry, int64_t now)
+renew_entry (struct directory *directory, struct directory_entry *entry, int64_t now)
 {
-  bool last_moment = now - entry->renewed_at >= DIRECTORY_LEASE - LAST_MOMENT;
+  bool renewed_late = now - entry->renewed_at >= DIRECTORY_LEASE - LATE_RENEWAL_MARGIN;
 
   entry->renewed_at = now;
   if (entry->phase == DIRECTORY_LAPSED)
     directory_set_phase (directory, entry, DIRECTORY_READY, now);
   /* On other hosts the lease has expired or is about to: the push makes them request the list. */
-  if (last_moment)
-    directory_list_changed (directory, entry->slot, now);
+  if (renewed_late)
+    directory_list_mark_changed (directory, entry->slot, now);
   directory_set_lease (directory, entry, now + DIRECTORY_LEASE);
   return STATUS_OK;
 }
 
 enum status
-directory_announce (struct directory *directory, const struct directory_record *said, int64_t now)
+directory_announce (struct directory *directory, const struct directory_record *record, int64_t now)
 {
-  struct directory_entry *entry = directory_find (directory, said->name);
+  struct directory_entry *entry = directory_find_entry (directory, record->name);
   enum status status;
   int order;
 
   if (entry == NULL)
-    entry = directory_add (directory, said->name);
+    entry = directory_add_entry (directory, record->name);
   if (entry == NULL)
-    return status_fail (STATUS_LIMIT, "no room for target %s", said->name);
-  order = directory_compare (entry, said->incarnation, said->sequence);
+    return status_fail (STATUS_LIMIT, "no room for target %s", record->name);
+  order = directory_compare (entry, record->incarnation, record->sequence);
   if (order < 0 || (order == 0 && entry->phase == DIRECTORY_LEAVING))
-    return refuse_old (directory, said->name);
-  if (order == 0 && entry->home == directory->ours)
-    return renew (directory, entry, now);
-  if (entry->home != directory->ours)
+    return refuse_outdated (directory, record->name);
+  if (order == 0 && entry->home == directory->own_home)
+    return renew_entry (directory, entry, now);
+  if (entry->home != directory->own_home)
     directory_detach (directory, entry, now);
-  status = directory_show (directory, entry, said, now);
+  status = directory_update_target (directory, entry, record, now);
   if (status == STATUS_OK && entry->home == NULL)
     status = directory_list_add (directory, entry, now);
   if (status != STATUS_OK)
@@ -111,30 +111,30 @@
   entry->renewed_at = now;
   directory_set_phase (directory, entry, DIRECTORY_READY, now);
   directory_set_lease (directory, entry, now + DIRECTORY_LEASE);
-  directory_list_changed (directory, entry->slot, now);
+  directory_list_mark_changed (directory, entry->slot, now);
   return STATUS_OK;
 }
 
 /* Returns the entry that `key` refers to if its home is this host and the key is not outdated; else
  * NULL, with the reason in `status`. */
 static struct directory_entry *
-at_home (struct directory *directory,
-         const struct directory_key *key,
-         bool with_sequence,
-         enum status *status)
+find_own_entry (struct directory *directory,
+                const struct directory_key *key,
+                bool with_sequence,
+                enum status *status)
 {
-  struct directory_entry *entry = directory_find (directory, key->name);
+  struct directory_entry *entry = directory_find_entry (directory, key->name);
   uint64_t sequence;
 
   *status = STATUS_OK;
-  if (entry == NULL || entry->home != directory->ours)
+  if (entry == NULL || entry->home != directory->own_home)
     {
       *status = status_fail (STATUS_NOT_FOUND, "target %s is not at home here", key->name);
       return NULL;
     }
   sequence = with_sequence ? key->sequence : entry->sequence;
   if (directory_compare (entry, key->incarnation, sequence) < 0)
-    *status = refuse_old (directory, key->name);
+    *status = refuse_outdated (directory, key->name);
   else if (key->incarnation != entry->incarnation)
     *status =
         status_fail (STATUS_NOT_FOUND, "target %s did not announce this incarnation", key->name);
@@ -145,46 +145,46 @@
 directory_renew (struct directory *directory, const struct directory_key *key, int64_t now)
 {
   enum status status;
-  struct directory_entry *entry = at_home (directory, key, true, &status);
+  struct directory_entry *entry = find_own_entry (directory, key, true, &status);
 
   if (entry == NULL)
     return status;
   if (key->sequence != entry->sequence)
     return status_fail (STATUS_NOT_FOUND, "target %s said something unknown here", key->name);
-  return renew (directory, entry, now);
+  return renew_entry (directory, entry, now);
 }
 
 enum status
 directory_leave (struct directory *directory, const struct directory_key *key, int64_t now)
 {
   enum status status;
-  struct directory_entry *entry = at_home (directory, key, true, &status);
+  struct directory_entry *entry = find_own_entry (directory, key, true, &status);
   struct board_target *target;
 
   if (entry == NULL)
     return status;
   entry->sequence = key->sequence;
-  target = directory_target_of (directory, entry);
+  target = directory_board_target (directory, entry);
   if (target != NULL)
     target->sequence = key->sequence;
   directory_set_phase (directory, entry, DIRECTORY_LEAVING, now);
-  directory_list_changed (directory, entry->slot, now);
+  directory_list_mark_changed (directory, entry->slot, now);
   return STATUS_OK;
 }
 
 enum status
-directory_load (struct directory *directory,
-                const struct directory_key *key,
-                const struct load_report *report,
-                int64_t now)
+directory_report_load (struct directory *directory,
+                       const struct directory_key *key,
+                       const struct load_report *report,
+                       int64_t now)
 {
   enum status status;
-  struct directory_entry *entry = at_home (directory, key, false, &status);
+  struct directory_entry *entry = find_own_entry (directory, key, false, &status);
   struct board_target *target;
 
   if (entry == NULL)
     return status;
-  target = directory_target_of (directory, entry);
+  target = directory_board_target (directory, entry);
   /* Reports may arrive out of order; an older one is ignored. */
   if (target != NULL && report->measured_at >= target->report.measured_at)
     {
@@ -195,30 +195,30 @@
 }
 
 enum status
-directory_cache (struct directory *directory,
-                 const struct directory_key *key,
-                 uint64_t first,
-                 const struct directory_cache_event *events,
-                 size_t n_events,
-                 int64_t now)
+directory_report_cache_events (struct directory *directory,
+                               const struct directory_key *key,
+                               uint64_t first,
+                               const struct directory_cache_event *events,
+                               size_t n_events,
+                               int64_t now)
 {
   enum status status;
-  struct directory_entry *entry = at_home (directory, key, false, &status);
+  struct directory_entry *entry = find_own_entry (directory, key, false, &status);
 
   if (entry == NULL)
     return status;
-  if (entry->cache_next != 0 && first > entry->cache_next)
+  if (entry->next_cache_event != 0 && first > entry->next_cache_event)
     {
       counter_add (directory->cache_gaps, 1);
       log_event (LOG_MODULE_DIRECTORY, LOG_LEVEL_INFO, "cache_gap", "{s:s,s:I}", "target",
-                 entry->name, "lost", (json_int_t) (first - entry->cache_next));
+                 entry->name, "lost", (json_int_t) (first - entry->next_cache_event));
     }
   for (size_t i = 0; i < n_events; i++)
     {
       /* A resend after a lost answer begins with events that were already processed. */
-      if (first + i < entry->cache_next)
+      if (first + i < entry->next_cache_event)
         continue;
-      entry->cache_next = first + i + 1;
+      entry->next_cache_event = first + i + 1;
       if (directory->cache != NULL)
         directory->cache->ops->event (directory->cache, entry->target, &events[i], now);
     }
@@ -228,11 +228,11 @@
 /* ---- expiry ---- */
 
 /* Expires the lease of a target of this host that stopped renewing.  A target that was leaving is
- * then removed; any other may only be slow and is kept for DIRECTORY_KEEP_LAPSED. */
+ * then removed; any other may only be slow and is kept for DIRECTORY_LAPSED_RETENTION. */
 static void
-lapse_at_home (struct directory *directory, struct directory_entry *entry, int64_t now)
+expire_own_entry (struct directory *directory, struct directory_entry *entry, int64_t now)
 {
-  if (directory_counts_ready (entry->phase) && now - entry->renewed_at >= DIRECTORY_LEASE)
+  if (directory_phase_has_lease (entry->phase) && now - entry->renewed_at >= DIRECTORY_LEASE)
     {
       counter_add (directory->lapsed, 1);
       log_event (LOG_MODULE_DIRECTORY, LOG_LEVEL_WARNING, "lapsed", "{s:s,s:s}", "target",
@@ -243,18 +243,18 @@
           return;
         }
       directory_set_phase (directory, entry, DIRECTORY_LAPSED, now);
-      directory_list_changed (directory, entry->slot, now);
+      directory_list_mark_changed (directory, entry->slot, now);
     }
-  if (entry->phase == DIRECTORY_LAPSED && now - entry->renewed_at >= DIRECTORY_KEEP_LAPSED)
+  if (entry->phase == DIRECTORY_LAPSED && now - entry->renewed_at >= DIRECTORY_LAPSED_RETENTION)
     directory_list_remove (directory, entry, now);
 }
 
 static void
-forget (struct directory *directory, struct directory_entry *entry, int64_t now)
+free_detached (struct directory *directory, struct directory_entry *entry, int64_t now)
 {
-  if (entry->home == NULL && now - entry->changed_at >= DIRECTORY_KEEP_LAPSED)
-    directory_hide (directory, entry, now);
-  if (entry->home == NULL && now - entry->changed_at >= DIRECTORY_REMEMBER)
+  if (entry->home == NULL && now - entry->changed_at >= DIRECTORY_LAPSED_RETENTION)
+    directory_remove_target (directory, entry, now);
+  if (entry->home == NULL && now - entry->changed_at >= DIRECTORY_ENTRY_RETENTION)
     {
       HASH_DEL (directory->entries, entry);
       talloc_free (entry);
@@ -264,27 +264,27 @@
 static void
 entry_tick (struct directory *directory, struct directory_entry *entry, int64_t now)
 {
-  const struct board_target *target = directory_target_of (directory, entry);
+  const struct board_target *target = directory_board_target (directory, entry);
 
   if (target != NULL && target->in_flight > 0)
     entry->used_at = now;
-  if (entry->home == directory->ours)
-    lapse_at_home (directory, entry, now);
-  else if (entry->home != NULL && now - entry->renewed_at >= DIRECTORY_KEEP_LAPSED)
+  if (entry->home == directory->own_home)
+    expire_own_entry (directory, entry, now);
+  else if (entry->home != NULL && now - entry->renewed_at >= DIRECTORY_LAPSED_RETENTION)
     directory_detach (directory, entry, now); /* its home is dead or no longer lists it */
-  forget (directory, entry, now);
+  free_detached (directory, entry, now);
 }
 
 /* A process whose clock was set back learns from the other hosts that its incarnation is outdated
  * and adopts a newer one (member.c).  The list's epoch follows, or other hosts would ignore the
  * list as that of the previous process. */
 static void
-follow_incarnation (struct directory *directory)
+update_epoch (struct directory *directory)
 {
   const struct board_host *self = table_get (directory->board->hosts, directory->board->self);
 
-  if (self != NULL && self->incarnation > directory->ours->epoch)
-    directory->ours->epoch = self->incarnation;
+  if (self != NULL && self->incarnation > directory->own_home->epoch)
+    directory->own_home->epoch = self->incarnation;
 }
 
 int64_t
@@ -297,17 +297,17 @@
     {
       entry_tick (directory, entry, now);
     }
-  follow_incarnation (directory);
+  update_epoch (directory);
   directory_list_tick (directory, now);
   directory_sync_tick (directory, now);
   directory_ready_tick (directory, now);
-  return now + TICK;
+  return now + TICK_INTERVAL;
 }
 
 uint32_t
-directory_at_home (const struct directory *directory)
+directory_count_own_targets (const struct directory *directory)
 {
-  return directory->ours->n_ready;
+  return directory->own_home->n_ready;
 }
 
 json_t *
@@ -322,5 +322,5 @@
                                              (json_int_t) home->version, "targets",
                                              (json_int_t) home->n_ready));
   return json_pack ("{s:i,s:i,s:o}", "known", (int) HASH_COUNT (directory->entries), "at_home",
-                    (int) directory->ours->n_ready, "homes", homes);
+                    (int) directory->own_home->n_ready, "homes", homes);
 }
--- a/src/directory.h
+++ b/src/directory.h
@@ -26,17 +26,17 @@
 #define DIRECTORY_LEASE (3 * USEC_PER_SEC)
 
 /* Interval of a target's renewals. */
-#define DIRECTORY_RENEW (1 * USEC_PER_SEC)
+#define DIRECTORY_RENEW_INTERVAL (1 * USEC_PER_SEC)
 
 /* An answer of the home renews a lease for at most this long, from the time of the request.  It
  * bounds how long a host that lost its connection to the home still sends work to a target that has
  * since announced its shutdown (limit: 2 s). */
-#define DIRECTORY_SHARE_LEASE (1800 * USEC_PER_MSEC)
+#define DIRECTORY_ANSWER_LEASE (1800 * USEC_PER_MSEC)
 
 /* Interval of requests to a home with targets, and the interval of retries when no answer came: a
  * single lost answer does not let a lease expire. */
-#define DIRECTORY_ASK (1400 * USEC_PER_MSEC)
-#define DIRECTORY_ASK_AGAIN (200 * USEC_PER_MSEC)
+#define DIRECTORY_POLL_INTERVAL (1400 * USEC_PER_MSEC)
+#define DIRECTORY_RETRY_INTERVAL (200 * USEC_PER_MSEC)
 
 #define DIRECTORY_MESSAGE_MAX (16u << 10)
 
@@ -118,7 +118,7 @@
 /* Handles a target's announcement to this host, which becomes its home.  STATUS_CONFLICT when the
  * announcement is older than the known record, STATUS_LIMIT when the tables are full. */
 enum status directory_announce (struct directory *directory,
-                                const struct directory_record *said,
+                                const struct directory_record *record,
                                 int64_t now);
 
 /* Handle a target's renewal and its notice of shutdown.  STATUS_NOT_FOUND when this host is not the
@@ -131,20 +131,20 @@
                              int64_t now);
 
 /* `report->measured_at` is on this host's clock.  The sequence in `key` is ignored. */
-enum status directory_load (struct directory *directory,
-                            const struct directory_key *key,
-                            const struct load_report *report,
-                            int64_t now);
+enum status directory_report_load (struct directory *directory,
+                                   const struct directory_key *key,
+                                   const struct load_report *report,
+                                   int64_t now);
 
 /* Handles cache events numbered from `first`.  Events already seen are skipped.  Missing numbers
  * are counted as a gap, after which the known cache contents of the target may be wrong until its
  * blocks are reported again. */
-enum status directory_cache (struct directory *directory,
-                             const struct directory_key *key,
-                             uint64_t first,
-                             const struct directory_cache_event *events,
-                             size_t n_events,
-                             int64_t now);
+enum status directory_report_cache_events (struct directory *directory,
+                                           const struct directory_key *key,
+                                           uint64_t first,
+                                           const struct directory_cache_event *events,
+                                           size_t n_events,
+                                           int64_t now);
 
 /* Handles a message from another host. */
 void directory_receive (
@@ -158,7 +158,7 @@
 int64_t directory_tick (struct directory *directory, int64_t now);
 
 /* Number of targets whose home is this host and whose lease has not expired. */
-uint32_t directory_at_home (const struct directory *directory);
+uint32_t directory_count_own_targets (const struct directory *directory);
 
 json_t *directory_describe (const struct directory *directory);
 
--- a/src/directory_entry.c
+++ b/src/directory_entry.c
@@ -7,7 +7,7 @@
 /* uthash's macros expand to long code.
  * NOLINTBEGIN(readability-function-size) */
 struct directory_entry *
-directory_find (const struct directory *directory, const char *name)
+directory_find_entry (const struct directory *directory, const char *name)
 {
   struct directory_entry *entry;
 
@@ -16,7 +16,7 @@
 }
 
 struct directory_entry *
-directory_add (struct directory *directory, const char *name)
+directory_add_entry (struct directory *directory, const char *name)
 {
   struct directory_entry *entry;
 
@@ -44,63 +44,63 @@
 }
 
 struct board_target *
-directory_target_of (const struct directory *directory, const struct directory_entry *entry)
+directory_board_target (const struct directory *directory, const struct directory_entry *entry)
 {
   return table_get (directory->board->targets, entry->target);
 }
 
 static void
-copy_said (struct board_target *target, const struct directory_record *said)
+copy_record (struct board_target *target, const struct directory_record *record)
 {
-  memcpy (target->name, said->name, sizeof target->name);
-  memcpy (target->pool, said->pool, sizeof target->pool);
-  memcpy (target->domain, said->domain, sizeof target->domain);
-  memcpy (target->address, said->address, sizeof target->address);
-  target->kind = said->kind;
-  memcpy (target->models, said->models, sizeof target->models);
-  target->n_models = said->n_models;
-  memcpy (target->adapters, said->adapters, sizeof target->adapters);
-  target->n_adapters = said->n_adapters;
-  memcpy (target->version, said->version, sizeof target->version);
-  target->checks_orders = said->checks_orders;
-  target->reports_load = said->reports_load;
-  target->slots = said->slots;
-  target->incarnation = said->incarnation;
-  target->sequence = said->sequence;
+  memcpy (target->name, record->name, sizeof target->name);
+  memcpy (target->pool, record->pool, sizeof target->pool);
+  memcpy (target->domain, record->domain, sizeof target->domain);
+  memcpy (target->address, record->address, sizeof target->address);
+  target->kind = record->kind;
+  memcpy (target->models, record->models, sizeof target->models);
+  target->n_models = record->n_models;
+  memcpy (target->adapters, record->adapters, sizeof target->adapters);
+  target->n_adapters = record->n_adapters;
+  memcpy (target->version, record->version, sizeof target->version);
+  target->checks_orders = record->checks_orders;
+  target->reports_load = record->reports_load;
+  target->slots = record->slots;
+  target->incarnation = record->incarnation;
+  target->sequence = record->sequence;
 }
 
 enum status
-directory_show (struct directory *directory,
-                struct directory_entry *entry,
-                const struct directory_record *said,
-                int64_t now)
+directory_update_target (struct directory *directory,
+                         struct directory_entry *entry,
+                         const struct directory_record *record,
+                         int64_t now)
 {
-  struct board_target *target = directory_target_of (directory, entry);
+  struct board_target *target = directory_board_target (directory, entry);
   bool added = false;
 
   /* A restarted process must not get late answers that belong to the old one: those hold the old
    * handle, which is invalid from here on. */
-  if (target != NULL && target->incarnation != said->incarnation)
+  if (target != NULL && target->incarnation != record->incarnation)
     {
-      directory_hide (directory, entry, now);
+      directory_remove_target (directory, entry, now);
       target = NULL;
     }
   if (target == NULL)
     {
       target = table_add (directory->board->targets, &entry->target);
       if (target == NULL)
-        return status_fail (STATUS_LIMIT, "no room for target %s", said->name);
+        return status_fail (STATUS_LIMIT, "no room for target %s", record->name);
       added = true;
     }
-  copy_said (target, said);
+  copy_record (target, record);
   if (added)
     {
       target->state = entry->phase == DIRECTORY_LEAVING ? TARGET_LEAVING : TARGET_READY;
       text_copy_cut (target->home, sizeof target->home,
                      entry->home != NULL ? entry->home->name : "");
     }
-  entry->incarnation = said->incarnation;
-  entry->sequence = said->sequence;
+  entry->incarnation = record->incarnation;
+  entry->sequence = record->sequence;
   entry->changed_at = now;
   board_publish (directory->board, added ? BOARD_TARGET_ADDED : BOARD_TARGET_CHANGED, entry->target,
                  now);
@@ -108,18 +108,18 @@
 }
 
 void
-directory_hide (struct directory *directory, struct directory_entry *entry, int64_t now)
+directory_remove_target (struct directory *directory, struct directory_entry *entry, int64_t now)
 {
-  if (directory_target_of (directory, entry) == NULL)
+  if (directory_board_target (directory, entry) == NULL)
     return;
   board_publish (directory->board, BOARD_TARGET_REMOVED, entry->target, now);
   table_remove (directory->board->targets, entry->target);
   entry->target = (struct handle){ 0 };
-  entry->cache_next = 0;
+  entry->next_cache_event = 0;
 }
 
 bool
-directory_counts_ready (enum directory_phase phase)
+directory_phase_has_lease (enum directory_phase phase)
 {
   return phase == DIRECTORY_READY || phase == DIRECTORY_LEAVING;
 }
@@ -129,7 +129,7 @@
                      const struct directory_entry *entry,
                      int64_t until)
 {
-  struct board_target *target = directory_target_of (directory, entry);
+  struct board_target *target = directory_board_target (directory, entry);
 
   if (target != NULL)
     target->lease_until = until;
@@ -141,14 +141,14 @@
                      enum directory_phase phase,
                      int64_t now)
 {
-  struct board_target *target = directory_target_of (directory, entry);
+  struct board_target *target = directory_board_target (directory, entry);
 
   if (entry->phase == phase)
     return;
   if (entry->home != NULL)
     {
-      entry->home->n_ready -= directory_counts_ready (entry->phase) ? 1 : 0;
-      entry->home->n_ready += directory_counts_ready (phase) ? 1 : 0;
+      entry->home->n_ready -= directory_phase_has_lease (entry->phase) ? 1 : 0;
+      entry->home->n_ready += directory_phase_has_lease (phase) ? 1 : 0;
     }
   entry->phase = phase;
   entry->changed_at = now;
@@ -158,7 +158,7 @@
     target->state = TARGET_LEAVING;
   if (phase == DIRECTORY_READY)
     target->state = TARGET_READY;
-  if (!directory_counts_ready (phase))
+  if (!directory_phase_has_lease (phase))
     target->lease_until = 0;
   board_publish (directory->board, BOARD_TARGET_CHANGED, entry->target, now);
 }
@@ -189,7 +189,7 @@
                   struct directory_home *home,
                   uint32_t slot)
 {
-  struct board_target *target = directory_target_of (directory, entry);
+  struct board_target *target = directory_board_target (directory, entry);
 
   INVARIANT (entry->home == NULL);
   if (!grow_slots (home, slot))
@@ -197,7 +197,7 @@
   home->slots[slot] = entry;
   entry->home = home;
   entry->slot = slot;
-  home->n_ready += directory_counts_ready (entry->phase) ? 1 : 0;
+  home->n_ready += directory_phase_has_lease (entry->phase) ? 1 : 0;
   if (target != NULL)
     memcpy (target->home, home->name, sizeof target->home);
   return STATUS_OK;
@@ -216,14 +216,16 @@
 }
 
 void
-directory_release (struct directory *directory, struct directory_entry *entry, int64_t now)
+directory_detach_keep_lease (struct directory *directory,
+                             struct directory_entry *entry,
+                             int64_t now)
 {
   struct directory_home *home = entry->home;
 
   (void) directory;
   if (home == NULL)
     return;
-  home->n_ready -= directory_counts_ready (entry->phase) ? 1 : 0;
+  home->n_ready -= directory_phase_has_lease (entry->phase) ? 1 : 0;
   home->slots[entry->slot] = NULL;
   entry->home = NULL;
   entry->changed_at = now;
--- a/src/directory_list.c
+++ b/src/directory_list.c
@@ -1,12 +1,12 @@
 /* The list of targets whose home is this host: a single writer, one version, tombstones kept for
- * DIRECTORY_TOMBSTONE. */
+ * DIRECTORY_TOMBSTONE_RETENTION. */
 #include "directory_state.h"
 #include "text.h"
 #include <talloc.h>
 #include <utlist.h>
 
 static enum status
-free_slot (struct directory *directory, uint32_t *out)
+find_free_slot (struct directory *directory, uint32_t *out)
 {
   uint32_t count = directory->n_item_slots;
   struct directory_item **slots;
@@ -35,14 +35,14 @@
 {
   struct directory_item *item;
   uint32_t slot;
-  enum status status = free_slot (directory, &slot);
+  enum status status = find_free_slot (directory, &slot);
 
   if (status != STATUS_OK)
     return status;
   item = talloc_zero (directory, struct directory_item);
   if (item == NULL)
     return status_fail (STATUS_NO_MEMORY, "out of memory for targets at home");
-  status = directory_attach (directory, entry, directory->ours, slot);
+  status = directory_attach (directory, entry, directory->own_home, slot);
   if (status != STATUS_OK)
     {
       talloc_free (item);
@@ -52,12 +52,12 @@
   item->entry = entry;
   directory->item_slots[slot] = item;
   DL_APPEND (directory->items, item);
-  directory_list_changed (directory, slot, now);
+  directory_list_mark_changed (directory, slot, now);
   return STATUS_OK;
 }
 
 void
-directory_list_changed (struct directory *directory, uint32_t slot, int64_t now)
+directory_list_mark_changed (struct directory *directory, uint32_t slot, int64_t now)
 {
   struct directory_item *item = directory->item_slots[slot];
 
@@ -66,7 +66,7 @@
       DL_DELETE (directory->items, item);
       DL_APPEND (directory->items, item);
     }
-  item->version = ++directory->ours->version;
+  item->version = ++directory->own_home->version;
   /* The next tick pushes, so that changes between two ticks share one message. */
   if (directory->push_at == USEC_NEVER)
     directory->push_at = now;
@@ -78,14 +78,14 @@
   uint32_t slot = entry->slot;
   struct directory_item *item = directory->item_slots[slot];
 
-  INVARIANT (entry->home == directory->ours && item->entry == entry);
+  INVARIANT (entry->home == directory->own_home && item->entry == entry);
   directory_detach (directory, entry, now);
   item->entry = NULL;
   text_copy_cut (item->name, sizeof item->name, entry->name);
   item->incarnation = entry->incarnation;
   item->sequence = entry->sequence;
-  item->gone_at = now;
-  directory_list_changed (directory, slot, now);
+  item->removed_at = now;
+  directory_list_mark_changed (directory, slot, now);
 }
 
 void
@@ -96,10 +96,10 @@
 
   DL_FOREACH_SAFE (directory->items, item, next)
     {
-      if (item->entry != NULL || now - item->gone_at < DIRECTORY_TOMBSTONE)
+      if (item->entry != NULL || now - item->removed_at < DIRECTORY_TOMBSTONE_RETENTION)
         continue;
-      if (item->version > directory->dropped)
-        directory->dropped = item->version;
+      if (item->version > directory->dropped_version)
+        directory->dropped_version = item->version;
       directory->item_slots[item->slot] = NULL;
       DL_DELETE (directory->items, item);
       talloc_free (item);
--- a/src/directory_state.h
+++ b/src/directory_state.h
@@ -13,18 +13,18 @@
 #define DIRECTORY_ENTRIES_MAX (2 * BOARD_TARGETS_MAX)
 
 /* A target that neither renews nor leaves is removed from the board after this time. */
-#define DIRECTORY_KEEP_LAPSED (60 * USEC_PER_SEC)
+#define DIRECTORY_LAPSED_RETENTION (60 * USEC_PER_SEC)
 
 /* A target's last incarnation and sequence are kept for this long after it is gone, so that a
  * replayed announcement is recognised as old. */
-#define DIRECTORY_REMEMBER (3600 * USEC_PER_SEC)
+#define DIRECTORY_ENTRY_RETENTION (3600 * USEC_PER_SEC)
 
 /* A removed target stays in its home's list as a tombstone for this long, so that other hosts learn
  * of the removal. */
-#define DIRECTORY_TOMBSTONE (60 * USEC_PER_SEC)
+#define DIRECTORY_TOMBSTONE_RETENTION (60 * USEC_PER_SEC)
 
 /* This host requests load reports of targets on which it had work in flight within this time. */
-#define DIRECTORY_IN_USE (10 * USEC_PER_SEC)
+#define DIRECTORY_USE_WINDOW (10 * USEC_PER_SEC)
 
 struct directory_home;
 
@@ -42,7 +42,7 @@
   int64_t renewed_at; /* on the home: by the target; on other hosts: by an answer of the home */
   int64_t used_at;    /* when this host last had work in flight on it */
   int64_t changed_at;
-  uint64_t cache_next; /* number of its next cache event, 0 before the first */
+  uint64_t next_cache_event; /* number of its next cache event, 0 before the first */
 };
 
 /* A host whose list this host replicates, or this host itself. */
@@ -56,9 +56,9 @@
   uint32_t n_ready; /* entries that are ready or leaving */
   struct directory_entry **slots;
   uint32_t n_slots;
-  int64_t ask_at;
-  uint32_t unanswered;    /* requests since its last answer */
-  uint32_t interest_turn; /* slot at which the interest of the next request starts */
+  int64_t next_request_at;
+  uint32_t unanswered_requests; /* requests since its last answer */
+  uint32_t interest_cursor;     /* slot at which the interest of the next request starts */
 };
 
 /* An item of this host's own list.  A removed target leaves a tombstone: `entry` is NULL, and
@@ -73,7 +73,7 @@
   char name[RESOURCE_NAME_SIZE];
   uint64_t incarnation;
   uint64_t sequence;
-  int64_t gone_at;
+  int64_t removed_at;
 };
 
 struct directory
@@ -84,16 +84,17 @@
   struct rng rng;
   struct directory_entry *entries;
   struct directory_home *homes;
-  struct directory_home *ours;
+  struct directory_home *own_home;
   struct directory_item *items; /* this host's list, by version */
   struct directory_item **item_slots;
   uint32_t n_item_slots;
-  uint64_t dropped; /* highest version of a tombstone dropped from this host's list */
-  uint64_t pushed;  /* version of this host's list at the last push */
-  int64_t ready_by; /* when the targets count as known even if a host sent no list; 0 once known */
-  int64_t push_at;  /* USEC_NEVER when nothing changed since the last push */
-  uint32_t load_turn;
-  struct counter *refused_old;
+  uint64_t dropped_version; /* highest version of a tombstone dropped from this host's list */
+  uint64_t pushed_version;  /* version of this host's list at the last push */
+  int64_t ready_deadline;   /* when the targets count as known even if a host sent no list; 0 once
+                               known */
+  int64_t push_at;          /* USEC_NEVER when nothing changed since the last push */
+  uint32_t load_cursor;
+  struct counter *refused_outdated;
   struct counter *malformed;
   struct counter *lapsed;
   struct counter *cache_gaps;
@@ -102,10 +103,10 @@
 };
 
 /* directory_entry.c */
-struct directory_entry *directory_find (const struct directory *directory, const char *name);
+struct directory_entry *directory_find_entry (const struct directory *directory, const char *name);
 
 /* NULL when the directory is full. */
-struct directory_entry *directory_add (struct directory *directory, const char *name);
+struct directory_entry *directory_add_entry (struct directory *directory, const char *name);
 
 /* Compares an announcement with the known one: below, equal to or above 0 when it is older, the
  * same or newer. */
@@ -115,11 +116,13 @@
 
 /* Update the target on the board from the record, or add it; a new incarnation becomes a new target
  * there. */
-enum status directory_show (struct directory *directory,
-                            struct directory_entry *entry,
-                            const struct directory_record *said,
-                            int64_t now);
-void directory_hide (struct directory *directory, struct directory_entry *entry, int64_t now);
+enum status directory_update_target (struct directory *directory,
+                                     struct directory_entry *entry,
+                                     const struct directory_record *record,
+                                     int64_t now);
+void directory_remove_target (struct directory *directory,
+                              struct directory_entry *entry,
+                              int64_t now);
 
 /* Add the entry to a home's list, or remove it; removing it ends its lease. */
 enum status directory_attach (struct directory *directory,
@@ -130,7 +133,9 @@
 
 /* Remove the entry from its home's list but keep its lease, which expires on its own: the home lost
  * its list, the target did not leave. */
-void directory_release (struct directory *directory, struct directory_entry *entry, int64_t now);
+void directory_detach_keep_lease (struct directory *directory,
+                                  struct directory_entry *entry,
+                                  int64_t now);
 void directory_set_phase (struct directory *directory,
                           struct directory_entry *entry,
                           enum directory_phase phase,
@@ -140,34 +145,34 @@
                           int64_t until);
 
 /* The entry's target on the board; NULL when there is none. */
-struct board_target *directory_target_of (const struct directory *directory,
-                                          const struct directory_entry *entry);
+struct board_target *directory_board_target (const struct directory *directory,
+                                             const struct directory_entry *entry);
 
 /* Whether a target in this phase counts in `n_ready` and holds a lease. */
-bool directory_counts_ready (enum directory_phase phase);
+bool directory_phase_has_lease (enum directory_phase phase);
 
 /* directory_list.c */
 enum status directory_list_add (struct directory *directory,
                                 struct directory_entry *entry,
                                 int64_t now);
-void directory_list_changed (struct directory *directory, uint32_t slot, int64_t now);
+void directory_list_mark_changed (struct directory *directory, uint32_t slot, int64_t now);
 void directory_list_remove (struct directory *directory,
                             struct directory_entry *entry,
                             int64_t now);
 void directory_list_tick (struct directory *directory, int64_t now);
 
 /* directory_sync.c */
-struct directory_home *directory_home_of (struct directory *directory, const char *name);
+struct directory_home *directory_find_or_add_home (struct directory *directory, const char *name);
 void directory_sync_tick (struct directory *directory, int64_t now);
 
 /* Time until the next request to this home, in microseconds. */
-int64_t directory_ask_span (struct directory *directory, const struct directory_home *home);
+int64_t directory_request_delay (struct directory *directory, const struct directory_home *home);
 
 /* Answer a request for this host's own list. */
-void directory_answer (struct directory *directory,
-                       const char *host,
-                       const struct directory_ask_message *question,
-                       int64_t now);
+void directory_send_answer (struct directory *directory,
+                            const char *host,
+                            const struct directory_request_message *request,
+                            int64_t now);
 
 /* directory_ready.c */
 void directory_ready_tick (struct directory *directory, int64_t now);
--- a/src/directory_sync.c
+++ b/src/directory_sync.c
@@ -14,13 +14,13 @@
 /* Intervals of requests to a host that has not answered yet, and to a host without targets.  The
  * latter grows with the number of hosts, so that these requests stay at a few per second in total;
  * a host's first target is announced by a push. */
-#define ASK_UNHEARD (400 * USEC_PER_MSEC)
-#define ASK_IDLE_MIN (5 * USEC_PER_SEC)
-#define ASK_IDLE_PER_HOST (400 * USEC_PER_MSEC)
+#define FIRST_REQUEST_INTERVAL (400 * USEC_PER_MSEC)
+#define IDLE_POLL_INTERVAL_MIN (5 * USEC_PER_SEC)
+#define IDLE_POLL_INTERVAL_PER_HOST (400 * USEC_PER_MSEC)
 
 /* After this many retries without an answer the home is likely gone, and requests fall back to the
  * regular interval. */
-#define ASK_AGAIN_MAX 2
+#define RETRIES_MAX 2
 
 /* Interval between the pushes of a change set that exceeds one message. */
 #define PUSH_INTERVAL (100 * USEC_PER_MSEC)
@@ -28,7 +28,7 @@
 /* uthash's macros expand to long code.
  * NOLINTBEGIN(readability-function-size) */
 struct directory_home *
-directory_home_of (struct directory *directory, const char *name)
+directory_find_or_add_home (struct directory *directory, const char *name)
 {
   struct directory_home *home;
 
@@ -58,10 +58,10 @@
 }
 
 static void
-ask (struct directory *directory, struct directory_home *home, int64_t now)
+send_request (struct directory *directory, struct directory_home *home, int64_t now)
 {
-  struct directory_ask_message message = {
-    .asked_at = (uint64_t) now,
+  struct directory_request_message message = {
+    .requested_at = (uint64_t) now,
     .epoch = home->epoch,
     .version = home->version,
     .base = home->base,
@@ -70,36 +70,36 @@
 
   load_report_request (directory, home, &message, now);
   bytes_init (&out, directory);
-  directory_write_ask (&out, &message);
+  directory_write_request (&out, &message);
   send_message (directory, home->name, &out);
   bytes_clear (&out);
 }
 
 static bool
-is_there (const struct board_host *host)
+is_live_peer (const struct board_host *host)
 {
   return !host->self && host->state != HOST_DEAD && host->state != HOST_LEFT;
 }
 
 int64_t
-directory_ask_span (struct directory *directory, const struct directory_home *home)
+directory_request_delay (struct directory *directory, const struct directory_home *home)
 {
-  int64_t span = DIRECTORY_ASK;
-  int64_t idle = (int64_t) table_count (directory->board->hosts) * ASK_IDLE_PER_HOST;
+  int64_t span = DIRECTORY_POLL_INTERVAL;
+  int64_t idle = (int64_t) table_count (directory->board->hosts) * IDLE_POLL_INTERVAL_PER_HOST;
 
   /* The first request may have been sent before a connection existed. */
   if (home->epoch == 0)
-    span = ASK_UNHEARD;
+    span = FIRST_REQUEST_INTERVAL;
   else if (home->n_ready == 0)
-    span = idle > ASK_IDLE_MIN ? idle : ASK_IDLE_MIN;
-  if (home->unanswered > 0 && home->unanswered <= ASK_AGAIN_MAX)
-    return DIRECTORY_ASK_AGAIN;
+    span = idle > IDLE_POLL_INTERVAL_MIN ? idle : IDLE_POLL_INTERVAL_MIN;
+  if (home->unanswered_requests > 0 && home->unanswered_requests <= RETRIES_MAX)
+    return DIRECTORY_RETRY_INTERVAL;
   /* Up to a tenth earlier, so that the requests of different hosts are not synchronised. */
   return span - (int64_t) rng_below (&directory->rng, (uint64_t) span / 10);
 }
 
 static void
-ask_due (struct directory *directory, int64_t now)
+send_due_requests (struct directory *directory, int64_t now)
 {
   const struct board_host *host;
   uint32_t cursor = 0;
@@ -107,13 +107,13 @@
   while ((host = table_next (directory->board->hosts, &cursor, NULL)) != NULL)
     {
       struct directory_home *home =
-          is_there (host) ? directory_home_of (directory, host->name) : NULL;
+          is_live_peer (host) ? directory_find_or_add_home (directory, host->name) : NULL;
 
-      if (home == NULL || now < home->ask_at)
+      if (home == NULL || now < home->next_request_at)
         continue;
-      ask (directory, home, now);
-      home->unanswered++;
-      home->ask_at = now + directory_ask_span (directory, home);
+      send_request (directory, home, now);
+      home->unanswered_requests++;
+      home->next_request_at = now + directory_request_delay (directory, home);
     }
 }
 
@@ -128,10 +128,10 @@
       entry != NULL ? table_get (directory->board->targets, entry->target) : NULL;
 
   change.phase = target != NULL ? entry->phase : DIRECTORY_GONE;
-  text_copy_cut (change.said.name, sizeof change.said.name,
+  text_copy_cut (change.record.name, sizeof change.record.name,
                  entry != NULL ? entry->name : item->name);
-  change.said.incarnation = entry != NULL ? entry->incarnation : item->incarnation;
-  change.said.sequence = entry != NULL ? entry->sequence : item->sequence;
+  change.record.incarnation = entry != NULL ? entry->incarnation : item->incarnation;
+  change.record.sequence = entry != NULL ? entry->sequence : item->sequence;
   directory_write_change (out, &change, target);
 }
 
@@ -143,8 +143,8 @@
   const struct directory_item *item =
       directory->items != NULL ? directory->items->prev : NULL; /* the last */
 
-  head->epoch = directory->ours->epoch;
-  head->current = directory->ours->version;
+  head->epoch = directory->own_home->epoch;
+  head->current = directory->own_home->version;
   head->version = head->current;
   head->n_changes = 0;
   while (item != NULL && item->version > head->since && item != directory->items)
@@ -164,10 +164,10 @@
 }
 
 static void
-send_head (struct directory *directory,
-           const char *host,
-           const struct directory_head *head,
-           const struct bytes *changes)
+send_changes (struct directory *directory,
+              const char *host,
+              const struct directory_head *head,
+              const struct bytes *changes)
 {
   struct bytes out;
 
@@ -184,52 +184,56 @@
 static void
 write_leases (const struct directory *directory, struct directory_head *head, int64_t now)
 {
-  head->lease_ms = (uint32_t) (DIRECTORY_SHARE_LEASE / USEC_PER_MSEC);
-  for (uint32_t slot = 0; slot < directory->ours->n_slots; slot++)
+  head->lease_ms = (uint32_t) (DIRECTORY_ANSWER_LEASE / USEC_PER_MSEC);
+  for (uint32_t slot = 0; slot < directory->own_home->n_slots; slot++)
     {
-      const struct directory_entry *entry = directory->ours->slots[slot];
-      int64_t left;
+      const struct directory_entry *entry = directory->own_home->slots[slot];
+      int64_t remaining;
 
       if (entry == NULL || entry->phase != DIRECTORY_READY)
         continue;
-      left = entry->renewed_at + DIRECTORY_LEASE - now;
-      if (left >= DIRECTORY_SHARE_LEASE)
+      remaining = entry->renewed_at + DIRECTORY_LEASE - now;
+      if (remaining >= DIRECTORY_ANSWER_LEASE)
         continue;
-      left = left > 0 ? left / USEC_PER_MSEC : 0;
+      remaining = remaining > 0 ? remaining / USEC_PER_MSEC : 0;
       if (head->n_exceptions < DIRECTORY_EXCEPTIONS_MAX)
         head->exceptions[head->n_exceptions++] =
-            (struct directory_exception){ .slot = slot, .left_ms = (uint32_t) left };
-      else if (left < head->lease_ms)
-        head->lease_ms = (uint32_t) left;
+            (struct directory_lease_exception){ .slot = slot,
+                                                .remaining_ms = (uint32_t) remaining };
+      else if (remaining < head->lease_ms)
+        head->lease_ms = (uint32_t) remaining;
     }
 }
 
 void
-directory_answer (struct directory *directory,
-                  const char *host,
-                  const struct directory_ask_message *question,
-                  int64_t now)
+directory_send_answer (struct directory *directory,
+                       const char *host,
+                       const struct directory_request_message *request,
+                       int64_t now)
 {
-  struct directory_head head = { .kind = DIRECTORY_ANSWER_MESSAGE, .asked_at = question->asked_at };
+  struct directory_head head = { .kind = DIRECTORY_ANSWER_MESSAGE,
+                                 .requested_at = request->requested_at };
   struct bytes changes;
 
-  head.since = question->version;
-  head.reset = question->epoch != directory->ours->epoch || question->base < directory->dropped
-               || question->version > directory->ours->version;
+  head.since = request->version;
+  head.reset = request->epoch != directory->own_home->epoch
+               || request->base < directory->dropped_version
+               || request->version > directory->own_home->version;
   if (head.reset)
     head.since = 0;
   bytes_init (&changes, directory);
   write_changes (directory, &head, &changes);
   write_leases (directory, &head, now);
-  load_report_answer (directory, question, &head, now);
-  send_head (directory, host, &head, &changes);
+  load_report_answer (directory, request, &head, now);
+  send_changes (directory, host, &head, &changes);
   bytes_clear (&changes);
 }
 
 static void
-push (struct directory *directory, int64_t now)
+push_changes (struct directory *directory, int64_t now)
 {
-  struct directory_head head = { .kind = DIRECTORY_PUSH_MESSAGE, .since = directory->pushed };
+  struct directory_head head = { .kind = DIRECTORY_PUSH_MESSAGE,
+                                 .since = directory->pushed_version };
   const struct board_host *host;
   struct bytes changes;
   uint32_t cursor = 0;
@@ -237,10 +241,10 @@
   bytes_init (&changes, directory);
   write_changes (directory, &head, &changes);
   while ((host = table_next (directory->board->hosts, &cursor, NULL)) != NULL)
-    if (is_there (host))
-      send_head (directory, host->name, &head, &changes);
+    if (is_live_peer (host))
+      send_changes (directory, host->name, &head, &changes);
   bytes_clear (&changes);
-  directory->pushed = head.version;
+  directory->pushed_version = head.version;
   directory->push_at = head.version < head.current ? now + PUSH_INTERVAL : USEC_NEVER;
 }
 
@@ -248,6 +252,6 @@
 directory_sync_tick (struct directory *directory, int64_t now)
 {
   if (now >= directory->push_at)
-    push (directory, now);
-  ask_due (directory, now);
+    push_changes (directory, now);
+  send_due_requests (directory, now);
 }
--- a/src/directory_wire.c
+++ b/src/directory_wire.c
@@ -18,28 +18,28 @@
 }
 
 void
-directory_write_ask (struct bytes *out, const struct directory_ask_message *ask)
+directory_write_request (struct bytes *out, const struct directory_request_message *request)
 {
-  pack_uint (out, DIRECTORY_ASK_MESSAGE);
-  pack_uint (out, ask->asked_at);
-  pack_uint (out, ask->epoch);
-  pack_uint (out, ask->version);
-  pack_uint (out, ask->base);
-  pack_array (out, ask->n_interest);
-  for (uint32_t i = 0; i < ask->n_interest; i++)
-    pack_uint (out, ask->interest[i]);
+  pack_uint (out, DIRECTORY_REQUEST_MESSAGE);
+  pack_uint (out, request->requested_at);
+  pack_uint (out, request->epoch);
+  pack_uint (out, request->version);
+  pack_uint (out, request->base);
+  pack_array (out, request->n_interest);
+  for (uint32_t i = 0; i < request->n_interest; i++)
+    pack_uint (out, request->interest[i]);
 }
 
 bool
-directory_read_ask (struct pack_reader *reader, struct directory_ask_message *ask)
+directory_read_request (struct pack_reader *reader, struct directory_request_message *request)
 {
-  ask->asked_at = pack_read_uint (reader, INT64_MAX);
-  ask->epoch = pack_read_uint (reader, UINT64_MAX);
-  ask->version = pack_read_uint (reader, UINT64_MAX);
-  ask->base = pack_read_uint (reader, UINT64_MAX);
-  ask->n_interest = pack_read_array (reader, DIRECTORY_INTEREST_MAX);
-  for (uint32_t i = 0; i < ask->n_interest; i++)
-    ask->interest[i] = (uint32_t) pack_read_uint (reader, SLOTS_MAX - 1);
+  request->requested_at = pack_read_uint (reader, INT64_MAX);
+  request->epoch = pack_read_uint (reader, UINT64_MAX);
+  request->version = pack_read_uint (reader, UINT64_MAX);
+  request->base = pack_read_uint (reader, UINT64_MAX);
+  request->n_interest = pack_read_array (reader, DIRECTORY_INTEREST_MAX);
+  for (uint32_t i = 0; i < request->n_interest; i++)
+    request->interest[i] = (uint32_t) pack_read_uint (reader, SLOTS_MAX - 1);
   return pack_read_end (reader);
 }
 
@@ -47,7 +47,7 @@
 directory_write_head (struct bytes *out, const struct directory_head *head)
 {
   pack_uint (out, head->kind);
-  pack_uint (out, head->asked_at);
+  pack_uint (out, head->requested_at);
   pack_uint (out, head->epoch);
   pack_uint (out, head->since);
   pack_uint (out, head->version);
@@ -58,7 +58,7 @@
   for (uint32_t i = 0; i < head->n_exceptions; i++)
     {
       pack_uint (out, head->exceptions[i].slot);
-      pack_uint (out, head->exceptions[i].left_ms);
+      pack_uint (out, head->exceptions[i].remaining_ms);
     }
   pack_array (out, head->n_loads);
   for (uint32_t i = 0; i < head->n_loads; i++)
@@ -75,18 +75,18 @@
 bool
 directory_read_head (struct pack_reader *reader, struct directory_head *head)
 {
-  head->asked_at = pack_read_uint (reader, INT64_MAX);
+  head->requested_at = pack_read_uint (reader, INT64_MAX);
   head->epoch = pack_read_uint (reader, UINT64_MAX);
   head->since = pack_read_uint (reader, UINT64_MAX);
   head->version = pack_read_uint (reader, UINT64_MAX);
   head->current = pack_read_uint (reader, UINT64_MAX);
-  head->lease_ms = (uint32_t) pack_read_uint (reader, DIRECTORY_SHARE_LEASE / USEC_PER_MSEC);
+  head->lease_ms = (uint32_t) pack_read_uint (reader, DIRECTORY_ANSWER_LEASE / USEC_PER_MSEC);
   head->reset = pack_read_bool (reader);
   head->n_exceptions = pack_read_array (reader, DIRECTORY_EXCEPTIONS_MAX);
   for (uint32_t i = 0; i < head->n_exceptions; i++)
     {
       head->exceptions[i].slot = (uint32_t) pack_read_uint (reader, SLOTS_MAX - 1);
-      head->exceptions[i].left_ms =
+      head->exceptions[i].remaining_ms =
           (uint32_t) pack_read_uint (reader, DIRECTORY_LEASE / USEC_PER_MSEC);
       if (i > 0 && head->exceptions[i].slot <= head->exceptions[i - 1].slot)
         reader->failed = true;
@@ -130,9 +130,9 @@
   pack_uint (out, change->slot);
   pack_uint (out, change->version);
   pack_uint (out, change->phase);
-  pack_text (out, change->said.name);
-  pack_uint (out, change->said.incarnation);
-  pack_uint (out, change->said.sequence);
+  pack_text (out, change->record.name);
+  pack_uint (out, change->record.incarnation);
+  pack_uint (out, change->record.sequence);
   if (change->phase == DIRECTORY_GONE)
     return;
   pack_text (out, target->pool);
@@ -150,26 +150,26 @@
 bool
 directory_read_change (struct pack_reader *reader, struct directory_change *change)
 {
-  struct directory_record *said = &change->said;
+  struct directory_record *record = &change->record;
 
   memset (change, 0, sizeof *change);
   change->slot = (uint32_t) pack_read_uint (reader, SLOTS_MAX - 1);
   change->version = pack_read_uint (reader, UINT64_MAX);
   change->phase = (enum directory_phase) pack_read_uint (reader, DIRECTORY_PHASE_COUNT - 1);
-  pack_read_text (reader, said->name, sizeof said->name);
-  said->incarnation = pack_read_uint (reader, UINT64_MAX);
-  said->sequence = pack_read_uint (reader, UINT64_MAX);
+  pack_read_text (reader, record->name, sizeof record->name);
+  record->incarnation = pack_read_uint (reader, UINT64_MAX);
+  record->sequence = pack_read_uint (reader, UINT64_MAX);
   if (change->phase == DIRECTORY_GONE)
-    return pack_read_ok (reader) && said->name[0] != '\0';
-  pack_read_text (reader, said->pool, sizeof said->pool);
-  pack_read_text (reader, said->domain, sizeof said->domain);
-  pack_read_text (reader, said->address, sizeof said->address);
-  said->kind = (enum stage_kind) pack_read_uint (reader, STAGE_KIND_COUNT - 1);
-  said->n_models = read_names (reader, said->models);
-  said->n_adapters = read_names (reader, said->adapters);
-  pack_read_text (reader, said->version, sizeof said->version);
-  said->checks_orders = pack_read_bool (reader);
-  said->reports_load = pack_read_bool (reader);
-  said->slots = (uint32_t) pack_read_uint (reader, UINT32_MAX);
-  return pack_read_ok (reader) && said->name[0] != '\0';
+    return pack_read_ok (reader) && record->name[0] != '\0';
+  pack_read_text (reader, record->pool, sizeof record->pool);
+  pack_read_text (reader, record->domain, sizeof record->domain);
+  pack_read_text (reader, record->address, sizeof record->address);
+  record->kind = (enum stage_kind) pack_read_uint (reader, STAGE_KIND_COUNT - 1);
+  record->n_models = read_names (reader, record->models);
+  record->n_adapters = read_names (reader, record->adapters);
+  pack_read_text (reader, record->version, sizeof record->version);
+  record->checks_orders = pack_read_bool (reader);
+  record->reports_load = pack_read_bool (reader);
+  record->slots = (uint32_t) pack_read_uint (reader, UINT32_MAX);
+  return pack_read_ok (reader) && record->name[0] != '\0';
 }
--- a/src/directory_wire.h
+++ b/src/directory_wire.h
@@ -9,11 +9,12 @@
 
 BEGIN_DECLS
 
-#define DIRECTORY_INTEREST_MAX 64     /* targets of which a request asks for load reports */
-#define DIRECTORY_LOADS_MAX 32        /* load reports in one answer */
-#define DIRECTORY_EXCEPTIONS_MAX 2048 /* targets in an answer with less than the full lease left   \
-                                       */
-#define DIRECTORY_CHANGES_MAX 128     /* entries in one message */
+#define DIRECTORY_INTEREST_MAX 64 /* targets of which a request asks for load reports */
+#define DIRECTORY_LOADS_MAX 32    /* load reports in one answer */
+#define DIRECTORY_EXCEPTIONS_MAX                                                                   \
+  2048                            /* targets in an answer with less than the full lease left       \
+                                   */
+#define DIRECTORY_CHANGES_MAX 128 /* entries in one message */
 
 /* name, text */
 #define DIRECTORY_PHASE_LIST(X)                                                                    \
@@ -34,15 +35,15 @@
 
 enum directory_message_kind
 {
-  DIRECTORY_ASK_MESSAGE = 1,
+  DIRECTORY_REQUEST_MESSAGE = 1,
   DIRECTORY_ANSWER_MESSAGE,
   DIRECTORY_PUSH_MESSAGE
 };
 
 /* A request for the list of a home, with the version that the requester has. */
-struct directory_ask_message
+struct directory_request_message
 {
-  uint64_t asked_at; /* on the requester's clock; echoed in the answer */
+  uint64_t requested_at; /* on the requester's clock; echoed in the answer */
   uint64_t epoch;
   uint64_t version;
   uint64_t base; /* the list as known is no older than this version, but may be incomplete */
@@ -50,10 +51,10 @@
   uint32_t n_interest;
 };
 
-struct directory_exception
+struct directory_lease_exception
 {
   uint32_t slot;
-  uint32_t left_ms;
+  uint32_t remaining_ms;
 };
 
 struct directory_load_entry
@@ -69,14 +70,14 @@
 struct directory_head
 {
   enum directory_message_kind kind;
-  uint64_t asked_at; /* 0 in a push */
+  uint64_t requested_at; /* 0 in a push */
   uint64_t epoch;
   uint64_t since;    /* the message holds all changes after this version ... */
   uint64_t version;  /* ... up to this one */
   uint64_t current;  /* the home's version now */
-  uint32_t lease_ms; /* for all targets of the list but the exceptions, from `asked_at` */
+  uint32_t lease_ms; /* for all targets of the list but the exceptions, from `requested_at` */
   bool reset;        /* drop everything known from this home */
-  struct directory_exception exceptions[DIRECTORY_EXCEPTIONS_MAX]; /* by slot */
+  struct directory_lease_exception exceptions[DIRECTORY_EXCEPTIONS_MAX]; /* by slot */
   uint32_t n_exceptions;
   struct directory_load_entry loads[DIRECTORY_LOADS_MAX];
   uint32_t n_loads;
@@ -88,11 +89,11 @@
   uint32_t slot;
   uint64_t version;
   enum directory_phase phase;
-  struct directory_record said; /* for a GONE target only name, incarnation and sequence */
+  struct directory_record record; /* for a GONE target only name, incarnation and sequence */
 };
 
-void directory_write_ask (struct bytes *out, const struct directory_ask_message *ask);
-bool directory_read_ask (struct pack_reader *reader, struct directory_ask_message *ask);
+void directory_write_request (struct bytes *out, const struct directory_request_message *request);
+bool directory_read_request (struct pack_reader *reader, struct directory_request_message *request);
 
 void directory_write_head (struct bytes *out, const struct directory_head *head);
 
--- a/src/drain.c
+++ b/src/drain.c
@@ -5,7 +5,7 @@
 #include <stddef.h>
 #include <talloc.h>
 
-#define POLL_SPAN (20 * USEC_PER_MSEC)
+#define POLL_INTERVAL (20 * USEC_PER_MSEC)
 
 struct drain
 {
@@ -18,7 +18,7 @@
   int64_t drain_bound;
   enum drain_state state;
   int64_t signalled_at;
-  int64_t state_at;
+  int64_t state_entered_at;
 };
 
 static const char *const states[] = {
@@ -34,13 +34,13 @@
 }
 
 static void
-enter (struct drain *drain, enum drain_state state, int64_t now)
+enter_state (struct drain *drain, enum drain_state state, int64_t now)
 {
   log_event (LOG_MODULE_HOST, LOG_LEVEL_INFO, "drain", "{s:s,s:s,s:I}", "from",
              drain_state_text (drain->state), "to", drain_state_text (state), "after_ms",
              (json_int_t) ((now - drain->signalled_at) / USEC_PER_MSEC));
   drain->state = state;
-  drain->state_at = now;
+  drain->state_entered_at = now;
 }
 
 static void
@@ -48,17 +48,17 @@
 {
   uint32_t unfinished = drain->actions->ops->log_unfinished (drain->actions, now);
 
-  enter (drain, DRAIN_ENDED, now);
+  enter_state (drain, DRAIN_ENDED, now);
   timer_disarm (drain->timers, &drain->timer);
   drain->actions->ops->end (drain->actions,
-                            unfinished == 0 ? DRAIN_EXIT_WHOLE : DRAIN_EXIT_UNFINISHED, now);
+                            unfinished == 0 ? DRAIN_EXIT_COMPLETE : DRAIN_EXIT_UNFINISHED, now);
 }
 
 static bool
 is_quiet (const struct drain *drain, int64_t now)
 {
-  return now - drain->actions->ops->last_arrival (drain->actions) >= DRAIN_QUIET
-         || now - drain->state_at >= DRAIN_QUIET_WAIT_MAX;
+  return now - drain->actions->ops->last_arrival (drain->actions) >= DRAIN_QUIET_PERIOD
+         || now - drain->state_entered_at >= DRAIN_QUIET_TIMEOUT;
 }
 
 /* Enters the next state if its condition holds; true when another step may follow at once. */
@@ -70,20 +70,20 @@
   switch (drain->state)
     {
     case DRAIN_LEAVING:
-      if (now - drain->state_at < drain->list_keep)
+      if (now - drain->state_entered_at < drain->list_keep)
         return false;
       drain->board->refusing = true;
-      enter (drain, DRAIN_REFUSING, now);
+      enter_state (drain, DRAIN_REFUSING, now);
       return true;
     case DRAIN_REFUSING:
-      if (!ops->idle (drain->actions) || !is_quiet (drain, now))
+      if (!ops->is_idle (drain->actions) || !is_quiet (drain, now))
         return false;
       ops->hand_over (drain->actions, now);
-      enter (drain, DRAIN_HANDING_OVER, now);
+      enter_state (drain, DRAIN_HANDING_OVER, now);
       return false; /* requests on the last accepted connections are read first */
     case DRAIN_HANDING_OVER:
-      if ((ops->handed_over (drain->actions, now) && ops->idle (drain->actions))
-          || now - drain->state_at >= DRAIN_HAND_OVER_MAX)
+      if ((ops->is_handed_over (drain->actions, now) && ops->is_idle (drain->actions))
+          || now - drain->state_entered_at >= DRAIN_HAND_OVER_TIMEOUT)
         end (drain, now);
       return false;
     case DRAIN_SERVING:
@@ -108,7 +108,7 @@
   while (step (drain, now))
     ;
   if (drain->state != DRAIN_ENDED)
-    timer_arm (drain->timers, timer, now + POLL_SPAN);
+    timer_arm (drain->timers, timer, now + POLL_INTERVAL);
 }
 
 static const struct timer_ops timer_ops = { .fire = fire };
@@ -126,7 +126,7 @@
     }
   drain->signalled_at = now;
   drain->board->leaving = true;
-  enter (drain, DRAIN_LEAVING, now);
+  enter_state (drain, DRAIN_LEAVING, now);
   drain->actions->ops->leave (drain->actions, now);
   timer_arm (drain->timers, &drain->timer, now);
 }
--- a/src/drain.h
+++ b/src/drain.h
@@ -19,18 +19,18 @@
 
 BEGIN_DECLS
 
-#define DRAIN_HAND_OVER_MAX (5 * USEC_PER_SEC)
+#define DRAIN_HAND_OVER_TIMEOUT (5 * USEC_PER_SEC)
 
 /* A caller whose list has just expired still uses it until the new one arrives.  Such requests came
  * up to 110 ms after the start of the refusing state; one that arrived as the process exited was
  * cut, although the host was idle before.  The drain therefore waits until no request has come for
  * this long. */
-#define DRAIN_QUIET (250 * USEC_PER_MSEC)
+#define DRAIN_QUIET_PERIOD (250 * USEC_PER_MSEC)
 
 /* Longest wait for that, as some callers ignore their lists' expiry and never stop sending. */
-#define DRAIN_QUIET_WAIT_MAX (2 * USEC_PER_SEC)
+#define DRAIN_QUIET_TIMEOUT (2 * USEC_PER_SEC)
 
-#define DRAIN_EXIT_WHOLE 0
+#define DRAIN_EXIT_COMPLETE 0
 #define DRAIN_EXIT_UNFINISHED 1
 
 /* name, text */
@@ -63,14 +63,14 @@
   void (*leave) (struct drain_actions *actions, int64_t now);
 
   /* Whether nothing is in flight and no answer is waiting to be sent. */
-  bool (*idle) (struct drain_actions *actions);
+  bool (*is_idle) (struct drain_actions *actions);
 
   /* Time of the last request from a caller; 0 before the first. */
   int64_t (*last_arrival) (struct drain_actions *actions);
 
   /* Stop accepting connections and start the hand-over. */
   void (*hand_over) (struct drain_actions *actions, int64_t now);
-  bool (*handed_over) (struct drain_actions *actions, int64_t now);
+  bool (*is_handed_over) (struct drain_actions *actions, int64_t now);
 
   /* Log each unfinished request by its id; returns their number. */
   uint32_t (*log_unfinished) (struct drain_actions *actions, int64_t now);
--- a/src/entry_host.c
+++ b/src/entry_host.c
@@ -70,8 +70,8 @@
 
   (void) now;
   balance_update (&host->balance, host, target);
-  if (target->word.state == REGISTRY_GONE)
-    h1_client_forget (host->client, target->word.address);
+  if (target->registration.state == REGISTRY_GONE)
+    h1_client_forget (host->client, target->registration.address);
 }
 
 static const struct subscriber_listener_ops listener_ops = {
--- a/src/forward_attempt.c
+++ b/src/forward_attempt.c
@@ -103,15 +103,16 @@
 
   if (job->has_digest)
     request_digest_format (&job->digest, content);
-  log_event (
-      LOG_MODULE_FLOW, LOG_LEVEL_INFO, "attempt-ended",
-      "{s:s,s:s,s:s,s:s,s:i,s:s,s:b,s:b,s:I,s:I,s:b,s:b,s:i,s:s,s:s,s:i}", "id", job->facts.id,
-      "target", job->target->id, "address", job->target->address, "outcome", outcome, "status",
-      (int) job->status, "framing", h1_framing_text (job->call.framing), "not_run", job->not_run,
-      "sent", job->call.handed, "took_us", (json_int_t) (now - job->sent_at), "renewed_ms",
-      (json_int_t) ((now - job->target->record->heard) / USEC_PER_MSEC), "reused", job->call.reused,
-      "stream_begun", job->stream.begun, "events", (int) job->stream.events, "last_event",
-      job->stream.last_event, "content", content, "in_flight", (int) job->target->in_flight);
+  log_event (LOG_MODULE_FLOW, LOG_LEVEL_INFO, "attempt-ended",
+             "{s:s,s:s,s:s,s:s,s:i,s:s,s:b,s:b,s:I,s:I,s:b,s:b,s:i,s:s,s:s,s:i}", "id",
+             job->facts.id, "target", job->target->id, "address", job->target->address, "outcome",
+             outcome, "status", (int) job->status, "framing", h1_framing_text (job->call.framing),
+             "not_run", job->not_run, "sent", job->call.handed, "took_us",
+             (json_int_t) (now - job->sent_at), "renewed_ms",
+             (json_int_t) ((now - job->target->record->last_heard_at) / USEC_PER_MSEC), "reused",
+             job->call.reused, "stream_begun", job->stream.begun, "events",
+             (int) job->stream.events, "last_event", job->stream.last_event, "content", content,
+             "in_flight", (int) job->target->in_flight);
 }
 
 /* May the request go to another target after this attempt? */
@@ -428,12 +429,12 @@
              "{s:s,s:s,s:s,s:s,s:i,s:I,s:I,s:I,s:i,s:f,s:I,s:I,s:i,s:i,s:i}", "id", job->facts.id,
              "target", target->id, "address", target->address, "pool", job->pool, "in_flight",
              (int) target->in_flight, "latency_us", (json_int_t) target->latency_us, "renewed_ms",
-             (json_int_t) ((now - target->record->heard) / USEC_PER_MSEC), "sequence",
-             (json_int_t) target->record->word.sequence, "send", (int) job->sends, "failing",
-             target->failure_rate, "left_ms", (json_int_t) ((job->deadline - now) / USEC_PER_MSEC),
-             "expected_wait_us", (json_int_t) cost.wait, "read_again_tokens",
-             (int) cost.read_again_tokens, "engine_running", (int) cost.running, "prompt_tokens",
-             (int) job->facts.input_tokens);
+             (json_int_t) ((now - target->record->last_heard_at) / USEC_PER_MSEC), "sequence",
+             (json_int_t) target->record->registration.sequence, "send", (int) job->sends,
+             "failing", target->failure_rate, "left_ms",
+             (json_int_t) ((job->deadline - now) / USEC_PER_MSEC), "expected_wait_us",
+             (json_int_t) cost.wait, "read_again_tokens", (int) cost.read_again_tokens,
+             "engine_running", (int) cost.running, "prompt_tokens", (int) job->facts.input_tokens);
 }
 
 void
--- a/src/host.c
+++ b/src/host.c
@@ -24,7 +24,7 @@
 static enum status
 build (struct host *host)
 {
-  enum status status = host_build_edges (host);
+  enum status status = host_build_io (host);
   int64_t now;
 
   if (status != STATUS_OK)
@@ -37,7 +37,7 @@
   if (status == STATUS_OK)
     status = host_build_drain (host);
   if (status == STATUS_OK)
-    host_add_dump (host);
+    host_add_dump_sources (host);
   return status;
 }
 
--- a/src/host_drain.c
+++ b/src/host_drain.c
@@ -14,7 +14,7 @@
 }
 
 static bool
-drain_idle (struct drain_actions *actions)
+drain_is_idle (struct drain_actions *actions)
 {
   struct host *host = CONTAINER_OF (actions, struct host, drain_actions);
 
@@ -42,7 +42,7 @@
 /* Targets of this host move to another one when their renewals are answered that this one is
  * leaving. A leadership transfer that was not accepted is retried. */
 static bool
-drain_handed_over (struct drain_actions *actions, int64_t now)
+drain_is_handed_over (struct drain_actions *actions, int64_t now)
 {
   struct host *host = CONTAINER_OF (actions, struct host, drain_actions);
 
@@ -69,17 +69,17 @@
 
   member_left (member_control_member (host->members), now);
   log_event (LOG_MODULE_HOST, LOG_LEVEL_INFO, "ended", "{s:b}", "whole",
-             exit_code == DRAIN_EXIT_WHOLE);
-  host->exit = exit_code == DRAIN_EXIT_WHOLE ? HOST_EXIT_OK : HOST_EXIT_UNFINISHED;
+             exit_code == DRAIN_EXIT_COMPLETE);
+  host->exit = exit_code == DRAIN_EXIT_COMPLETE ? HOST_EXIT_OK : HOST_EXIT_UNFINISHED;
   loop_stop (host->loop);
 }
 
 static const struct drain_ops drain_ops = {
   .leave = drain_leave,
-  .idle = drain_idle,
+  .is_idle = drain_is_idle,
   .last_arrival = drain_last_arrival,
   .hand_over = drain_hand_over,
-  .handed_over = drain_handed_over,
+  .is_handed_over = drain_is_handed_over,
   .log_unfinished = drain_log_unfinished,
   .end = drain_end,
 };
--- a/src/host_dump.c
+++ b/src/host_dump.c
@@ -136,7 +136,7 @@
 static const struct dump_source_ops decide_ops = { .describe = decide_describe_source };
 
 void
-host_add_dump (struct host *host)
+host_add_dump_sources (struct host *host)
 {
   host->board_dump = (struct dump_source){ .ops = &board_ops, .name = "board" };
   host->consensus_dump = (struct dump_source){ .ops = &consensus_ops, .name = "consensus" };
--- a/src/host_edges.c
+++ b/src/host_io.c
@@ -6,14 +6,14 @@
 
 /* File descriptors in addition to the callers' connections: listeners, signals, files of the data
  * folder, and those that ZeroMQ holds per peer. */
-#define HOST_SPARE_DESCRIPTORS 256
-#define HOST_UNSENT_BYTES (1u << 20)
-#define HOST_ANSWER_BYTES (16u << 20)
+#define HOST_RESERVED_DESCRIPTORS 256
+#define HOST_UNSENT_BYTES_MAX (1u << 20)
+#define HOST_ANSWER_BYTES_MAX (16u << 20)
 #define HOST_CONNECT_TIMEOUT (500 * USEC_PER_MSEC)
-#define HOST_PEER_QUEUE 1000
+#define HOST_PEER_QUEUE_MESSAGES 1000
 
 uint64_t
-host_seed (void)
+host_random_seed (void)
 {
   uint64_t seed;
 
@@ -31,7 +31,7 @@
 
 /* Write the listen address as "ip:port", with the bound port in place of 0. */
 static enum status
-actual_address (const char *listen, uint16_t port, char out[RESOURCE_ADDRESS_SIZE])
+bound_address (const char *listen, uint16_t port, char out[RESOURCE_ADDRESS_SIZE])
 {
   const char *colon = strrchr (listen, ':');
   int length;
@@ -65,7 +65,7 @@
                 .connections_per_caller = settings->connections_per_caller,
                 .idle_timeout = settings->idle_timeout,
                 .body_timeout = settings->body_timeout,
-                .unsent_bytes = HOST_UNSENT_BYTES },
+                .unsent_bytes = HOST_UNSENT_BYTES_MAX },
     .tls_certificate = text_or_null (settings->tls_certificate),
     .tls_key = text_or_null (settings->tls_key),
   };
@@ -77,8 +77,7 @@
   for (listener = 0; listener < HTTP_LISTENER_COUNT; listener++)
     {
       uint16_t port = http_server_port (host->server, (enum http_listener) listener);
-      enum status status =
-          actual_address (config.listen[listener], port, host->addresses[listener]);
+      enum status status = bound_address (config.listen[listener], port, host->addresses[listener]);
 
       if (status != STATUS_OK)
         return status;
@@ -93,7 +92,7 @@
     .loop = host->loop,
     .counters = host->counters,
     .calls_max = host->settings->requests_in_flight * 2,
-    .answer_bytes_max = HOST_ANSWER_BYTES,
+    .answer_bytes_max = HOST_ANSWER_BYTES_MAX,
     .connect_timeout = HOST_CONNECT_TIMEOUT,
   };
 
@@ -139,14 +138,14 @@
     .listen = settings->listen_peers,
     .secret_key = text_or_null (host->keys.secret_key),
     .public_key = text_or_null (host->keys.public_key),
-    .queue_messages = HOST_PEER_QUEUE,
+    .queue_messages = HOST_PEER_QUEUE_MESSAGES,
   };
   enum status status;
 
   host->port = peer_zmq_new (host, &config);
   if (host->port == NULL)
     return STATUS_IO;
-  status = actual_address (settings->listen_peers, peer_zmq_port (host->port), host->peer_address);
+  status = bound_address (settings->listen_peers, peer_zmq_port (host->port), host->peer_address);
   if (status == STATUS_OK)
     status = trust_peers (host, settings->seeds, settings->n_seeds);
   if (status == STATUS_OK)
@@ -155,13 +154,13 @@
 }
 
 enum status
-host_build_edges (struct host *host)
+host_build_io (struct host *host)
 {
   enum status status = read_keys (host);
 
   if (status != STATUS_OK)
     return status;
-  host->loop = loop_new (host, host->settings->connections + HOST_SPARE_DESCRIPTORS);
+  host->loop = loop_new (host, host->settings->connections + HOST_RESERVED_DESCRIPTORS);
   if (host->loop == NULL)
     return STATUS_IO;
   host->timers = loop_timers (host->loop);
--- a/src/host_private.h
+++ b/src/host_private.h
@@ -82,7 +82,7 @@
 };
 
 /* Build the components, called in this order; on failure each sets status_message(). */
-enum status host_build_edges (struct host *host);
+enum status host_build_io (struct host *host);
 enum status host_build_state (struct host *host, int64_t now);
 enum status host_build_serving (struct host *host, int64_t now);
 
@@ -93,12 +93,12 @@
 void host_transfer_leadership (struct host *host, int64_t now);
 
 /* Adds the dump sources of the board and of components that have none of their own. */
-void host_add_dump (struct host *host);
+void host_add_dump_sources (struct host *host);
 
 /* Returns STATUS_NO_MEMORY with its message. */
 enum status host_no_memory (void);
 
 /* Returns a new random seed. */
-uint64_t host_seed (void);
+uint64_t host_random_seed (void);
 
 #endif
--- a/src/host_serving.c
+++ b/src/host_serving.c
@@ -35,7 +35,7 @@
 
 /* Both the seeds and the voters are contacted at the start. */
 static uint32_t
-member_seeds (const struct settings *settings, struct member_seed *out)
+collect_seeds (const struct settings *settings, struct member_seed *out)
 {
   const struct settings_peer *lists[] = { settings->seeds, settings->voters };
   const uint32_t counts[] = { settings->n_seeds, settings->n_voters };
@@ -71,8 +71,8 @@
     .timers = host->timers,
     .dump = &host->dump,
     .seeds = seeds,
-    .n_seeds = member_seeds (host->settings, seeds),
-    .seed = host_seed (),
+    .n_seeds = collect_seeds (host->settings, seeds),
+    .seed = host_random_seed (),
     .now = now,
   };
 
@@ -106,13 +106,13 @@
     .cache = &host->cache_events,
     .self = host->settings->name,
     .incarnation = host->incarnation,
-    .seed = host_seed (),
+    .seed = host_random_seed (),
     .now = now,
   };
   struct target_api_config api = {
     .board = host->board,
     .json_depth = host->settings->json_depth,
-    .seed = host_seed (),
+    .seed = host_random_seed (),
   };
 
   host->cache_events.ops = &cache_event_ops;
@@ -151,7 +151,7 @@
     .access = host->access,
     .settings = host->settings,
     .self = host->settings->name,
-    .seed = host_seed (),
+    .seed = host_random_seed (),
     .wall_clock_ms = wall_clock_ms,
   };
   struct http_route *routes[FLOW_ROUTES];
@@ -170,7 +170,7 @@
     .board = host->board,
     .counters = host->counters,
     .list_keep = host->settings->list_keep,
-    .seed = host_seed (),
+    .seed = host_random_seed (),
   };
   struct entries *entries = entries_new (host, &config);
 
@@ -200,7 +200,7 @@
 
   if (status != STATUS_OK)
     return status;
-  host->decide = decide_new (host, host->board, host->counters, host_seed ());
+  host->decide = decide_new (host, host->board, host->counters, host_random_seed ());
   if (host->decide == NULL)
     return host_no_memory ();
   status = build_shares (host, now);
--- a/src/host_state.c
+++ b/src/host_state.c
@@ -29,7 +29,7 @@
 }
 
 static uint32_t
-voter_names (const struct settings *settings, const char *out[SETTINGS_VOTERS_MAX])
+collect_voter_names (const struct settings *settings, const char *out[SETTINGS_VOTERS_MAX])
 {
   uint32_t i;
 
@@ -49,11 +49,11 @@
     .name = host->settings->name,
     .disk = disk_posix_new (host, host->settings->data_folder, &status),
     .voters = names,
-    .n_voters = voter_names (host->settings, names),
+    .n_voters = collect_voter_names (host->settings, names),
     .timers = host->timers,
     .machine = machine,
     .counters = host->counters,
-    .seed = host_seed (),
+    .seed = host_random_seed (),
   };
 
   if (config.disk == NULL)
@@ -69,10 +69,10 @@
   const char *names[SETTINGS_VOTERS_MAX];
   struct consensus_remote_config config = {
     .voters = names,
-    .n_voters = voter_names (host->settings, names),
+    .n_voters = collect_voter_names (host->settings, names),
     .port = host->port,
     .timers = host->timers,
-    .seed = host_seed (),
+    .seed = host_random_seed (),
   };
 
   return consensus_remote_new (host, &config);
--- a/src/host_trust.c
+++ b/src/host_trust.c
@@ -36,7 +36,7 @@
 }
 
 static void
-note_declared (struct host_trust *trust, const char *name)
+add_declared (struct host_trust *trust, const char *name)
 {
   struct declared_host *host;
   struct handle handle;
@@ -49,7 +49,7 @@
 }
 
 static void
-declare (struct host_trust *trust, const char *name, const char *spec)
+trust_declared_key (struct host_trust *trust, const char *name, const char *spec)
 {
   json_t *json = json_loads (spec, JSON_REJECT_DUPLICATES, NULL);
   const char *key = json_string_value (json_object_get (json, "publicKey"));
@@ -57,7 +57,7 @@
   if (key != NULL && strcmp (name, trust->self) != 0)
     {
       if (peer_zmq_trust (trust->port, name, key) == STATUS_OK)
-        note_declared (trust, name);
+        add_declared (trust, name);
       else
         log_event (LOG_MODULE_PEER, LOG_LEVEL_WARNING, "key-not-taken", "{s:s,s:s}", "host", name,
                    "message", status_message ());
@@ -80,7 +80,7 @@
   if (event->kind != RESOURCE_HOST)
     return;
   if (event->type != STORE_EVENT_DELETED)
-    declare (trust, event->name, event->spec);
+    trust_declared_key (trust, event->name, event->spec);
   else if (is_declared (trust, event->name))
     revoke (trust, event->name);
 }
@@ -106,7 +106,7 @@
     }
   while ((object = store_after (trust->store, RESOURCE_HOST, after)) != NULL)
     {
-      declare (trust, object->name, object->spec);
+      trust_declared_key (trust, object->name, object->spec);
       after = object->name;
     }
 }
--- a/src/host_view.c
+++ b/src/host_view.c
@@ -6,12 +6,12 @@
 host_view_clear (struct host_view *view)
 {
   view->n = 0;
-  view->left_out = 0;
+  view->n_omitted = 0;
 }
 
 /* Index of the first host whose name is not less than `name`. */
 static uint32_t
-place_of (const struct host_view *view, const char *name)
+find_position (const struct host_view *view, const char *name)
 {
   uint32_t low = 0;
   uint32_t high = view->n;
@@ -29,26 +29,26 @@
 }
 
 static bool
-is_at (const struct host_view *view, uint32_t place, const char *name)
+is_at (const struct host_view *view, uint32_t position, const char *name)
 {
-  return place < view->n && strcmp (view->hosts[place]->name, name) == 0;
+  return position < view->n && strcmp (view->hosts[position]->name, name) == 0;
 }
 
 static void
 add_host (struct host_view *view, const struct sync_host *host)
 {
-  uint32_t place = place_of (view, host->name);
+  uint32_t position = find_position (view, host->name);
 
-  if (is_at (view, place, host->name))
+  if (is_at (view, position, host->name))
     return;
   if (view->n == SYNC_HOSTS_MAX)
     {
-      view->left_out++;
+      view->n_omitted++;
       return;
     }
-  for (uint32_t i = view->n; i > place; i--)
+  for (uint32_t i = view->n; i > position; i--)
     view->hosts[i] = view->hosts[i - 1];
-  view->hosts[place] = host;
+  view->hosts[position] = host;
   view->n++;
 }
 
@@ -62,19 +62,19 @@
 void
 host_view_remove (struct host_view *view, const char *name)
 {
-  uint32_t place = place_of (view, name);
+  uint32_t position = find_position (view, name);
 
-  if (!is_at (view, place, name))
+  if (!is_at (view, position, name))
     return;
   view->n--;
-  for (uint32_t i = place; i < view->n; i++)
+  for (uint32_t i = position; i < view->n; i++)
     view->hosts[i] = view->hosts[i + 1];
 }
 
 const struct sync_host *
 host_view_find (const struct host_view *view, const char *name)
 {
-  uint32_t place = place_of (view, name);
+  uint32_t position = find_position (view, name);
 
-  return is_at (view, place, name) ? view->hosts[place] : NULL;
+  return is_at (view, position, name) ? view->hosts[position] : NULL;
 }
--- a/src/load_report.c
+++ b/src/load_report.c
@@ -7,21 +7,21 @@
 void
 load_report_request (const struct directory *directory,
                      struct directory_home *home,
-                     struct directory_ask_message *ask,
+                     struct directory_request_message *ask,
                      int64_t now)
 {
   (void) directory;
   ask->n_interest = 0;
   for (uint32_t i = 0; i < home->n_slots; i++)
     {
-      uint32_t slot = (home->interest_turn + i) % home->n_slots;
+      uint32_t slot = (home->interest_cursor + i) % home->n_slots;
       const struct directory_entry *entry = home->slots[slot];
 
-      if (entry == NULL || entry->used_at == 0 || now - entry->used_at >= DIRECTORY_IN_USE)
+      if (entry == NULL || entry->used_at == 0 || now - entry->used_at >= DIRECTORY_USE_WINDOW)
         continue;
       if (ask->n_interest == DIRECTORY_INTEREST_MAX)
         {
-          home->interest_turn = slot;
+          home->interest_cursor = slot;
           return;
         }
       ask->interest[ask->n_interest++] = slot;
@@ -30,16 +30,16 @@
 
 void
 load_report_answer (struct directory *directory,
-                    const struct directory_ask_message *ask,
+                    const struct directory_request_message *ask,
                     struct directory_head *answer,
                     int64_t now)
 {
   answer->n_loads = 0;
   for (uint32_t i = 0; i < ask->n_interest && answer->n_loads < DIRECTORY_LOADS_MAX; i++)
     {
-      uint32_t slot = ask->interest[(directory->load_turn + i) % ask->n_interest];
+      uint32_t slot = ask->interest[(directory->load_cursor + i) % ask->n_interest];
       const struct directory_entry *entry =
-          slot < directory->ours->n_slots ? directory->ours->slots[slot] : NULL;
+          slot < directory->own_home->n_slots ? directory->own_home->slots[slot] : NULL;
       const struct board_target *target =
           entry != NULL ? table_get (directory->board->targets, entry->target) : NULL;
       const struct load_report *report;
@@ -56,7 +56,7 @@
         .kv_percent = (uint32_t) (report->kv_used * 100 + 0.5),
       };
     }
-  directory->load_turn += DIRECTORY_LOADS_MAX;
+  directory->load_cursor += DIRECTORY_LOADS_MAX;
 }
 
 void
@@ -74,7 +74,7 @@
           entry != NULL ? table_get (directory->board->targets, entry->target) : NULL;
       /* The age counts from when the question was sent, which is before the answer was made, so the
        * report is never taken for newer than it is. */
-      int64_t measured_at = (int64_t) answer->asked_at - load->age_ms * USEC_PER_MSEC;
+      int64_t measured_at = (int64_t) answer->requested_at - load->age_ms * USEC_PER_MSEC;
 
       if (target == NULL || measured_at < target->report.measured_at)
         continue;
--- a/src/load_report.h
+++ b/src/load_report.h
@@ -11,12 +11,12 @@
 /* Lists in `ask` the targets of `home` that this host uses. */
 void load_report_request (const struct directory *directory,
                           struct directory_home *home,
-                          struct directory_ask_message *ask,
+                          struct directory_request_message *ask,
                           int64_t now);
 
 /* Adds to `answer` the reports that `ask` lists. */
 void load_report_answer (struct directory *directory,
-                         const struct directory_ask_message *ask,
+                         const struct directory_request_message *ask,
                          struct directory_head *answer,
                          int64_t now);
 
--- a/src/registry.c
+++ b/src/registry.c
@@ -4,7 +4,7 @@
 #include <talloc.h>
 #include <xxhash.h>
 
-#define WORD_FIELDS 10
+#define REGISTRATION_FIELDS 10
 
 static const char *const state_texts[] = {
 #define X(name, text) [REGISTRY_##name] = text,
@@ -21,7 +21,7 @@
 static int
 free_registry (struct registry *registry)
 {
-  HASH_CLEAR (hh_short, registry->by_short);
+  HASH_CLEAR (hh_by_hash, registry->by_hash);
   HASH_CLEAR (hh, registry->targets);
   return 0;
 }
@@ -47,11 +47,11 @@
 }
 
 struct registry_target *
-registry_find_short (const struct registry *registry, uint64_t id_hash)
+registry_find_by_hash (const struct registry *registry, uint64_t id_hash)
 {
   struct registry_target *target;
 
-  HASH_FIND (hh_short, registry->by_short, &id_hash, sizeof id_hash, target);
+  HASH_FIND (hh_by_hash, registry->by_hash, &id_hash, sizeof id_hash, target);
   return target;
 }
 /* NOLINTEND(readability-function-size) */
@@ -63,7 +63,7 @@
 }
 
 static void
-touch (struct registry *registry, struct registry_target *target)
+bump_revision (struct registry *registry, struct registry_target *target)
 {
   target->revision = ++registry->revision;
 }
@@ -71,30 +71,30 @@
 /* Addresses are reused: of two targets at one address, the one first heard later owns it now.  The
  * other becomes GONE, so that its delayed renewals do not bring it back. */
 static void
-settle_address (struct registry *registry, struct registry_target *newcomer)
+resolve_address (struct registry *registry, struct registry_target *newcomer)
 {
   struct registry_target *target;
   struct registry_target *next;
 
   HASH_ITER (hh, registry->targets, target, next)
     {
-      if (target == newcomer || target->word.state == REGISTRY_GONE
-          || strcmp (target->word.address, newcomer->word.address) != 0)
+      if (target == newcomer || target->registration.state == REGISTRY_GONE
+          || strcmp (target->registration.address, newcomer->registration.address) != 0)
         continue;
-      if (target->first_heard > newcomer->first_heard)
+      if (target->first_heard_at > newcomer->first_heard_at)
         {
-          newcomer->word.state = REGISTRY_GONE;
+          newcomer->registration.state = REGISTRY_GONE;
           continue;
         }
-      target->word.state = REGISTRY_GONE;
-      touch (registry, target);
+      target->registration.state = REGISTRY_GONE;
+      bump_revision (registry, target);
     }
 }
 
 /* uthash: NOLINTBEGIN(readability-function-size) */
-static enum registry_news
+static enum registry_merge_result
 add (struct registry *registry,
-     const struct registry_word *word,
+     const struct registry_registration *registration,
      int64_t age,
      int64_t now,
      struct registry_target **out)
@@ -103,98 +103,101 @@
 
   *out = target;
   if (target == NULL)
-    return REGISTRY_NEWS_NONE;
-  target->word = *word;
-  target->heard = now - age;
-  target->first_heard = now - age;
-  target->id_hash = registry_id_hash (word->id);
-  HASH_ADD_STR (registry->targets, word.id, target);
-  HASH_ADD (hh_short, registry->by_short, id_hash, sizeof target->id_hash, target);
-  touch (registry, target);
-  if (word->state != REGISTRY_GONE)
-    settle_address (registry, target);
-  return REGISTRY_NEWS_ADDED;
+    return REGISTRY_MERGE_NONE;
+  target->registration = *registration;
+  target->last_heard_at = now - age;
+  target->first_heard_at = now - age;
+  target->id_hash = registry_id_hash (registration->id);
+  HASH_ADD_STR (registry->targets, registration.id, target);
+  HASH_ADD (hh_by_hash, registry->by_hash, id_hash, sizeof target->id_hash, target);
+  bump_revision (registry, target);
+  if (registration->state != REGISTRY_GONE)
+    resolve_address (registry, target);
+  return REGISTRY_MERGE_ADDED;
 }
 /* NOLINTEND(readability-function-size) */
 
 /* Compares the start times of a registration and the one held: below 0 when earlier, above 0 when
  * later.  When either reports no start time they compare equal, and the sequence alone decides. */
 static int
-compare_starts (const struct registry_word *word, const struct registry_word *held)
+compare_starts (const struct registry_registration *registration,
+                const struct registry_registration *held)
 {
-  if (word->started == 0 || held->started == 0 || word->started == held->started)
+  if (registration->started_unix_ms == 0 || held->started_unix_ms == 0
+      || registration->started_unix_ms == held->started_unix_ms)
     return 0;
-  return word->started < held->started ? -1 : 1;
+  return registration->started_unix_ms < held->started_unix_ms ? -1 : 1;
 }
 
 /* Replaces the registration of a target that restarted with the same identity. */
-static enum registry_news
-begin_anew (struct registry *registry,
-            struct registry_target *target,
-            const struct registry_word *word,
-            int64_t age,
-            int64_t now)
+static enum registry_merge_result
+replace_registration (struct registry *registry,
+                      struct registry_target *target,
+                      const struct registry_registration *registration,
+                      int64_t age,
+                      int64_t now)
 {
-  target->word = *word;
-  target->heard = now - age;
-  target->first_heard = now - age;
+  target->registration = *registration;
+  target->last_heard_at = now - age;
+  target->first_heard_at = now - age;
   target->expired = false;
-  touch (registry, target);
-  if (word->state != REGISTRY_GONE)
-    settle_address (registry, target);
-  return REGISTRY_NEWS_CHANGED;
+  bump_revision (registry, target);
+  if (registration->state != REGISTRY_GONE)
+    resolve_address (registry, target);
+  return REGISTRY_MERGE_CHANGED;
 }
 
-enum registry_news
+enum registry_merge_result
 registry_merge (struct registry *registry,
-                const struct registry_word *word,
+                const struct registry_registration *registration,
                 int64_t age,
                 int64_t now,
                 struct registry_target **out)
 {
-  struct registry_target *target = registry_find (registry, word->id);
+  struct registry_target *target = registry_find (registry, registration->id);
   bool changed;
 
   *out = target;
   if (target == NULL)
-    return add (registry, word, age, now, out);
-  if (compare_starts (word, &target->word) < 0)
-    return REGISTRY_NEWS_STALE;
-  if (compare_starts (word, &target->word) > 0)
-    return begin_anew (registry, target, word, age, now);
-  if (target->word.started == 0)
-    target->word.started = word->started;
-  if (now - age > target->heard && word->sequence >= target->word.sequence)
-    target->heard = now - age;
+    return add (registry, registration, age, now, out);
+  if (compare_starts (registration, &target->registration) < 0)
+    return REGISTRY_MERGE_STALE;
+  if (compare_starts (registration, &target->registration) > 0)
+    return replace_registration (registry, target, registration, age, now);
+  if (target->registration.started_unix_ms == 0)
+    target->registration.started_unix_ms = registration->started_unix_ms;
+  if (now - age > target->last_heard_at && registration->sequence >= target->registration.sequence)
+    target->last_heard_at = now - age;
   /* The state only moves forward, whatever the sequence: the end of a target may be reported
    * without a new sequence. */
-  if (word->sequence < target->word.sequence && word->state <= target->word.state)
-    return REGISTRY_NEWS_STALE;
-  changed = word->state > target->word.state;
+  if (registration->sequence < target->registration.sequence
+      && registration->state <= target->registration.state)
+    return REGISTRY_MERGE_STALE;
+  changed = registration->state > target->registration.state;
   if (changed)
-    target->word.state = word->state;
-  if (word->sequence > target->word.sequence)
+    target->registration.state = registration->state;
+  if (registration->sequence > target->registration.sequence)
     {
-      target->word.sequence = word->sequence;
-      target->word.slots = word->slots;
-      target->word.cold_for = word->cold_for;
-      if (target->expired && target->word.state != REGISTRY_GONE)
+      target->registration.sequence = registration->sequence;
+      target->registration.slots = registration->slots;
+      target->registration.warmup_remaining = registration->warmup_remaining;
+      if (target->expired && target->registration.state != REGISTRY_GONE)
         {
           target->expired = false;
           changed = true;
         }
     }
   if (!changed)
-    return REGISTRY_NEWS_NONE;
-  touch (registry, target);
-  return REGISTRY_NEWS_CHANGED;
+    return REGISTRY_MERGE_NONE;
+  bump_revision (registry, target);
+  return REGISTRY_MERGE_CHANGED;
 }
 
 /* uthash: NOLINTBEGIN(readability-function-size) */
 static void
-forget (struct registry *registry, struct registry_target *target)
+free_target (struct registry *registry, struct registry_target *target)
 {
-  HASH_DELETE (hh_short, registry->by_short, target);
+  HASH_DELETE (hh_by_hash, registry->by_hash, target);
   HASH_DEL (registry->targets, target);
   talloc_free (target);
 }
@@ -209,15 +212,15 @@
 
   HASH_ITER (hh, registry->targets, target, next)
     {
-      if (now - target->heard > REGISTRY_REMEMBER && target->user == NULL)
+      if (now - target->last_heard_at > REGISTRY_RETENTION && target->user == NULL)
         {
-          forget (registry, target);
+          free_target (registry, target);
           continue;
         }
-      if (target->expired || now - target->heard <= lease)
+      if (target->expired || now - target->last_heard_at <= lease)
         continue;
       target->expired = true;
-      touch (registry, target);
+      bump_revision (registry, target);
       expired++;
     }
   return expired;
@@ -226,35 +229,36 @@
 void
 registry_write (const struct registry_target *target, int64_t now, struct bytes *out)
 {
-  const struct registry_word *word = &target->word;
+  const struct registry_registration *registration = &target->registration;
 
-  pack_array (out, WORD_FIELDS);
-  pack_text (out, word->id);
-  pack_uint (out, word->started);
-  pack_text (out, word->pool);
-  pack_text (out, word->address);
-  pack_text (out, word->domain);
-  pack_uint (out, word->state);
-  pack_uint (out, word->sequence);
-  pack_uint (out, word->slots);
-  pack_uint (out, word->cold_for < 0 ? 0 : (uint64_t) word->cold_for);
-  pack_uint (out, now < target->heard ? 0 : (uint64_t) (now - target->heard));
+  pack_array (out, REGISTRATION_FIELDS);
+  pack_text (out, registration->id);
+  pack_uint (out, registration->started_unix_ms);
+  pack_text (out, registration->pool);
+  pack_text (out, registration->address);
+  pack_text (out, registration->domain);
+  pack_uint (out, registration->state);
+  pack_uint (out, registration->sequence);
+  pack_uint (out, registration->slots);
+  pack_uint (out,
+             registration->warmup_remaining < 0 ? 0 : (uint64_t) registration->warmup_remaining);
+  pack_uint (out, now < target->last_heard_at ? 0 : (uint64_t) (now - target->last_heard_at));
 }
 
 bool
-registry_read (struct pack_reader *in, struct registry_word *word, int64_t *age)
+registry_read (struct pack_reader *in, struct registry_registration *registration, int64_t *age)
 {
-  if (pack_read_array (in, WORD_FIELDS) != WORD_FIELDS)
+  if (pack_read_array (in, REGISTRATION_FIELDS) != REGISTRATION_FIELDS)
     in->failed = true;
-  pack_read_text (in, word->id, sizeof word->id);
-  word->started = pack_read_uint (in, UINT64_MAX);
-  pack_read_text (in, word->pool, sizeof word->pool);
-  pack_read_text (in, word->address, sizeof word->address);
-  pack_read_text (in, word->domain, sizeof word->domain);
-  word->state = (enum registry_state) pack_read_uint (in, REGISTRY_STATE_COUNT - 1);
-  word->sequence = pack_read_uint (in, UINT64_MAX);
-  word->slots = (uint32_t) pack_read_uint (in, UINT32_MAX);
-  word->cold_for = (int64_t) pack_read_uint (in, INT64_MAX);
+  pack_read_text (in, registration->id, sizeof registration->id);
+  registration->started_unix_ms = pack_read_uint (in, UINT64_MAX);
+  pack_read_text (in, registration->pool, sizeof registration->pool);
+  pack_read_text (in, registration->address, sizeof registration->address);
+  pack_read_text (in, registration->domain, sizeof registration->domain);
+  registration->state = (enum registry_state) pack_read_uint (in, REGISTRY_STATE_COUNT - 1);
+  registration->sequence = pack_read_uint (in, UINT64_MAX);
+  registration->slots = (uint32_t) pack_read_uint (in, UINT32_MAX);
+  registration->warmup_remaining = (int64_t) pack_read_uint (in, INT64_MAX);
   *age = (int64_t) pack_read_uint (in, INT64_MAX);
   return pack_read_ok (in);
 }
--- a/src/registry.h
+++ b/src/registry.h
@@ -25,7 +25,7 @@
 
 /* A target that is gone or expired is kept for this long after its last renewal, so that a delayed
  * renewal does not bring it back. */
-#define REGISTRY_REMEMBER (60 * USEC_PER_SEC)
+#define REGISTRY_RETENTION (60 * USEC_PER_SEC)
 
 /* name, text; within an incarnation the state only moves down this list */
 #define REGISTRY_STATE_LIST(X)                                                                     \
@@ -44,52 +44,52 @@
 const char *registry_state_text (enum registry_state state);
 
 /* A registration: the record that a target sends of itself. */
-struct registry_word
+struct registry_registration
 {
   char id[REGISTRY_NAME_SIZE];
-  uint64_t started; /* of this incarnation, Unix milliseconds; 0: not reported */
+  uint64_t started_unix_ms; /* of this incarnation, Unix milliseconds; 0: not reported */
   char pool[REGISTRY_NAME_SIZE];
   char address[REGISTRY_NAME_SIZE];
   char domain[REGISTRY_NAME_SIZE];
   enum registry_state state;
   uint64_t sequence; /* grows with each renewal of an incarnation */
   uint32_t slots;
-  int64_t cold_for; /* how much longer it is slow after its start */
+  int64_t warmup_remaining; /* how much longer it is slow after its start */
 };
 
 /* A target as known to this host. */
 struct registry_target
 {
-  struct registry_word word;
+  struct registry_registration registration;
   uint64_t id_hash; /* of its identity; short renewals carry it instead of the identity */
-  int64_t first_heard;
-  int64_t heard;     /* time of its last renewal with any host, on this host's clock */
-  uint64_t revision; /* of the registry when more than a renewal last changed here */
-  bool expired;      /* no renewal for a lease */
-  void *user;        /* state of the load balancer, owned by it */
+  int64_t first_heard_at;
+  int64_t last_heard_at; /* time of its last renewal with any host, on this host's clock */
+  uint64_t revision;     /* of the registry when more than a renewal last changed here */
+  bool expired;          /* no renewal for a lease */
+  void *user;            /* state of the load balancer, owned by it */
   UT_hash_handle hh;
-  UT_hash_handle hh_short;
+  UT_hash_handle hh_by_hash;
 };
 
 /* name */
-#define REGISTRY_NEWS_LIST(X)                                                                      \
+#define REGISTRY_MERGE_RESULT_LIST(X)                                                              \
   X (NONE)  /* only a renewal */                                                                   \
   X (STALE) /* older than the registration held */                                                 \
   X (ADDED)                                                                                        \
   X (CHANGED) /* new state or incarnation, or no longer expired */
 
-enum registry_news
+enum registry_merge_result
 {
-#define X(name) REGISTRY_NEWS_##name,
-  REGISTRY_NEWS_LIST (X)
+#define X(name) REGISTRY_MERGE_##name,
+  REGISTRY_MERGE_RESULT_LIST (X)
 #undef X
-      REGISTRY_NEWS_COUNT
+      REGISTRY_MERGE_COUNT
 };
 
 struct registry
 {
-  struct registry_target *targets;  /* by id */
-  struct registry_target *by_short; /* by id_hash */
+  struct registry_target *targets; /* by id */
+  struct registry_target *by_hash; /* by id_hash */
   uint64_t revision;
 };
 
@@ -99,31 +99,33 @@
 
 /* Find a target by the hash of its identity. */
 uint64_t registry_id_hash (const char *id);
-struct registry_target *registry_find_short (const struct registry *registry, uint64_t id_hash);
+struct registry_target *registry_find_by_hash (const struct registry *registry, uint64_t id_hash);
 
 /* Merge a registration that was received `age` microseconds ago.  Sets `out` to its target, or to
  * NULL when out of memory. */
-enum registry_news registry_merge (struct registry *registry,
-                                   const struct registry_word *word,
-                                   int64_t age,
-                                   int64_t now,
-                                   struct registry_target **out);
+enum registry_merge_result registry_merge (struct registry *registry,
+                                           const struct registry_registration *registration,
+                                           int64_t age,
+                                           int64_t now,
+                                           struct registry_target **out);
 
-/* Expire targets without a renewal for `lease`, and free those without one for REGISTRY_REMEMBER
+/* Expire targets without a renewal for `lease`, and free those without one for REGISTRY_RETENTION
  * that have no `user`.  Returns the number newly expired. */
 uint32_t registry_expire (struct registry *registry, int64_t lease, int64_t now);
 
 /* Whether new work may be sent to the target. */
 static inline bool
-registry_usable (const struct registry_target *target)
+registry_target_is_usable (const struct registry_target *target)
 {
-  return target->word.state == REGISTRY_READY && !target->expired;
+  return target->registration.state == REGISTRY_READY && !target->expired;
 }
 
 void registry_write (const struct registry_target *target, int64_t now, struct bytes *out);
 
 /* Reads a registration and its age; false when it is malformed. */
-bool registry_read (struct pack_reader *in, struct registry_word *word, int64_t *age);
+bool registry_read (struct pack_reader *in,
+                    struct registry_registration *registration,
+                    int64_t *age);
 
 END_DECLS
 
--- a/src/subscriber.c
+++ b/src/subscriber.c
@@ -260,15 +260,15 @@
 static void
 note_full (struct subscriber *self)
 {
-  bool full = self->view.left_out > 0;
+  bool full = self->view.n_omitted > 0;
 
-  counter_add (self->left_out, self->view.left_out);
+  counter_add (self->left_out, self->view.n_omitted);
   if (full == self->view_was_full)
     return;
   self->view_was_full = full;
   log_event (LOG_MODULE_MEMBER, full ? LOG_LEVEL_ERROR : LOG_LEVEL_INFO,
              full ? "too-many-entry-hosts" : "entry-hosts-fit", "{s:i,s:i}", "held",
-             (int) self->view.n, "left_out", (int) self->view.left_out);
+             (int) self->view.n, "left_out", (int) self->view.n_omitted);
 }
 
 /* A host that is cut off from all controllers uses the last lists it received: the other entry
--- a/src/subscriber_state.c
+++ b/src/subscriber_state.c
@@ -12,13 +12,13 @@
 static void
 tell_target (struct subscriber *self, struct registry_target *target, int64_t now)
 {
-  const struct registry_word *word = &target->word;
+  const struct registry_registration *word = &target->registration;
 
   log_event (LOG_MODULE_DIRECTORY, LOG_LEVEL_INFO, "target", "{s:s,s:I,s:s,s:s,s:s,s:I,s:b,s:I}",
-             "id", word->id, "started", (json_int_t) word->started, "pool", word->pool, "address",
-             word->address, "state", registry_state_text (word->state), "sequence",
+             "id", word->id, "started", (json_int_t) word->started_unix_ms, "pool", word->pool,
+             "address", word->address, "state", registry_state_text (word->state), "sequence",
              (json_int_t) word->sequence, "expired", target->expired, "age_ms",
-             (json_int_t) ((now - target->heard) / USEC_PER_MSEC));
+             (json_int_t) ((now - target->last_heard_at) / USEC_PER_MSEC));
   self->config.listener->ops->target (self->config.listener, target, now);
 }
 
@@ -45,7 +45,7 @@
 
   for (uint32_t i = 0; i < n; i++)
     {
-      struct registry_word word;
+      struct registry_registration word;
       struct registry_target *target;
       int64_t age;
 
@@ -58,14 +58,14 @@
 static void
 take_renewal (struct subscriber *self, const struct sync_renewal *renewal, int64_t now)
 {
-  struct registry_target *target = registry_find_short (self->registry, renewal->id_hash);
-  struct registry_word word;
+  struct registry_target *target = registry_find_by_hash (self->registry, renewal->id_hash);
+  struct registry_registration word;
 
   /* The target's full record, or that of this incarnation, has not arrived yet. */
-  if (target == NULL || renewal->started > target->word.started)
+  if (target == NULL || renewal->started > target->registration.started_unix_ms)
     return;
-  word = target->word;
-  word.started = renewal->started;
+  word = target->registration;
+  word.started_unix_ms = renewal->started;
   word.sequence = renewal->sequence;
   registry_merge (self->registry, &word, (int64_t) renewal->age, now, &target);
 }
--- a/src/target_api.c
+++ b/src/target_api.c
@@ -69,7 +69,7 @@
   reply_json (exchange, code,
               json_pack ("{s:I,s:I,s:o}", "lease_ms",
                          (json_int_t) (DIRECTORY_LEASE / USEC_PER_MSEC), "renew_ms",
-                         (json_int_t) (DIRECTORY_RENEW / USEC_PER_MSEC), "hosts",
+                         (json_int_t) (DIRECTORY_RENEW_INTERVAL / USEC_PER_MSEC), "hosts",
                          other_hosts (api)));
 }
 
@@ -207,7 +207,7 @@
     .waiting = (uint32_t) waiting,
     .kv_used = json_number_value (kv_used),
   };
-  reply_done (exchange, directory_load (api->directory, &key, &report, now));
+  reply_done (exchange, directory_report_load (api->directory, &key, &report, now));
 }
 
 static void
@@ -228,7 +228,7 @@
       reply_fault (exchange, &fault);
       return;
     }
-  status = directory_cache (api->directory, &key, first, events, count, now);
+  status = directory_report_cache_events (api->directory, &key, first, events, count, now);
   talloc_free (events);
   reply_done (exchange, status);
 }
--- a/src/target_watch.c
+++ b/src/target_watch.c
@@ -175,16 +175,17 @@
       registry_find (watched->watch->config.registry, watched->id);
   const char *ended = NULL;
 
-  if (record == NULL || (watched->started != 0 && record->word.started != watched->started))
+  if (record == NULL
+      || (watched->started != 0 && record->registration.started_unix_ms != watched->started))
     ended = "another incarnation";
-  else if (record->word.state == REGISTRY_GONE)
+  else if (record->registration.state == REGISTRY_GONE)
     ended = "reported as gone";
   else if (record->expired)
     ended = "its lease has expired";
   if (ended != NULL && watched->fate == TARGET_FATE_UNKNOWN)
     set_fate (watched, TARGET_FATE_ENDED, ended, now);
   if (ended == NULL && watched->fate != TARGET_FATE_LIVES)
-    note_alive (watched, record->heard - TARGET_WATCH_RENEWAL_DELAY_MAX - 1, now);
+    note_alive (watched, record->last_heard_at - TARGET_WATCH_RENEWAL_DELAY_MAX - 1, now);
 }
 
 static void
--- a/tests/sync_harness.h
+++ b/tests/sync_harness.h
@@ -59,8 +59,8 @@
 {
   struct sync_state head = {};
   std::string document;
-  std::vector<std::pair<struct registry_word, int64_t>> targets; // with their ages in us
-  std::vector<std::string> hosts;                                // names of entry hosts
+  std::vector<std::pair<struct registry_registration, int64_t>> targets; // with their ages in us
+  std::vector<std::string> hosts;                                        // names of entry hosts
   std::map<std::string, std::string> domains; // of hosts, "a" for those not listed
   std::vector<std::string> controllers;
 };
@@ -78,8 +78,8 @@
     {
       struct registry_target target = {};
 
-      target.word = word;
-      target.heard = 0;
+      target.registration = word;
+      target.last_heard_at = 0;
       registry_write (&target, age, out);
     }
   pack_array (out, 0);
@@ -119,14 +119,14 @@
   return false;
 }
 
-inline struct registry_word
+inline struct registry_registration
 make_word (const std::string &id,
            const std::string &pool,
            const std::string &address,
            enum registry_state state,
            uint64_t sequence)
 {
-  struct registry_word word = {};
+  struct registry_registration word = {};
 
   snprintf (word.id, sizeof word.id, "%s", id.c_str ());
   snprintf (word.pool, sizeof word.pool, "%s", pool.c_str ());
--- a/tests/unit_balance.cc
+++ b/tests/unit_balance.cc
@@ -25,7 +25,7 @@
     balance_init (&balance, domain, engines, seed);
     for (int i = 0; i < ENGINES; i++)
       {
-        struct registry_word *word = &records[i].word;
+        struct registry_registration *word = &records[i].registration;
 
         snprintf (word->id, sizeof word->id, "engine-%d", i);
         snprintf (word->pool, sizeof word->pool, "%s", POOL);
@@ -91,7 +91,7 @@
   balance_started (target);
   balance_ended (target, true, -1, NOW);
   ASSERT_GT (target->ejected_until, NOW);
-  view.records[2].word.started = 2000;
+  view.records[2].registration.started_unix_ms = 2000;
   balance_update (&view.balance, view.parent, &view.records[2]);
   EXPECT_EQ (target->ejected_until, 0);
   EXPECT_NE (target->id_hash, before);
@@ -109,7 +109,7 @@
 
   for (int i = 0; i < ENGINES; i++)
     {
-      struct balance_target *target = balance_find (&view.balance, view.records[i].word.id);
+      struct balance_target *target = balance_find (&view.balance, view.records[i].registration.id);
       bool there = i % 3 == 0;
 
       snprintf (target->domain, sizeof target->domain, "%s", there ? "b" : "a");
--- a/tests/unit_controller.cc
+++ b/tests/unit_controller.cc
@@ -191,7 +191,7 @@
 TEST_F (ControllerTest, TakesARenewalAtOnce)
 {
   kept_wait wait;
-  struct registry_word word = make_word ("i", "p", "a:1", REGISTRY_READY, 1);
+  struct registry_registration word = make_word ("i", "p", "a:1", REGISTRY_READY, 1);
 
   EXPECT_TRUE (controller_register (controller, &word, &wait.wait, now));
   EXPECT_EQ (wait.done, 0);
@@ -203,7 +203,7 @@
 TEST_F (ControllerTest, AcknowledgesALeavingTargetOnceAMajorityKnows)
 {
   kept_wait wait;
-  struct registry_word word = make_word ("i", "p", "a:1", REGISTRY_LEAVING, 1);
+  struct registry_registration word = make_word ("i", "p", "a:1", REGISTRY_LEAVING, 1);
 
   EXPECT_FALSE (controller_register (controller, &word, &wait.wait, now));
   EXPECT_EQ (wait.done, 0);
@@ -219,7 +219,7 @@
 TEST_F (ControllerTest, DoesNotAcknowledgeALeavingTargetAlone)
 {
   kept_wait wait;
-  struct registry_word word = make_word ("i", "p", "a:1", REGISTRY_LEAVING, 1);
+  struct registry_registration word = make_word ("i", "p", "a:1", REGISTRY_LEAVING, 1);
 
   controller_register (controller, &word, &wait.wait, now);
   now += CONTROLLER_LEAVE_WAIT;
@@ -233,7 +233,7 @@
 TEST_F (ControllerTest, LearnersDoNotCountForAMajority)
 {
   kept_wait wait;
-  struct registry_word word = make_word ("i", "p", "a:1", REGISTRY_LEAVING, 1);
+  struct registry_registration word = make_word ("i", "p", "a:1", REGISTRY_LEAVING, 1);
 
   members = { { "c1", false }, { "c2", true }, { "c3", true }, { "c4", true }, { "c5", false } };
   EXPECT_FALSE (controller_register (controller, &word, &wait.wait, now));
--- a/tests/unit_directory.cc
+++ b/tests/unit_directory.cc
@@ -32,7 +32,7 @@
   std::vector<uint64_t> cached;
 };
 
-struct letter
+struct message
 {
   int64_t at;
   std::string from;
@@ -46,7 +46,7 @@
   void *memory = talloc_new (nullptr);
   struct counters *counters = counters_new (memory);
   std::map<std::string, std::unique_ptr<node>> nodes;
-  std::vector<letter> queue;
+  std::vector<message> queue;
   std::set<std::pair<std::string, std::string>> cut; // from, to
   std::map<std::pair<std::string, std::string>, int64_t> delay;
   int64_t now = 1000 * USEC_PER_SEC;
@@ -155,8 +155,8 @@
   void
   deliver ()
   {
-    std::vector<letter> due;
-    std::vector<letter> later;
+    std::vector<message> due;
+    std::vector<message> later;
 
     for (auto &l : queue)
       (l.at <= now ? due : later).push_back (l);
@@ -377,7 +377,7 @@
       EXPECT_TRUE (n.usable (i, "t")) << i;
       EXPECT_STREQ (board_find_target (n[i].board, "t", nullptr)->home, "h2") << i;
     }
-  EXPECT_EQ (directory_at_home (n[0].directory), 0u);
+  EXPECT_EQ (directory_count_own_targets (n[0].directory), 0u);
 }
 
 // The answer to an announcement is lost, and the target sends the same announcement to another
@@ -396,8 +396,8 @@
   n.run_renewing (5 * USEC_PER_SEC, 1, { t });
   for (int i = 0; i < 4; i++)
     EXPECT_TRUE (n.usable (i, "t")) << i;
-  EXPECT_EQ (directory_at_home (n[0].directory), 0u);
-  EXPECT_EQ (directory_at_home (n[1].directory), 1u);
+  EXPECT_EQ (directory_count_own_targets (n[0].directory), 0u);
+  EXPECT_EQ (directory_count_own_targets (n[1].directory), 1u);
 }
 
 // A target restarts at the same address.  An announcement of its old process, delayed or replayed,
@@ -508,7 +508,7 @@
       EXPECT_TRUE (n.usable (1, "a") && n.usable (2, "a")) << i;
       n.run (20 * USEC_PER_MSEC);
     }
-  n.run (DIRECTORY_SHARE_LEASE);
+  n.run (DIRECTORY_ANSWER_LEASE);
   EXPECT_FALSE (n.usable (1, "a") || n.usable (2, "a"));
 }
 
@@ -676,7 +676,7 @@
   n.run (USEC_PER_SEC);
   board_find_target (n[1].board, "t", nullptr)->in_flight = 1;
   report.measured_at = n.now - 2 * USEC_PER_SEC;
-  ASSERT_EQ (directory_load (n[0].directory, &key, &report, n.now), STATUS_OK);
+  ASSERT_EQ (directory_report_load (n[0].directory, &key, &report, n.now), STATUS_OK);
   n.run_renewing (2 * USEC_PER_SEC, 0, { t });
   const struct board_target *user = board_find_target (n[1].board, "t", nullptr);
   EXPECT_EQ (user->report.running, 3u);
@@ -699,11 +699,11 @@
       counter_get (n.counters, "cherryarch_directory_cache_gaps_total", "", nullptr);
 
   announce (n, 0, record_of ("t", 1, 1));
-  directory_cache (n[0].directory, &key, 5, events, 2, n.now);
-  directory_cache (n[0].directory, &key, 5, events, 3, n.now);
+  directory_report_cache_events (n[0].directory, &key, 5, events, 2, n.now);
+  directory_report_cache_events (n[0].directory, &key, 5, events, 3, n.now);
   EXPECT_EQ (n[0].cached, (std::vector<uint64_t>{ 10, 11, 12 }));
   EXPECT_EQ (gaps->value, 0);
-  directory_cache (n[0].directory, &key, 9, events, 1, n.now);
+  directory_report_cache_events (n[0].directory, &key, 9, events, 1, n.now);
   EXPECT_EQ (gaps->value, 1);
 }
 
--- a/tests/unit_drain.cc
+++ b/tests/unit_drain.cc
@@ -68,10 +68,10 @@
     of (a)->exit_code = exit_code;
   }
   static inline const struct drain_ops ops = { .leave = leave,
-                                               .idle = idle,
+                                               .is_idle = idle,
                                                .last_arrival = arrived,
                                                .hand_over = hand_over,
-                                               .handed_over = is_over,
+                                               .is_handed_over = is_over,
                                                .log_unfinished = unfinished,
                                                .end = end };
 
@@ -152,7 +152,7 @@
       p.run (100 * USEC_PER_MSEC);
       EXPECT_EQ (drain_state (p.drain), DRAIN_REFUSING) << i;
     }
-  p.run (DRAIN_QUIET);
+  p.run (DRAIN_QUIET_PERIOD);
   EXPECT_EQ (p.exit_code, 0);
 }
 
@@ -162,7 +162,7 @@
   struct process p;
 
   drain_signal (p.drain, p.now);
-  for (int64_t t = 0; t < LIST_KEEP + DRAIN_QUIET_WAIT_MAX + USEC_PER_SEC; t += 50 * USEC_PER_MSEC)
+  for (int64_t t = 0; t < LIST_KEEP + DRAIN_QUIET_TIMEOUT + USEC_PER_SEC; t += 50 * USEC_PER_MSEC)
     {
       p.last_arrival = p.now;
       p.run (50 * USEC_PER_MSEC);
@@ -193,7 +193,7 @@
 
   p.handed_over = false;
   drain_signal (p.drain, p.now);
-  p.run (LIST_KEEP + DRAIN_HAND_OVER_MAX - 100 * USEC_PER_MSEC);
+  p.run (LIST_KEEP + DRAIN_HAND_OVER_TIMEOUT - 100 * USEC_PER_MSEC);
   EXPECT_EQ (drain_state (p.drain), DRAIN_HANDING_OVER);
   p.run (300 * USEC_PER_MSEC);
   EXPECT_EQ (p.exit_code, 0);
--- a/tests/unit_registry.cc
+++ b/tests/unit_registry.cc
@@ -8,10 +8,10 @@
 namespace
 {
 
-struct registry_word
-word (const char *id, const char *address, enum registry_state state, uint64_t sequence)
+struct registry_registration
+registration (const char *id, const char *address, enum registry_state state, uint64_t sequence)
 {
-  struct registry_word out = {};
+  struct registry_registration out = {};
 
   snprintf (out.id, sizeof out.id, "%s", id);
   snprintf (out.pool, sizeof out.pool, "p");
@@ -35,25 +35,25 @@
     talloc_free (parent);
   }
 
-  enum registry_news
-  merge (const struct registry_word &said, int64_t age = 0)
+  enum registry_merge_result
+  merge (const struct registry_registration &sent, int64_t age = 0)
   {
-    return registry_merge (registry, &said, age, now, &target);
+    return registry_merge (registry, &sent, age, now, &target);
   }
 };
 
 TEST_F (RegistryTest, RenewalsKeepATargetAlive)
 {
-  EXPECT_EQ (merge (word ("i", "a:1", REGISTRY_READY, 1)), REGISTRY_NEWS_ADDED);
+  EXPECT_EQ (merge (registration ("i", "a:1", REGISTRY_READY, 1)), REGISTRY_MERGE_ADDED);
   now += 4 * USEC_PER_SEC;
-  EXPECT_EQ (merge (word ("i", "a:1", REGISTRY_READY, 2)), REGISTRY_NEWS_NONE);
+  EXPECT_EQ (merge (registration ("i", "a:1", REGISTRY_READY, 2)), REGISTRY_MERGE_NONE);
   now += 4 * USEC_PER_SEC;
   EXPECT_EQ (registry_expire (registry, 5 * USEC_PER_SEC, now), 0u);
   now += 2 * USEC_PER_SEC;
   EXPECT_EQ (registry_expire (registry, 5 * USEC_PER_SEC, now), 1u);
-  EXPECT_FALSE (registry_usable (target));
-  EXPECT_EQ (merge (word ("i", "a:1", REGISTRY_READY, 3)), REGISTRY_NEWS_CHANGED);
-  EXPECT_TRUE (registry_usable (target));
+  EXPECT_FALSE (registry_target_is_usable (target));
+  EXPECT_EQ (merge (registration ("i", "a:1", REGISTRY_READY, 3)), REGISTRY_MERGE_CHANGED);
+  EXPECT_TRUE (registry_target_is_usable (target));
 }
 
 // Short renewals carry a hash instead of the identity; freed targets are not found by it.
@@ -62,25 +62,25 @@
   uint64_t hash = registry_id_hash ("i-77");
 
   for (int i = 0; i < 300; i++)
-    merge (word (("i-" + std::to_string (i)).c_str (), ("a:" + std::to_string (i)).c_str (),
-                 REGISTRY_READY, 1));
-  ASSERT_NE (registry_find_short (registry, hash), nullptr);
-  EXPECT_STREQ (registry_find_short (registry, hash)->word.id, "i-77");
-  now += REGISTRY_REMEMBER + USEC_PER_SEC;
+    merge (registration (("i-" + std::to_string (i)).c_str (), ("a:" + std::to_string (i)).c_str (),
+                         REGISTRY_READY, 1));
+  ASSERT_NE (registry_find_by_hash (registry, hash), nullptr);
+  EXPECT_STREQ (registry_find_by_hash (registry, hash)->registration.id, "i-77");
+  now += REGISTRY_RETENTION + USEC_PER_SEC;
   registry_expire (registry, USEC_PER_SEC, now);
-  EXPECT_EQ (registry_find_short (registry, hash), nullptr);
+  EXPECT_EQ (registry_find_by_hash (registry, hash), nullptr);
 }
 
 // A target reports that it leaves.  An earlier renewal, delayed on a slow link, arrives afterwards;
 // it must not make the target ready again, or work is sent to it while it shuts down.
 TEST_F (RegistryTest, DelayedRenewalDoesNotRestoreLeavingTarget)
 {
-  merge (word ("i", "a:1", REGISTRY_READY, 1));
-  EXPECT_EQ (merge (word ("i", "a:1", REGISTRY_LEAVING, 5)), REGISTRY_NEWS_CHANGED);
-  EXPECT_EQ (merge (word ("i", "a:1", REGISTRY_READY, 4)), REGISTRY_NEWS_STALE);
-  EXPECT_EQ (target->word.state, REGISTRY_LEAVING);
-  merge (word ("i", "a:1", REGISTRY_READY, 6));
-  EXPECT_EQ (target->word.state, REGISTRY_LEAVING);
+  merge (registration ("i", "a:1", REGISTRY_READY, 1));
+  EXPECT_EQ (merge (registration ("i", "a:1", REGISTRY_LEAVING, 5)), REGISTRY_MERGE_CHANGED);
+  EXPECT_EQ (merge (registration ("i", "a:1", REGISTRY_READY, 4)), REGISTRY_MERGE_STALE);
+  EXPECT_EQ (target->registration.state, REGISTRY_LEAVING);
+  merge (registration ("i", "a:1", REGISTRY_READY, 6));
+  EXPECT_EQ (target->registration.state, REGISTRY_LEAVING);
 }
 
 // Addresses are reused.  A target crashes behind a partition, another starts at its address, and
@@ -90,60 +90,64 @@
 {
   struct registry_target *first;
 
-  merge (word ("old", "a:1", REGISTRY_READY, 1));
+  merge (registration ("old", "a:1", REGISTRY_READY, 1));
   first = target;
   now += USEC_PER_SEC;
-  merge (word ("new", "a:1", REGISTRY_READY, 1));
-  EXPECT_EQ (first->word.state, REGISTRY_GONE);
-  EXPECT_TRUE (registry_usable (target));
-  merge (word ("old", "a:1", REGISTRY_READY, 2), USEC_PER_SEC / 2);
-  EXPECT_EQ (first->word.state, REGISTRY_GONE);
+  merge (registration ("new", "a:1", REGISTRY_READY, 1));
+  EXPECT_EQ (first->registration.state, REGISTRY_GONE);
+  EXPECT_TRUE (registry_target_is_usable (target));
+  merge (registration ("old", "a:1", REGISTRY_READY, 2), USEC_PER_SEC / 2);
+  EXPECT_EQ (first->registration.state, REGISTRY_GONE);
 }
 
-struct registry_word
-started (struct registry_word said, uint64_t at)
+struct registry_registration
+started (struct registry_registration sent, uint64_t at)
 {
-  said.started = at;
-  return said;
+  sent.started_unix_ms = at;
+  return sent;
 }
 
 // A target crashes and restarts with the same identity; its sequence starts over.  If its renewals
 // were ignored as old, it would get no work until the sequence catches up.
 TEST_F (RegistryTest, RestartWithSameIdentityReplacesTheRegistration)
 {
-  merge (started (word ("i", "a:1", REGISTRY_READY, 500), 1000));
+  merge (started (registration ("i", "a:1", REGISTRY_READY, 500), 1000));
   now += 10 * USEC_PER_SEC;
   registry_expire (registry, 5 * USEC_PER_SEC, now);
-  EXPECT_EQ (merge (started (word ("i", "a:2", REGISTRY_READY, 1), 2000)), REGISTRY_NEWS_CHANGED);
-  EXPECT_TRUE (registry_usable (target));
-  EXPECT_EQ (target->word.sequence, 1u);
-  EXPECT_STREQ (target->word.address, "a:2");
-  EXPECT_EQ (merge (started (word ("i", "a:2", REGISTRY_READY, 2), 2000)), REGISTRY_NEWS_NONE);
+  EXPECT_EQ (merge (started (registration ("i", "a:2", REGISTRY_READY, 1), 2000)),
+             REGISTRY_MERGE_CHANGED);
+  EXPECT_TRUE (registry_target_is_usable (target));
+  EXPECT_EQ (target->registration.sequence, 1u);
+  EXPECT_STREQ (target->registration.address, "a:2");
+  EXPECT_EQ (merge (started (registration ("i", "a:2", REGISTRY_READY, 2), 2000)),
+             REGISTRY_MERGE_NONE);
 }
 
 // A registration of a target's previous start arrives late.  It must neither end the new start nor
 // raise its sequence, or the new start's own registrations would be ignored as old.
 TEST_F (RegistryTest, RegistrationsOfThePreviousStartAreIgnored)
 {
-  merge (started (word ("i", "a:1", REGISTRY_LEAVING, 500), 1000));
-  merge (started (word ("i", "a:1", REGISTRY_READY, 1), 2000));
-  EXPECT_TRUE (registry_usable (target));
-  EXPECT_EQ (merge (started (word ("i", "a:1", REGISTRY_GONE, 501), 1000)), REGISTRY_NEWS_STALE);
-  EXPECT_EQ (merge (started (word ("i", "a:1", REGISTRY_READY, 502), 1000)), REGISTRY_NEWS_STALE);
-  EXPECT_TRUE (registry_usable (target));
-  EXPECT_EQ (target->word.sequence, 1u);
+  merge (started (registration ("i", "a:1", REGISTRY_LEAVING, 500), 1000));
+  merge (started (registration ("i", "a:1", REGISTRY_READY, 1), 2000));
+  EXPECT_TRUE (registry_target_is_usable (target));
+  EXPECT_EQ (merge (started (registration ("i", "a:1", REGISTRY_GONE, 501), 1000)),
+             REGISTRY_MERGE_STALE);
+  EXPECT_EQ (merge (started (registration ("i", "a:1", REGISTRY_READY, 502), 1000)),
+             REGISTRY_MERGE_STALE);
+  EXPECT_TRUE (registry_target_is_usable (target));
+  EXPECT_EQ (target->registration.sequence, 1u);
 }
 
 TEST_F (RegistryTest, GoneTargetIsKeptForABoundedTime)
 {
-  merge (word ("i", "a:1", REGISTRY_READY, 1));
-  merge (word ("i", "a:1", REGISTRY_GONE, 1));
-  now += REGISTRY_REMEMBER / 2;
+  merge (registration ("i", "a:1", REGISTRY_READY, 1));
+  merge (registration ("i", "a:1", REGISTRY_GONE, 1));
+  now += REGISTRY_RETENTION / 2;
   registry_expire (registry, USEC_PER_SEC, now);
   ASSERT_NE (registry_find (registry, "i"), nullptr);
-  EXPECT_NE (merge (word ("i", "a:1", REGISTRY_READY, 9)), REGISTRY_NEWS_ADDED);
-  EXPECT_FALSE (registry_usable (target));
-  now += 2 * REGISTRY_REMEMBER;
+  EXPECT_NE (merge (registration ("i", "a:1", REGISTRY_READY, 9)), REGISTRY_MERGE_ADDED);
+  EXPECT_FALSE (registry_target_is_usable (target));
+  now += 2 * REGISTRY_RETENTION;
   registry_expire (registry, USEC_PER_SEC, now);
   EXPECT_EQ (registry_find (registry, "i"), nullptr);
 }
@@ -152,10 +156,10 @@
 {
   struct bytes out;
   struct pack_reader in;
-  struct registry_word read;
+  struct registry_registration read;
   int64_t age;
 
-  merge (started (word ("i", "a:1", REGISTRY_LEAVING, 3), 1234567890123));
+  merge (started (registration ("i", "a:1", REGISTRY_LEAVING, 3), 1234567890123));
   now += 7;
   bytes_init (&out, parent);
   registry_write (target, now, &out);
@@ -163,7 +167,7 @@
   ASSERT_TRUE (registry_read (&in, &read, &age));
   EXPECT_STREQ (read.id, "i");
   EXPECT_EQ (read.state, REGISTRY_LEAVING);
-  EXPECT_EQ (read.started, 1234567890123u);
+  EXPECT_EQ (read.started_unix_ms, 1234567890123u);
   EXPECT_EQ (age, 7);
   pack_reader_init (&in, out.data, out.length - 1);
   EXPECT_FALSE (registry_read (&in, &read, &age));
--- a/tests/unit_target_watch.cc
+++ b/tests/unit_target_watch.cc
@@ -79,7 +79,7 @@
           int64_t heard_at,
           enum registry_state state = REGISTRY_READY)
   {
-    struct registry_word word = {};
+    struct registry_registration word = {};
     struct registry_target *record;
 
     snprintf (word.id, sizeof word.id, "%s", id);
