--- a/bench/fuzz_config.c
+++ b/bench/fuzz_config.c
@@ -254,7 +254,7 @@
 
   if (i >= RECORDED)
     {
-      config_link_begin (i == RECORDED ? CONFIG_AWAIT : CONFIG_REACHED, out);
+      config_link_write_header (i == RECORDED ? CONFIG_WAIT_REQUEST : CONFIG_WAIT_REPLY, out);
       pack_uint (out, 1);
       pack_uint (out, OBJECTS);
     }
--- a/bench/fuzz_member.c
+++ b/bench/fuzz_member.c
@@ -31,7 +31,7 @@
     .kind = (enum member_kind) i,
     .number = 3,
     .about = "c",
-    .vitals = { .incarnation = 5, .beat = 2, .revision = 8, .load_percent = 40 },
+    .vitals = { .incarnation = 5, .version = 2, .revision = 8, .load_percent = 40 },
     .digest = 77,
     .n_items = ITEMS,
   };
@@ -52,7 +52,7 @@
 }
 
 static void
-drop_message (struct member_wire *wire, const char *host, const void *data, size_t length)
+drop_message (struct member_transport *wire, const char *host, const void *data, size_t length)
 {
   (void) wire;
   (void) host;
@@ -61,7 +61,7 @@
 }
 
 static void
-drop_address (struct member_wire *wire,
+drop_address (struct member_transport *wire,
               const char *host,
               const char *address,
               const char *public_key)
@@ -73,13 +73,13 @@
 }
 
 static void
-drop_host (struct member_wire *wire, const char *host)
+drop_host (struct member_transport *wire, const char *host)
 {
   (void) wire;
   (void) host;
 }
 
-static const struct member_wire_ops wire_ops = {
+static const struct member_transport_ops wire_ops = {
   .send = drop_message,
   .set_address = drop_address,
   .forget = drop_host,
@@ -109,11 +109,11 @@
     { .name = "b", .address = "10.0.0.2:3" },
     { .name = "c", .address = "10.0.0.3:3" },
   };
-  struct member_wire wire = { .ops = &wire_ops };
+  struct member_transport wire = { .ops = &wire_ops };
   struct member_config config = {
     .board = board_new (parent),
     .counters = counters_new (parent),
-    .wire = &wire,
+    .transport = &wire,
     .seeds = seeds,
     .n_seeds = sizeof seeds / sizeof seeds[0],
     .seed = SEED,
--- a/bench/spread_member.c
+++ b/bench/spread_member.c
@@ -22,7 +22,7 @@
 }
 
 static void
-wire_send (struct member_wire *wire, const char *host, const void *data, size_t length)
+wire_send (struct member_transport *wire, const char *host, const void *data, size_t length)
 {
   struct spread_member *self =
       (struct spread_member *) ((char *) wire - offsetof (struct spread_member, wire));
@@ -31,7 +31,7 @@
 }
 
 static void
-wire_set_address (struct member_wire *wire,
+wire_set_address (struct member_transport *wire,
                   const char *host,
                   const char *address,
                   const char *public_key)
@@ -43,13 +43,13 @@
 }
 
 static void
-wire_forget (struct member_wire *wire, const char *host)
+wire_forget (struct member_transport *wire, const char *host)
 {
   (void) wire;
   (void) host;
 }
 
-static const struct member_wire_ops wire_ops = {
+static const struct member_transport_ops wire_ops = {
   .send = wire_send,
   .set_address = wire_set_address,
   .forget = wire_forget,
@@ -111,7 +111,7 @@
     name_of (i, seeds[i].name);
   config.board = self->board;
   config.counters = self->counters;
-  config.wire = &self->wire;
+  config.transport = &self->wire;
   config.seeds = seeds;
   config.n_seeds = SEEDS;
   config.seed = index * UINT64_C (1000003) + incarnation;
@@ -161,7 +161,7 @@
 static void
 leave (struct spread_node *node, int64_t now)
 {
-  member_leave (((struct spread_member *) node)->member, now);
+  member_announce_leaving (((struct spread_member *) node)->member, now);
 }
 
 static void
--- a/bench/spread_member.h
+++ b/bench/spread_member.h
@@ -14,7 +14,7 @@
 struct spread_member
 {
   struct spread_node node; /* first member */
-  struct member_wire wire;
+  struct member_transport wire;
   struct board *board;
   struct counters *counters;
   struct member *member;
--- a/src/config.c
+++ b/src/config.c
@@ -10,32 +10,32 @@
   struct config_config config;
   struct config_board *entries;
   struct store_listener listener;
-  struct timer bring; /* armed when the store is newer than the board */
-  struct timer ask;   /* next request to a quorum */
+  struct timer board_timer;   /* armed when the store is newer than the board */
+  struct timer request_timer; /* next request to a quorum */
   struct proposal proposal;
   struct dump_source source;
-  bool asking;
-  int64_t asked_at;
-  uint32_t unread; /* specs that this release cannot read */
-  bool replaced;   /* the store was replaced; its history does not list what changed */
+  bool reading;
+  int64_t requested_at;
+  uint32_t n_unreadable; /* specs that this release cannot read */
+  bool replaced;         /* the store was replaced; its history does not list what changed */
   struct counter *changes;
   struct counter *revision;
 };
 
 static void
-bring_all (struct config *config)
+apply_all (struct config *config)
 {
-  config->unread = config_board_replace (config->entries, config->config.store);
+  config->n_unreadable = config_board_replace (config->entries, config->config.store);
   config->config.board->revision = store_revision (config->config.store);
   config->replaced = false;
 }
 
 static void
-bring_one (struct config *config, const struct store_event *event)
+apply_one (struct config *config, const struct store_event *event)
 {
-  if (config_board_change (config->entries, event) != STATUS_OK)
+  if (config_board_apply (config->entries, event) != STATUS_OK)
     {
-      config->unread++;
+      config->n_unreadable++;
       log_event (LOG_MODULE_STORE, LOG_LEVEL_ERROR, "spec-not-read", "{s:s}", "message",
                  status_message ());
     }
@@ -45,7 +45,7 @@
 
 /* Apply the store's changes to the board. */
 static void
-bring (struct config *config, int64_t now)
+update_board (struct config *config, int64_t now)
 {
   struct board *board = config->config.board;
   const struct store_history *changes = store_changes (config->config.store);
@@ -62,19 +62,19 @@
       else if (event == NULL)
         break;
       else
-        bring_one (config, event);
+        apply_one (config, event);
     }
   if (config->replaced)
-    bring_all (config);
+    apply_all (config);
   INVARIANT (board->revision >= before);
   gauge_set (config->revision, (double) board->revision);
   board_publish (board, BOARD_CONFIG_CHANGED, (struct handle){ 0 }, now);
 }
 
 static void
-bring_due (struct timer *timer, int64_t now)
+board_due (struct timer *timer, int64_t now)
 {
-  bring (CONTAINER_OF (timer, struct config, bring), now);
+  update_board (CONTAINER_OF (timer, struct config, board_timer), now);
 }
 
 /* The board is updated from the loop, not from inside the state machine: the listener is not given
@@ -85,8 +85,8 @@
   struct config *config = CONTAINER_OF (listener, struct config, listener);
 
   (void) event;
-  if (config->config.board->config_ready && !timer_is_armed (&config->bring))
-    timer_arm (config->config.timers, &config->bring, 0);
+  if (config->config.board->config_ready && !timer_is_armed (&config->board_timer))
+    timer_arm (config->config.timers, &config->board_timer, 0);
 }
 
 static void
@@ -97,7 +97,7 @@
 }
 
 void
-config_confirmed (struct config *config, int64_t at, int64_t now)
+config_set_confirmed (struct config *config, int64_t at, int64_t now)
 {
   struct board *board = config->config.board;
 
@@ -107,42 +107,42 @@
     return;
   board->config_ready = true;
   config->replaced = true;
-  bring (config, now);
+  update_board (config, now);
   log_event (LOG_MODULE_STORE, LOG_LEVEL_INFO, "config-ready", "{s:I}", "revision",
              (json_int_t) board->revision);
 }
 
 /* Ask a quorum whether the store holds everything committed. */
 static void
-ask_due (struct timer *timer, int64_t now)
+request_due (struct timer *timer, int64_t now)
 {
-  struct config *config = CONTAINER_OF (timer, struct config, ask);
+  struct config *config = CONTAINER_OF (timer, struct config, request_timer);
   struct consensus *consensus = config->config.consensus;
 
-  config->asked_at = now;
-  config->asking =
+  config->requested_at = now;
+  config->reading =
       consensus->ops->read (consensus, &config->proposal, now + CONFIG_CONFIRM_PERIOD, now)
       == STATUS_OK;
-  if (!config->asking)
-    timer_arm (config->config.timers, timer, now + CONFIG_ASK_PERIOD);
+  if (!config->reading)
+    timer_arm (config->config.timers, timer, now + CONFIG_REQUEST_PERIOD);
 }
 
 static void
-asked (
+read_done (
     struct proposal *proposal, enum status status, const void *result, size_t length, int64_t now)
 {
   struct config *config = CONTAINER_OF (proposal, struct config, proposal);
-  int64_t period = CONFIG_ASK_PERIOD;
+  int64_t period = CONFIG_REQUEST_PERIOD;
 
   (void) result;
   (void) length;
-  config->asking = false;
+  config->reading = false;
   if (status == STATUS_OK)
     {
-      config_confirmed (config, config->asked_at, now);
+      config_set_confirmed (config, config->requested_at, now);
       period = CONFIG_CONFIRM_PERIOD;
     }
-  timer_arm (config->config.timers, &config->ask, now + period);
+  timer_arm (config->config.timers, &config->request_timer, now + period);
 }
 
 static json_t *
@@ -154,23 +154,23 @@
 
   return json_pack ("{s:I,s:b,s:b,s:I,s:I,s:o}", "revision", (json_int_t) board->revision, "ready",
                     board->config_ready, "confirmed", config_is_confirmed (board, now),
-                    "confirmed_ms_ago", age, "specs_not_read", (json_int_t) config->unread, "store",
-                    store_describe (config->config.store));
+                    "confirmed_ms_ago", age, "specs_not_read", (json_int_t) config->n_unreadable,
+                    "store", store_describe (config->config.store));
 }
 
 static const struct store_listener_ops listener_ops = { .changed = changed, .replaced = replaced };
-static const struct timer_ops bring_ops = { .fire = bring_due };
-static const struct timer_ops ask_ops = { .fire = ask_due };
-static const struct proposal_ops proposal_ops = { .done = asked };
+static const struct timer_ops board_timer_ops = { .fire = board_due };
+static const struct timer_ops request_timer_ops = { .fire = request_due };
+static const struct proposal_ops proposal_ops = { .done = read_done };
 static const struct dump_source_ops source_ops = { .describe = describe };
 
 static int
 destroy (struct config *config)
 {
-  timer_disarm (config->config.timers, &config->bring);
-  timer_disarm (config->config.timers, &config->ask);
+  timer_disarm (config->config.timers, &config->board_timer);
+  timer_disarm (config->config.timers, &config->request_timer);
   store_unlisten (config->config.store, &config->listener);
-  if (config->asking)
+  if (config->reading)
     config->config.consensus->ops->withdraw (config->config.consensus, &config->proposal);
   return 0;
 }
@@ -190,8 +190,8 @@
       return NULL;
     }
   self->listener.ops = &listener_ops;
-  self->bring.ops = &bring_ops;
-  self->ask.ops = &ask_ops;
+  self->board_timer.ops = &board_timer_ops;
+  self->request_timer.ops = &request_timer_ops;
   self->proposal.ops = &proposal_ops;
   self->source.ops = &source_ops;
   self->source.name = "config";
@@ -203,7 +203,7 @@
   if (config->dump != NULL)
     dump_add (config->dump, &self->source);
   if (config->consensus != NULL)
-    timer_arm (config->timers, &self->ask, now);
+    timer_arm (config->timers, &self->request_timer, now);
   talloc_set_destructor (self, destroy);
   return self;
 }
--- a/src/config.h
+++ b/src/config.h
@@ -18,11 +18,11 @@
 BEGIN_DECLS
 
 /* Interval between requests to a quorum, before the first confirmation and after it. */
-#define CONFIG_ASK_PERIOD (USEC_PER_SEC / 4)
+#define CONFIG_REQUEST_PERIOD (USEC_PER_SEC / 4)
 #define CONFIG_CONFIRM_PERIOD (2 * USEC_PER_SEC)
 
 /* A confirmation older than this has expired; answers, the dump and entry lists show that. */
-#define CONFIG_CONFIRMED_FOR (10 * USEC_PER_SEC)
+#define CONFIG_CONFIRMATION_TTL (10 * USEC_PER_SEC)
 
 struct config;
 
@@ -42,14 +42,15 @@
 
 /* Report that a quorum confirmed what the store now holds.  `at` is the local time in us before
  * the quorum was asked. */
-void config_confirmed (struct config *config, int64_t at, int64_t now);
+void config_set_confirmed (struct config *config, int64_t at, int64_t now);
 
-/* Whether the configuration in force was confirmed within CONFIG_CONFIRMED_FOR.  A host for which
- * this is false goes on serving with what it has, reports that, and is left out of entry lists. */
+/* Whether the configuration in force was confirmed within CONFIG_CONFIRMATION_TTL.  A host for
+ * which this is false goes on serving with what it has, reports that, and is left out of entry
+ * lists. */
 static inline bool
 config_is_confirmed (const struct board *board, int64_t now)
 {
-  return board->config_ready && now - board->confirmed_at < CONFIG_CONFIRMED_FOR;
+  return board->config_ready && now - board->confirmed_at < CONFIG_CONFIRMATION_TTL;
 }
 
 END_DECLS
--- a/src/config_board.c
+++ b/src/config_board.c
@@ -39,7 +39,7 @@
 
 /* Set the handles of the stages' pools; the handle of a missing pool is empty. */
 static void
-link_pools (const struct board *board, struct board_pipeline *pipeline)
+set_pool_handles (const struct board *board, struct board_pipeline *pipeline)
 {
   uint32_t i;
 
@@ -49,13 +49,13 @@
 }
 
 static void
-link_all (const struct board *board)
+set_all_pool_handles (const struct board *board)
 {
   struct board_pipeline *pipeline;
   uint32_t cursor = 0;
 
   while ((pipeline = table_next (board->pipelines, &cursor, NULL)) != NULL)
-    link_pools (board, pipeline);
+    set_pool_handles (board, pipeline);
 }
 
 static enum status
@@ -72,7 +72,7 @@
   pool->spec = *spec;
   pool->revision = revision;
   if (added)
-    link_all (board);
+    set_all_pool_handles (board);
   return STATUS_OK;
 }
 
@@ -88,7 +88,7 @@
     return status_fail (STATUS_LIMIT, "no room on the board for pipeline %s", spec->name);
   pipeline->spec = *spec;
   pipeline->revision = revision;
-  link_pools (board, pipeline);
+  set_pool_handles (board, pipeline);
   return STATUS_OK;
 }
 
@@ -203,7 +203,7 @@
     case RESOURCE_POOL:
       board_find_pool (board, name, &handle);
       table_remove (board->pools, handle);
-      link_all (board);
+      set_all_pool_handles (board);
       break;
     case RESOURCE_ORGANISATION:
       board_find_organisation (board, name, &handle);
@@ -220,7 +220,7 @@
 }
 
 enum status
-config_board_change (struct config_board *self, const struct store_event *event)
+config_board_apply (struct config_board *self, const struct store_event *event)
 {
   if (event->type != STORE_EVENT_DELETED)
     return set_object (self, event->kind, event->name, event->spec, event->revision);
@@ -257,7 +257,7 @@
 uint32_t
 config_board_replace (struct config_board *self, const struct store *store)
 {
-  uint32_t unread = 0;
+  uint32_t n_failed = 0;
   int kind;
 
   remove_missing (self, store);
@@ -270,11 +270,11 @@
           if (set_object (self, object->kind, object->name, object->spec, object->revision)
               == STATUS_OK)
             continue;
-          unread++;
+          n_failed++;
           log_event (LOG_MODULE_STORE, LOG_LEVEL_ERROR, "spec-not-read", "{s:s}", "message",
                      status_message ());
         }
     }
-  link_all (self->board);
-  return unread;
+  set_all_pool_handles (self->board);
+  return n_failed;
 }
--- a/src/config_board.h
+++ b/src/config_board.h
@@ -16,7 +16,7 @@
 
 /* Apply one change.  STATUS_UNSUPPORTED, with the board unchanged, for a spec that this release
  * cannot read; STATUS_LIMIT when a table is full. */
-enum status config_board_change (struct config_board *self, const struct store_event *event);
+enum status config_board_apply (struct config_board *self, const struct store_event *event);
 
 /* Apply all objects of the store and remove the entries that it does not hold.  Return the number
  * of objects that could not be applied. */
--- a/src/config_feed.c
+++ b/src/config_feed.c
@@ -8,21 +8,22 @@
 
 #define FOLLOWERS_MAX 1024
 #define MESSAGE_BYTES (256u << 10) /* approximate size of the changes or objects in a message */
-#define SNAPSHOT_PERIOD (3 * USEC_PER_SEC) /* minimum between two snapshots sent to a follower */
-#define READ_WITHIN (2 * USEC_PER_SEC)
+#define SNAPSHOT_INTERVAL_MIN                                                                      \
+  (3 * USEC_PER_SEC) /* minimum between two snapshots sent to a follower */
+#define READ_TIMEOUT (2 * USEC_PER_SEC)
 
 struct feed_follower
 {
   struct feed_follower *prev;
   struct feed_follower *next;
   char host[RESOURCE_NAME_SIZE];
-  uint64_t held;    /* revision that it last reported */
-  uint64_t sent;    /* revision up to which changes were sent */
-  uint64_t nonce;   /* of its waiting request */
-  bool asks;        /* its request waits for a read that begins after it */
-  bool read_covers; /* the read in progress began after its request */
+  uint64_t held_revision;   /* revision that it last reported */
+  uint64_t sent_revision;   /* revision up to which changes were sent */
+  uint64_t nonce;           /* of its waiting request */
+  bool has_request;         /* its request waits for a read that begins after it */
+  bool read_covers_request; /* the read in progress began after its request */
   int64_t heard_at;
-  int64_t copied_at; /* when it was last sent a snapshot, 0 for never */
+  int64_t snapshot_at; /* when it was last sent a snapshot, 0 for never */
 };
 
 struct config_feed
@@ -36,7 +37,7 @@
   struct feed_follower *followers;
   uint32_t n_followers;
   bool reading;
-  struct counter *copies;
+  struct counter *snapshots;
 };
 
 static struct feed_follower *
@@ -85,7 +86,7 @@
   struct bytes message;
 
   bytes_init (&message, feed);
-  config_link_begin (CONFIG_PART, &message);
+  config_link_write_header (CONFIG_SNAPSHOT_PART, &message);
   pack_uint (&message, store_revision (feed->config.store));
   pack_uint (&message, number);
   pack_bool (&message, last);
@@ -97,7 +98,7 @@
 
 /* Send every object, in parts.  The follower asks again when a part is lost. */
 static void
-send_copy (struct config_feed *feed, struct feed_follower *follower)
+send_snapshot (struct config_feed *feed, struct feed_follower *follower)
 {
   const struct store_object *object;
   struct bytes events;
@@ -127,8 +128,8 @@
         }
     }
   send_part (feed, follower, number, true, &events, count);
-  follower->sent = store_revision (feed->config.store);
-  counter_add (feed->copies, 1);
+  follower->sent_revision = store_revision (feed->config.store);
+  counter_add (feed->snapshots, 1);
 }
 
 /* Send the changes after the last one sent to the follower, or a snapshot when the history no
@@ -147,24 +148,24 @@
       bytes_init (&events, feed);
       for (count = 0; events.length < MESSAGE_BYTES; count++)
         {
-          if (store_history_after (changes, follower->sent, &event) != STATUS_OK)
+          if (store_history_after (changes, follower->sent_revision, &event) != STATUS_OK)
             {
               bytes_clear (&events);
-              if (follower->copied_at != 0 && now < follower->copied_at + SNAPSHOT_PERIOD)
+              if (follower->snapshot_at != 0 && now < follower->snapshot_at + SNAPSHOT_INTERVAL_MIN)
                 return;
-              follower->copied_at = now;
-              send_copy (feed, follower);
+              follower->snapshot_at = now;
+              send_snapshot (feed, follower);
               return;
             }
           if (event == NULL)
             break;
           store_event_pack (event, &events);
-          follower->sent = event->revision;
+          follower->sent_revision = event->revision;
         }
       if (count == 0)
         return;
       bytes_init (&message, feed);
-      config_link_begin (CONFIG_CHANGES, &message);
+      config_link_write_header (CONFIG_CHANGES, &message);
       pack_array (&message, count);
       bytes_append (&message, events.data, events.length);
       bytes_clear (&events);
@@ -181,7 +182,7 @@
   struct feed_follower *following;
 
   DL_FOREACH_SAFE (feed->followers, follower, following)
-    if (now - follower->heard_at > CONFIG_FEED_FORGET)
+    if (now - follower->heard_at > CONFIG_FEED_FOLLOWER_TIMEOUT)
       drop (feed, follower);
     else
       push (feed, follower, now);
@@ -217,21 +218,21 @@
     return;
   DL_FOREACH (feed->followers, follower)
     {
-      follower->read_covers = follower->asks;
-      wanted = wanted || follower->asks;
+      follower->read_covers_request = follower->has_request;
+      wanted = wanted || follower->has_request;
     }
   feed->reading =
       wanted
-      && consensus->ops->read (consensus, &feed->proposal, now + READ_WITHIN, now) == STATUS_OK;
+      && consensus->ops->read (consensus, &feed->proposal, now + READ_TIMEOUT, now) == STATUS_OK;
 }
 
 static void
-send_current (struct config_feed *feed, const struct feed_follower *follower)
+send_confirmation (struct config_feed *feed, const struct feed_follower *follower)
 {
   struct bytes message;
 
   bytes_init (&message, feed);
-  config_link_begin (CONFIG_CURRENT, &message);
+  config_link_write_header (CONFIG_CONFIRMATION, &message);
   pack_uint (&message, follower->nonce);
   pack_uint (&message, store_revision (feed->config.store));
   config_link_send (feed->config.link, follower->host, &message);
@@ -249,14 +250,14 @@
   feed->reading = false;
   DL_FOREACH (feed->followers, follower)
     {
-      if (!follower->read_covers)
+      if (!follower->read_covers_request)
         continue;
-      follower->read_covers = false;
-      follower->asks = false; /* without a quorum it retries, perhaps at another voter */
+      follower->read_covers_request = false;
+      follower->has_request = false; /* without a quorum it retries, perhaps at another voter */
       if (status != STATUS_OK)
         continue;
       push (feed, follower, now);
-      send_current (feed, follower);
+      send_confirmation (feed, follower);
     }
   begin_read (feed, now);
 }
@@ -270,7 +271,7 @@
 {
   struct config_feed *feed = CONTAINER_OF (handler, struct config_feed, handler);
   uint64_t nonce = pack_read_uint (body, UINT64_MAX);
-  uint64_t held = pack_read_uint (body, UINT64_MAX);
+  uint64_t held_revision = pack_read_uint (body, UINT64_MAX);
   struct feed_follower *follower = find_follower (feed, from);
 
   (void) type;
@@ -280,16 +281,16 @@
     follower = add_follower (feed, from);
   if (follower == NULL)
     return;
-  follower->held = held;
-  follower->sent = held;
+  follower->held_revision = held_revision;
+  follower->sent_revision = held_revision;
   follower->heard_at = now;
   /* A repeat does not replace a waiting request: the read in progress may have begun before the
    * repeat, and repeats that arrive faster than reads end would postpone the answer for ever. */
-  if (!follower->asks)
+  if (!follower->has_request)
     {
       follower->nonce = nonce;
-      follower->asks = true;
-      follower->read_covers = false;
+      follower->has_request = true;
+      follower->read_covers_request = false;
     }
   begin_read (feed, now);
 }
@@ -304,7 +305,7 @@
   DL_FOREACH (feed->followers, follower)
     json_array_append_new (followers,
                            json_pack ("{s:s,s:I,s:I}", "host", follower->host, "revision",
-                                      (json_int_t) follower->held, "heard_ms_ago",
+                                      (json_int_t) follower->held_revision, "heard_ms_ago",
                                       (json_int_t) ((now - follower->heard_at) / USEC_PER_MSEC)));
   return json_pack ("{s:o}", "followers", followers);
 }
@@ -339,10 +340,10 @@
   feed->proposal.ops = &proposal_ops;
   feed->source.ops = &source_ops;
   feed->source.name = "config_feed";
-  feed->copies = counter_get (config->counters, "cherryarch_config_copies_sent_total",
-                              "Whole copies of the configuration sent to followers.", NULL);
+  feed->snapshots = counter_get (config->counters, "cherryarch_config_copies_sent_total",
+                                 "Whole copies of the configuration sent to followers.", NULL);
   store_listen (config->store, &feed->listener);
-  config_link_handle (config->link, CONFIG_ASK, &feed->handler);
+  config_link_set_handler (config->link, CONFIG_REQUEST, &feed->handler);
   if (config->dump != NULL)
     dump_add (config->dump, &feed->source);
   talloc_set_destructor (feed, destroy);
--- a/src/config_feed.h
+++ b/src/config_feed.h
@@ -13,7 +13,7 @@
 BEGIN_DECLS
 
 /* A follower that sent no request for this long is dropped and sent nothing more. */
-#define CONFIG_FEED_FORGET (15 * USEC_PER_SEC)
+#define CONFIG_FEED_FOLLOWER_TIMEOUT (15 * USEC_PER_SEC)
 
 struct config_feed;
 
--- a/src/config_follow.c
+++ b/src/config_follow.c
@@ -8,7 +8,7 @@
 
 #define EVENTS_MAX 65536
 #define UNANSWERED_MAX 2 /* requests before the next voter is tried */
-#define ASKS_KEPT 16     /* an answer to an older request is ignored */
+#define REQUESTS_KEPT 16 /* an answer to an older request is ignored */
 
 struct config_follow
 {
@@ -21,32 +21,32 @@
   uint32_t voter; /* index of the voter asked */
   uint32_t unanswered;
   uint64_t nonce;
-  int64_t asked_at[ASKS_KEPT]; /* by nonce modulo ASKS_KEPT */
-  uint64_t copy_revision;      /* of the snapshot being received */
-  uint32_t copy_next;          /* number of its next part; 0 when none is received */
-  struct counter *asks;
+  int64_t requested_at[REQUESTS_KEPT]; /* by nonce modulo REQUESTS_KEPT */
+  uint64_t snapshot_revision;          /* of the snapshot being received */
+  uint32_t snapshot_next_part;         /* number of its next part; 0 when none is received */
+  struct counter *requests;
 };
 
 static int64_t
-last_asked (const struct config_follow *follow)
+last_requested_at (const struct config_follow *follow)
 {
-  return follow->asked_at[follow->nonce % ASKS_KEPT];
+  return follow->requested_at[follow->nonce % REQUESTS_KEPT];
 }
 
 static void
-ask (struct config_follow *follow, int64_t now)
+send_request (struct config_follow *follow, int64_t now)
 {
   struct bytes message;
 
   bytes_init (&message, follow);
   follow->nonce++;
-  follow->asked_at[follow->nonce % ASKS_KEPT] = now;
+  follow->requested_at[follow->nonce % REQUESTS_KEPT] = now;
   follow->unanswered++;
-  config_link_begin (CONFIG_ASK, &message);
+  config_link_write_header (CONFIG_REQUEST, &message);
   pack_uint (&message, follow->nonce);
   pack_uint (&message, store_revision (follow->config.store));
   config_link_send (follow->config.link, follow->voters[follow->voter], &message);
-  counter_add (follow->asks, 1);
+  counter_add (follow->requests, 1);
 }
 
 /* A voter that does not answer is down, unreachable, or without a quorum.  The missing answer is
@@ -63,24 +63,24 @@
       follow->unanswered = 0;
     }
   if (follow->n_voters > 0)
-    ask (follow, now);
+    send_request (follow, now);
   timer_arm (follow->config.timers, timer,
-             now + (settled ? CONFIG_CONFIRM_PERIOD : CONFIG_ASK_PERIOD));
+             now + (settled ? CONFIG_CONFIRM_PERIOD : CONFIG_REQUEST_PERIOD));
 }
 
 /* Handle a gap left by a lost message: send the next request early, with the revision held. */
 static void
-ask_soon (struct config_follow *follow, int64_t now)
+request_soon (struct config_follow *follow, int64_t now)
 {
-  int64_t at = last_asked (follow) + CONFIG_ASK_PERIOD;
+  int64_t at = last_requested_at (follow) + CONFIG_REQUEST_PERIOD;
 
-  follow->copy_next = 0;
+  follow->snapshot_next_part = 0;
   if (at < follow->timer.due)
     timer_arm (follow->config.timers, &follow->timer, at < now ? now : at);
 }
 
 static void
-take_changes (struct config_follow *follow, struct pack_reader *body, int64_t now)
+apply_changes (struct config_follow *follow, struct pack_reader *body, int64_t now)
 {
   uint32_t count = pack_read_array (body, EVENTS_MAX);
   uint32_t i;
@@ -96,13 +96,13 @@
       talloc_free (scratch);
       if (status == STATUS_OK)
         continue;
-      ask_soon (follow, now);
+      request_soon (follow, now);
       return;
     }
 }
 
 static void
-take_part (struct config_follow *follow, struct pack_reader *body, int64_t now)
+apply_snapshot_part (struct config_follow *follow, struct pack_reader *body, int64_t now)
 {
   uint64_t revision = pack_read_uint (body, UINT64_MAX);
   uint32_t number = (uint32_t) pack_read_uint (body, UINT32_MAX);
@@ -114,9 +114,9 @@
     return;
   if (number == 0)
     store_replace_begin (follow->config.store);
-  else if (number != follow->copy_next || revision != follow->copy_revision)
+  else if (number != follow->snapshot_next_part || revision != follow->snapshot_revision)
     {
-      ask_soon (follow, now);
+      request_soon (follow, now);
       return;
     }
   for (i = 0; i < count; i++)
@@ -130,11 +130,11 @@
       talloc_free (scratch);
       if (status == STATUS_OK)
         continue;
-      ask_soon (follow, now);
+      request_soon (follow, now);
       return;
     }
-  follow->copy_revision = revision;
-  follow->copy_next = last ? 0 : number + 1;
+  follow->snapshot_revision = revision;
+  follow->snapshot_next_part = last ? 0 : number + 1;
   if (last && store_replace_end (follow->config.store, revision) != STATUS_OK)
     log_event (LOG_MODULE_STORE, LOG_LEVEL_WARNING, "old-copy-refused", "{s:s}", "message",
                status_message ());
@@ -142,18 +142,18 @@
 
 /* A confirmation counts from the time of the request that it answers. */
 static void
-take_current (struct config_follow *follow, struct pack_reader *body, int64_t now)
+apply_confirmation (struct config_follow *follow, struct pack_reader *body, int64_t now)
 {
   uint64_t nonce = pack_read_uint (body, UINT64_MAX);
   uint64_t revision = pack_read_uint (body, UINT64_MAX);
 
-  if (!pack_read_end (body) || nonce > follow->nonce || nonce + ASKS_KEPT <= follow->nonce)
+  if (!pack_read_end (body) || nonce > follow->nonce || nonce + REQUESTS_KEPT <= follow->nonce)
     return;
   follow->unanswered = 0;
   if (store_revision (follow->config.store) < revision)
-    ask_soon (follow, now);
+    request_soon (follow, now);
   else
-    config_confirmed (follow->config.config, follow->asked_at[nonce % ASKS_KEPT], now);
+    config_set_confirmed (follow->config.config, follow->requested_at[nonce % REQUESTS_KEPT], now);
 }
 
 static bool
@@ -181,11 +181,11 @@
       || (type != CONFIG_CHANGES && strcmp (follow->voters[follow->voter], from) != 0))
     return;
   if (type == CONFIG_CHANGES)
-    take_changes (follow, body, now);
-  else if (type == CONFIG_PART)
-    take_part (follow, body, now);
+    apply_changes (follow, body, now);
+  else if (type == CONFIG_SNAPSHOT_PART)
+    apply_snapshot_part (follow, body, now);
   else
-    take_current (follow, body, now);
+    apply_confirmation (follow, body, now);
 }
 
 static json_t *
@@ -196,7 +196,7 @@
   return json_pack ("{s:s,s:I,s:I}", "voter",
                     follow->n_voters > 0 ? follow->voters[follow->voter] : "", "unanswered",
                     (json_int_t) follow->unanswered, "asked_ms_ago",
-                    (json_int_t) ((now - last_asked (follow)) / USEC_PER_MSEC));
+                    (json_int_t) ((now - last_requested_at (follow)) / USEC_PER_MSEC));
 }
 
 static const struct config_handler_ops handler_ops = { .received = received };
@@ -228,11 +228,11 @@
   follow->timer.ops = &timer_ops;
   follow->source.ops = &source_ops;
   follow->source.name = "config_follow";
-  follow->asks = counter_get (config->counters, "cherryarch_config_asks_total",
-                              "Times a voter was asked to confirm the configuration.", NULL);
-  config_link_handle (config->link, CONFIG_CHANGES, &follow->handler);
-  config_link_handle (config->link, CONFIG_PART, &follow->handler);
-  config_link_handle (config->link, CONFIG_CURRENT, &follow->handler);
+  follow->requests = counter_get (config->counters, "cherryarch_config_asks_total",
+                                  "Times a voter was asked to confirm the configuration.", NULL);
+  config_link_set_handler (config->link, CONFIG_CHANGES, &follow->handler);
+  config_link_set_handler (config->link, CONFIG_SNAPSHOT_PART, &follow->handler);
+  config_link_set_handler (config->link, CONFIG_CONFIRMATION, &follow->handler);
   if (config->dump != NULL)
     dump_add (config->dump, &follow->source);
   timer_arm (config->timers, &follow->timer, now);
--- a/src/config_link.c
+++ b/src/config_link.c
@@ -44,15 +44,15 @@
 }
 
 void
-config_link_handle (struct config_link *link,
-                    enum config_message type,
-                    struct config_handler *handler)
+config_link_set_handler (struct config_link *link,
+                         enum config_message type,
+                         struct config_handler *handler)
 {
   link->handlers[type] = handler;
 }
 
 void
-config_link_begin (enum config_message type, struct bytes *out)
+config_link_write_header (enum config_message type, struct bytes *out)
 {
   pack_uint (out, CONFIG_LINK_VERSION);
   pack_uint (out, type);
--- a/src/config_link.h
+++ b/src/config_link.h
@@ -13,12 +13,12 @@
 /* Written into messages: never renumbered. */
 enum config_message
 {
-  CONFIG_ASK = 0,     /* follower to voter: nonce, revision held */
-  CONFIG_CHANGES = 1, /* voter to follower: events in order */
-  CONFIG_PART = 2,    /* voter to follower: revision, part, last, events of all objects */
-  CONFIG_CURRENT = 3, /* voter to follower: nonce, revision confirmed after the request */
-  CONFIG_AWAIT = 4,   /* any host to any: id, revision */
-  CONFIG_REACHED = 5, /* its answer: id, revision in force */
+  CONFIG_REQUEST = 0,       /* follower to voter: nonce, revision held */
+  CONFIG_CHANGES = 1,       /* voter to follower: events in order */
+  CONFIG_SNAPSHOT_PART = 2, /* voter to follower: revision, part, last, events of all objects */
+  CONFIG_CONFIRMATION = 3,  /* voter to follower: nonce, revision confirmed after the request */
+  CONFIG_WAIT_REQUEST = 4,  /* any host to any: id, revision */
+  CONFIG_WAIT_REPLY = 5,    /* its answer: id, revision in force */
   CONFIG_MESSAGE_COUNT
 };
 
@@ -42,12 +42,12 @@
 
 /* Listens on the port's channel. */
 struct config_link *config_link_new (void *parent, struct peer_port *port);
-void config_link_handle (struct config_link *link,
-                         enum config_message type,
-                         struct config_handler *handler);
+void config_link_set_handler (struct config_link *link,
+                              enum config_message type,
+                              struct config_handler *handler);
 
 /* Write a message's header; the caller appends the body. */
-void config_link_begin (enum config_message type, struct bytes *out);
+void config_link_write_header (enum config_message type, struct bytes *out);
 
 /* Send `message` and clear it. */
 enum status config_link_send (struct config_link *link, const char *host, struct bytes *message);
--- a/src/config_wait.c
+++ b/src/config_wait.c
@@ -7,7 +7,7 @@
 #include <talloc.h>
 #include <utlist.h>
 
-#define WAIT_REPEAT (USEC_PER_SEC / 4)
+#define WAIT_REPEAT_INTERVAL (USEC_PER_SEC / 4)
 #define WAIT_GRACE (USEC_PER_SEC / 2) /* before an unreachable host is skipped */
 #define WAITS_MAX 256
 #define ASKERS_MAX 1024
@@ -58,7 +58,7 @@
 };
 
 static void
-send_numbers (struct config_wait *wait,
+send_message (struct config_wait *wait,
               enum config_message type,
               const char *host,
               uint64_t id,
@@ -67,7 +67,7 @@
   struct bytes message;
 
   bytes_init (&message, wait);
-  config_link_begin (type, &message);
+  config_link_write_header (type, &message);
   pack_uint (&message, id);
   pack_uint (&message, revision);
   config_link_send (wait->config.link, host, &message); /* repeated by the waiting host */
@@ -75,7 +75,7 @@
 
 /* The gossiped state may be out of date; a host that answered is reachable whatever its state. */
 static bool
-gone (const struct config_wait *wait, const struct wait_host *host)
+is_unreachable (const struct config_wait *wait, const struct wait_host *host)
 {
   const struct board_host *entry = board_find_host (wait->config.board, host->name, NULL);
 
@@ -85,9 +85,9 @@
 }
 
 static bool
-reached (const struct config_wait *wait,
-         const struct wait_round *round,
-         const struct wait_host *host)
+has_revision (const struct config_wait *wait,
+              const struct wait_round *round,
+              const struct wait_host *host)
 {
   if (host->self)
     return wait->config.board->revision >= round->revision;
@@ -95,13 +95,13 @@
 }
 
 static bool
-complete (const struct config_wait *wait, const struct wait_round *round, int64_t now)
+is_complete (const struct config_wait *wait, const struct wait_round *round, int64_t now)
 {
   uint32_t i;
 
   for (i = 0; i < round->n_hosts; i++)
-    if (!reached (wait, round, &round->hosts[i])
-        && !(gone (wait, &round->hosts[i]) && now >= round->started + WAIT_GRACE))
+    if (!has_revision (wait, round, &round->hosts[i])
+        && !(is_unreachable (wait, &round->hosts[i]) && now >= round->started + WAIT_GRACE))
       return false;
   return true;
 }
@@ -128,10 +128,10 @@
     {
       const struct wait_host *host = &round->hosts[i];
 
-      if (reached (wait, round, host))
+      if (has_revision (wait, round, host))
         result.hosts++;
       else
-        json_array_append_new (gone (wait, host) ? result.cut_off : result.behind,
+        json_array_append_new (is_unreachable (wait, host) ? result.cut_off : result.behind,
                                json_string (host->name));
     }
   result.everywhere = json_array_size (result.behind) == 0;
@@ -142,29 +142,29 @@
 }
 
 static void
-ask_missing (struct config_wait *wait, const struct wait_round *round)
+request_missing (struct config_wait *wait, const struct wait_round *round)
 {
   uint32_t i;
 
   for (i = 0; i < round->n_hosts && wait->config.link != NULL; i++)
-    if (!round->hosts[i].self && !reached (wait, round, &round->hosts[i]))
-      send_numbers (wait, CONFIG_AWAIT, round->hosts[i].name, round->id, round->revision);
+    if (!round->hosts[i].self && !has_revision (wait, round, &round->hosts[i]))
+      send_message (wait, CONFIG_WAIT_REQUEST, round->hosts[i].name, round->id, round->revision);
 }
 
 static void
-look (struct timer *timer, int64_t now)
+check_rounds (struct timer *timer, int64_t now)
 {
   struct config_wait *wait = CONTAINER_OF (timer, struct config_wait, timer);
   struct wait_round *round;
   struct wait_round *following;
 
   DL_FOREACH_SAFE (wait->rounds, round, following)
-    if (complete (wait, round, now) || now >= round->deadline)
+    if (is_complete (wait, round, now) || now >= round->deadline)
       finish (wait, round, now);
     else
-      ask_missing (wait, round);
+      request_missing (wait, round);
   if (wait->rounds != NULL)
-    timer_arm (wait->config.timers, timer, now + WAIT_REPEAT);
+    timer_arm (wait->config.timers, timer, now + WAIT_REPEAT_INTERVAL);
 }
 
 static void
@@ -178,11 +178,11 @@
 /* Answer at once, which shows that this host is reachable, and again when the revision is in
  * force. */
 static void
-asked (struct config_wait *wait, const char *from, uint64_t id, uint64_t revision)
+handle_request (struct config_wait *wait, const char *from, uint64_t id, uint64_t revision)
 {
   struct wait_asker *asker;
 
-  send_numbers (wait, CONFIG_REACHED, from, id, wait->config.board->revision);
+  send_message (wait, CONFIG_WAIT_REPLY, from, id, wait->config.board->revision);
   if (wait->config.board->revision >= revision)
     return;
   DL_FOREACH (wait->askers, asker)
@@ -219,7 +219,7 @@
       if (revision > round->hosts[i].revision)
         round->hosts[i].revision = revision;
     }
-  if (complete (wait, round, now))
+  if (is_complete (wait, round, now))
     finish (wait, round, now);
 }
 
@@ -236,8 +236,8 @@
 
   if (!pack_read_end (body))
     return;
-  if (type == CONFIG_AWAIT)
-    asked (wait, from, id, revision);
+  if (type == CONFIG_WAIT_REQUEST)
+    handle_request (wait, from, id, revision);
   else
     answered (wait, from, id, revision, now);
 }
@@ -260,7 +260,7 @@
     {
       if (wait->config.board->revision < asker->revision)
         continue;
-      send_numbers (wait, CONFIG_REACHED, asker->host, asker->id, wait->config.board->revision);
+      send_message (wait, CONFIG_WAIT_REPLY, asker->host, asker->id, wait->config.board->revision);
       drop_asker (wait, asker);
     }
   if (wait->rounds != NULL)
@@ -269,7 +269,7 @@
 
 static const struct config_handler_ops handler_ops = { .received = received };
 static const struct board_subscriber_ops subscriber_ops = { .changed = board_changed };
-static const struct timer_ops timer_ops = { .fire = look };
+static const struct timer_ops timer_ops = { .fire = check_rounds };
 
 static int
 destroy (struct config_wait *wait)
@@ -292,8 +292,8 @@
   board_subscribe (config->board, &wait->subscriber);
   if (config->link != NULL)
     {
-      config_link_handle (config->link, CONFIG_AWAIT, &wait->handler);
-      config_link_handle (config->link, CONFIG_REACHED, &wait->handler);
+      config_link_set_handler (config->link, CONFIG_WAIT_REQUEST, &wait->handler);
+      config_link_set_handler (config->link, CONFIG_WAIT_REPLY, &wait->handler);
     }
   talloc_set_destructor (wait, destroy);
   return wait;
--- a/src/controller.c
+++ b/src/controller.c
@@ -157,10 +157,10 @@
 static void
 got_ask (struct controller *controller, struct pack_reader *in, const char *from, int64_t now)
 {
-  struct sync_ask ask;
+  struct sync_request ask;
   struct fed_host *host;
 
-  if (!sync_read_ask (in, &ask) || !pack_read_end (in) || strcmp (ask.self.name, from) != 0)
+  if (!sync_read_request (in, &ask) || !pack_read_end (in) || strcmp (ask.self.name, from) != 0)
     return;
   host = take_host (controller, from, now);
   if (host == NULL)
@@ -303,11 +303,11 @@
   pack_reader_init (&in, data, length);
   if (!sync_read_type (&in, &type))
     return;
-  if (type == SYNC_ASK)
+  if (type == SYNC_REQUEST)
     got_ask (controller, &in, from, now);
   else if (type == SYNC_TARGET)
     controller_got_target (controller, &in, from, now);
-  else if (type == SYNC_RECEIVED)
+  else if (type == SYNC_TARGET_ACK)
     controller_got_received (controller, &in, from, now);
 }
 
--- a/src/controller.h
+++ b/src/controller.h
@@ -15,7 +15,7 @@
 BEGIN_DECLS
 
 /* An entry host not heard for so long is no longer named to clients.  It asks every
- * SYNC_ASK_PERIOD, so that two asks may be lost. */
+ * SYNC_REQUEST_PERIOD, so that two asks may be lost. */
 #define CONTROLLER_HOST_LEASE (1800 * USEC_PER_MSEC)
 
 /* After its start a controller counts on entry hosts to ask within so long; they try a controller
--- a/src/controller_state.c
+++ b/src/controller_state.c
@@ -113,7 +113,7 @@
   struct bytes out;
 
   bytes_init (&out, NULL);
-  sync_begin (SYNC_STATE, &out);
+  sync_write_header (SYNC_STATE, &out);
   sync_write_state (&state, &out);
   if (state.has_document)
     pack_binary (&out, text->data, text->length);
--- a/src/controller_target.c
+++ b/src/controller_target.c
@@ -107,7 +107,7 @@
   wait->wanted = others_wanted (controller, members, n);
   wait->n_seen = 0;
   bytes_init (&out, NULL);
-  sync_begin (SYNC_TARGET, &out);
+  sync_write_header (SYNC_TARGET, &out);
   pack_uint (&out, controller->config.incarnation);
   pack_uint (&out, wait->number);
   registry_write (target, now, &out);
@@ -201,7 +201,7 @@
     return;
   merge (controller, &word, age, from, now);
   bytes_init (&out, NULL);
-  sync_begin (SYNC_RECEIVED, &out);
+  sync_write_header (SYNC_TARGET_ACK, &out);
   pack_uint (&out, incarnation);
   pack_uint (&out, number);
   if (!bytes_failed (&out))
--- a/src/drain.h
+++ b/src/drain.h
@@ -59,7 +59,7 @@
 
 struct drain_ops
 {
-  /* Announce to the other hosts that this host leaves (member_leave()). */
+  /* Announce to the other hosts that this host leaves (member_announce_leaving()). */
   void (*leave) (struct drain_actions *actions, int64_t now);
 
   /* Whether nothing is in flight and no answer is waiting to be sent. */
@@ -75,8 +75,8 @@
   /* Log each unfinished request by its id; returns their number. */
   uint32_t (*log_unfinished) (struct drain_actions *actions, int64_t now);
 
-  /* Announce that this host has left (member_left()) and stop the loop with this exit code.  The
-   * last call. */
+  /* Announce that this host has left (member_announce_left()) and stop the loop with this exit
+   * code.  The last call. */
   void (*end) (struct drain_actions *actions, int exit_code, int64_t now);
 };
 
--- a/src/entry_host.c
+++ b/src/entry_host.c
@@ -152,7 +152,7 @@
   for (const struct balance_target *at = host->balance.targets; at != NULL; at = at->next)
     json_array_append_new (targets, describe_target (at, now));
   return json_pack ("{s:s,s:b,s:I,s:i,s:o}", "name", host->base.settings.name, "ready",
-                    subscriber_ready (host->subscriber), "version",
+                    subscriber_is_ready (host->subscriber), "version",
                     (json_int_t) (routing == NULL ? 0 : routing->version), "in_flight",
                     (int) forward_in_flight (host->forward), "targets", targets);
 }
@@ -348,7 +348,7 @@
 bool
 entry_host_is_ready (const struct entry_host *host)
 {
-  return subscriber_ready (host->subscriber);
+  return subscriber_is_ready (host->subscriber);
 }
 
 void
--- a/src/forward.c
+++ b/src/forward.c
@@ -86,7 +86,7 @@
     return true;
   /* The key may have been revoked since the last confirmation: a host without contact to a quorum
    * must not go on accepting it. */
-  if (subscriber_age (forward->config.subscriber) > forward->config.confirmed_for)
+  if (subscriber_confirmation_age (forward->config.subscriber) > forward->config.confirmed_for)
     {
       job_refuse (job, FORWARD_STALE, NOT_READY_RETRY_AFTER_SEC);
       return false;
--- a/src/forward_end.c
+++ b/src/forward_end.c
@@ -30,7 +30,7 @@
 {
   const struct forward *forward = job->forward;
   int64_t now = loop_now (forward->config.loop);
-  int64_t age = subscriber_age (forward->config.subscriber);
+  int64_t age = subscriber_confirmation_age (forward->config.subscriber);
 
   counter_add (forward->reasons[reason], 1);
   log_event (LOG_MODULE_FLOW, LOG_LEVEL_INFO, "request-ended",
--- a/src/host_drain.c
+++ b/src/host_drain.c
@@ -10,7 +10,7 @@
   struct host *host = CONTAINER_OF (actions, struct host, drain_actions);
 
   log_event (LOG_MODULE_HOST, LOG_LEVEL_INFO, "leaving", NULL);
-  member_leave (member_control_member (host->members), now);
+  member_announce_leaving (member_control_member (host->members), now);
 }
 
 static bool
@@ -67,7 +67,7 @@
 {
   struct host *host = CONTAINER_OF (actions, struct host, drain_actions);
 
-  member_left (member_control_member (host->members), now);
+  member_announce_left (member_control_member (host->members), now);
   log_event (LOG_MODULE_HOST, LOG_LEVEL_INFO, "ended", "{s:b}", "whole",
              exit_code == DRAIN_EXIT_COMPLETE);
   host->exit = exit_code == DRAIN_EXIT_COMPLETE ? HOST_EXIT_OK : HOST_EXIT_UNFINISHED;
--- a/src/member.c
+++ b/src/member.c
@@ -7,12 +7,12 @@
 #include <string.h>
 #include <talloc.h>
 
-#define CHECK_SPAN (250 * USEC_PER_MSEC)
-#define TICK_SPAN (50 * USEC_PER_MSEC)
+#define CHECK_INTERVAL (250 * USEC_PER_MSEC)
+#define TICK_INTERVAL (50 * USEC_PER_MSEC)
 
 /* Dead hosts and hosts that left stay in the view for this long.  Until then a host that returns is
  * still known, and dead hosts count in the decision whether this host is cut off. */
-#define KEEP_DEAD (3600 * USEC_PER_SEC)
+#define DEAD_HOST_TTL (3600 * USEC_PER_SEC)
 
 /* A host that is behind the newest revision it heard of for this long sets its `behind` flag (an
  * accepted change must be in force everywhere within 11 s). */
@@ -23,13 +23,13 @@
 
 /* Minimum interval between gossiped updates of load and revision: the larger of the fixed one and
  * the one per known host.  Probes carry the latest values anyway. */
-#define VITALS_SPAN (5 * USEC_PER_SEC)
-#define VITALS_SPAN_PER_HOST (100 * USEC_PER_MSEC)
-#define LOAD_STEP 12 /* percentage points; a smaller change of load is not gossiped */
+#define VITALS_INTERVAL (5 * USEC_PER_SEC)
+#define VITALS_INTERVAL_PER_HOST (100 * USEC_PER_MSEC)
+#define LOAD_STEP_PERCENT 12 /* percentage points; a smaller change of load is not gossiped */
 
 /* A suspect is told of its suspicion this often, so that its refutation does not depend on one
  * message.  A suspicion that is not gossiped reaches the suspect in no other way. */
-#define TELL_SUSPECT (1 * USEC_PER_SEC)
+#define SUSPECT_PING_INTERVAL (1 * USEC_PER_SEC)
 
 static int
 free_member (struct member *member)
@@ -84,10 +84,10 @@
     }
   text_copy_cut (host->name, sizeof host->name, name);
   text_copy_cut (entry->name, sizeof entry->name, name);
-  host->state_at = now;
+  host->state_changed_at = now;
   /* The first probe comes at random in the next round, so that not all hosts probe a new one at
    * once. */
-  host->round = member->round;
+  host->probe_round = member->round;
   HASH_ADD_STR (member->hosts, name, host);
   return host;
 }
@@ -97,21 +97,21 @@
 static void
 drop_host (struct member *member, struct member_host *host)
 {
-  member->wire->ops->forget (member->wire, host->name);
-  member_forget_news (member, host);
+  member->transport->ops->forget (member->transport, host->name);
+  member_dequeue (member, host);
   table_remove (member->board->hosts, host->handle);
   HASH_DEL (member->hosts, host);
   talloc_free (host);
 }
 
 struct board_host *
-member_board (const struct member *member, const struct member_host *host)
+member_board_entry (const struct member *member, const struct member_host *host)
 {
   return table_get (member->board->hosts, host->handle);
 }
 
 bool
-member_present (enum host_state state)
+member_state_is_present (enum host_state state)
 {
   return state != HOST_DEAD && state != HOST_LEFT;
 }
@@ -123,7 +123,7 @@
   uint32_t count = 0;
 
   for (host = member->hosts; host != NULL; host = host->hh.next)
-    count += member_present (member_board (member, host)->state) ? 1 : 0;
+    count += member_state_is_present (member_board_entry (member, host)->state) ? 1 : 0;
   return count;
 }
 
@@ -141,7 +141,7 @@
                   enum host_state state,
                   int64_t now)
 {
-  struct board_host *entry = member_board (member, host);
+  struct board_host *entry = member_board_entry (member, host);
 
   if (state == HOST_SUSPECT)
     host->suspect_until = now + suspicion_span (member);
@@ -153,23 +153,23 @@
              "from", host_state_text (entry->state), "to", host_state_text (state), "local",
              host->local);
   entry->state = state;
-  host->state_at = now;
+  host->state_changed_at = now;
   board_publish (member->board, BOARD_HOST_CHANGED, host->handle, now);
 }
 
 void
-member_suspect (struct member *member, struct member_host *host, bool told, int64_t now)
+member_suspect (struct member *member, struct member_host *host, bool gossiped, int64_t now)
 {
-  enum host_state state = member_board (member, host)->state;
+  enum host_state state = member_board_entry (member, host)->state;
 
   if (state != HOST_ALIVE && state != HOST_LEAVING)
     return;
   counter_add (member->suspicions, 1);
-  host->local = !told;
-  host->accused = told;
+  host->local = !gossiped;
+  host->suspicion_gossiped = gossiped;
   member_set_state (member, host, HOST_SUSPECT, now);
-  if (told)
-    member_make_news (member, host, false);
+  if (gossiped)
+    member_queue_state (member, host, false);
 }
 
 /* ---- this host's record ---- */
@@ -198,7 +198,7 @@
 void
 member_refresh_vitals (struct member *member, int64_t now)
 {
-  struct board_host *entry = member_board (member, member->self);
+  struct board_host *entry = member_board_entry (member, member->self);
   struct member_vitals fresh = member->vitals;
   double load = member->board->load;
 
@@ -207,7 +207,7 @@
   fresh.load_percent = load <= 0 ? 0 : load >= 1 ? 100 : (uint32_t) (load * 100);
   if (vitals_equal (&fresh, &member->vitals))
     return;
-  fresh.beat++;
+  fresh.version++;
   member->vitals = fresh;
   entry->revision = fresh.revision;
   entry->load = load;
@@ -215,29 +215,30 @@
 }
 
 static void
-tell_vitals (struct member *member, int64_t now)
+gossip_vitals (struct member *member, int64_t now)
 {
   const struct member_vitals *fresh = &member->vitals;
-  const struct member_vitals *told = &member->told;
-  int64_t span = (int64_t) HASH_COUNT (member->hosts) * VITALS_SPAN_PER_HOST;
-  uint32_t step = fresh->load_percent > told->load_percent
-                      ? fresh->load_percent - told->load_percent
-                      : told->load_percent - fresh->load_percent;
-
-  if (span < VITALS_SPAN)
-    span = VITALS_SPAN;
-  if (now - member->told_at < span || (step < LOAD_STEP && fresh->revision == told->revision))
+  const struct member_vitals *gossiped = &member->gossiped;
+  int64_t span = (int64_t) HASH_COUNT (member->hosts) * VITALS_INTERVAL_PER_HOST;
+  uint32_t step = fresh->load_percent > gossiped->load_percent
+                      ? fresh->load_percent - gossiped->load_percent
+                      : gossiped->load_percent - fresh->load_percent;
+
+  if (span < VITALS_INTERVAL)
+    span = VITALS_INTERVAL;
+  if (now - member->gossiped_at < span
+      || (step < LOAD_STEP_PERCENT && fresh->revision == gossiped->revision))
     return;
-  member->told = *fresh;
-  member->told_at = now;
-  member_make_vitals_news (member, member->self);
+  member->gossiped = *fresh;
+  member->gossiped_at = now;
+  member_queue_vitals (member, member->self);
 }
 
 /* Flags are part of this host's record; a change is gossiped at once. */
 static void
-tell_flags (struct member *member, int64_t now)
+gossip_flags (struct member *member, int64_t now)
 {
-  struct board_host *entry = member_board (member, member->self);
+  struct board_host *entry = member_board_entry (member, member->self);
   bool behind = is_behind (member, now);
 
   if (entry->behind == behind && entry->cut_off == member->cut_off)
@@ -245,13 +246,13 @@
   entry->behind = behind;
   entry->cut_off = member->cut_off;
   member->self->sequence++;
-  member_make_news (member, member->self, false);
+  member_queue_state (member, member->self, false);
   board_publish (member->board, BOARD_HOST_CHANGED, member->self->handle, now);
 }
 
 /* When fewer than half of the expected hosts answer, the fault is likely on this host's side. */
 static void
-look_around (struct member *member)
+update_cut_off (struct member *member)
 {
   const struct member_host *host;
   uint32_t reached = 0;
@@ -260,7 +261,7 @@
 
   for (host = member->hosts; host != NULL; host = host->hh.next)
     {
-      enum host_state state = member_board (member, host)->state;
+      enum host_state state = member_board_entry (member, host)->state;
 
       expected += state != HOST_LEFT ? 1 : 0;
       reached += state == HOST_ALIVE || state == HOST_LEAVING ? 1 : 0;
@@ -276,20 +277,21 @@
 static void
 check_host (struct member *member, struct member_host *host, int64_t now)
 {
-  enum host_state state = member_board (member, host)->state;
+  enum host_state state = member_board_entry (member, host)->state;
 
   if (state == HOST_SUSPECT && now >= host->suspect_until)
     {
       member_set_state (member, host, HOST_DEAD, now);
-      if (host->accused)
-        member_make_news (member, host, false);
+      if (host->suspicion_gossiped)
+        member_queue_state (member, host, false);
     }
-  else if (state == HOST_SUSPECT && (host->local || host->accused) && now >= host->tell_at)
+  else if (state == HOST_SUSPECT && (host->local || host->suspicion_gossiped)
+           && now >= host->next_suspect_ping)
     {
-      host->tell_at = now + TELL_SUSPECT;
+      host->next_suspect_ping = now + SUSPECT_PING_INTERVAL;
       member_send (member, host->name, MEMBER_PING, 0, "");
     }
-  if (!member_present (state) && now - host->state_at >= KEEP_DEAD)
+  if (!member_state_is_present (state) && now - host->state_changed_at >= DEAD_HOST_TTL)
     drop_host (member, host);
 }
 
@@ -304,10 +306,10 @@
       if (host != member->self)
         check_host (member, host, now);
     }
-  look_around (member);
-  tell_flags (member, now);
+  update_cut_off (member);
+  gossip_flags (member, now);
   member_refresh_vitals (member, now);
-  tell_vitals (member, now);
+  gossip_vitals (member, now);
 }
 
 int64_t
@@ -316,11 +318,11 @@
   if (now >= member->next_check)
     {
       check (member, now);
-      member->next_check = now + CHECK_SPAN;
+      member->next_check = now + CHECK_INTERVAL;
     }
   member_probe_tick (member, now);
   member_gossip (member, now);
-  return now + TICK_SPAN;
+  return now + TICK_INTERVAL;
 }
 
 static void
@@ -328,24 +330,24 @@
 {
   member->self->sequence++;
   member_set_state (member, member->self, state, now);
-  member_make_news (member, member->self, false);
-  member_tell_all (member);
+  member_queue_state (member, member->self, false);
+  member_broadcast_state (member);
 }
 
 void
-member_leave (struct member *member, int64_t now)
+member_announce_leaving (struct member *member, int64_t now)
 {
   set_own_state (member, HOST_LEAVING, now);
 }
 
 void
-member_left (struct member *member, int64_t now)
+member_announce_left (struct member *member, int64_t now)
 {
   set_own_state (member, HOST_LEFT, now);
 }
 
 bool
-member_cut_off (const struct member *member)
+member_is_cut_off (const struct member *member)
 {
   return member->cut_off;
 }
@@ -360,7 +362,7 @@
   member->self = member_add_host (member, config->self.name, config->now);
   if (member->self == NULL)
     return false;
-  entry = member_board (member, member->self);
+  entry = member_board_entry (member, member->self);
   *entry = config->self;
   entry->self = true;
   entry->state = HOST_ALIVE;
@@ -372,7 +374,7 @@
 }
 
 static void
-take_seeds (struct member *member, const struct member_config *config)
+add_seeds (struct member *member, const struct member_config *config)
 {
   for (uint32_t i = 0; i < config->n_seeds && member->n_seeds < MEMBER_SEEDS_MAX; i++)
     {
@@ -381,7 +383,8 @@
       if (strcmp (seed->name, config->self.name) == 0)
         continue;
       member->seeds[member->n_seeds++] = *seed;
-      member->wire->ops->set_address (member->wire, seed->name, seed->address, seed->public_key);
+      member->transport->ops->set_address (member->transport, seed->name, seed->address,
+                                           seed->public_key);
     }
 }
 
@@ -394,7 +397,7 @@
     return NULL;
   talloc_set_destructor (member, free_member);
   member->board = config->board;
-  member->wire = config->wire;
+  member->transport = config->transport;
   rng_init (&member->rng, config->seed);
   register_counters (member, config->counters);
   if (!add_self (member, config))
@@ -402,19 +405,19 @@
       talloc_free (member);
       return NULL;
     }
-  take_seeds (member, config);
+  add_seeds (member, config);
   member->round = 1;
-  member_board (member, member->self)->behind = !config->board->config_ready;
-  member_make_news (member, member->self, true);
+  member_board_entry (member, member->self)->behind = !config->board->config_ready;
+  member_queue_state (member, member->self, true);
   member_refresh_vitals (member, config->now);
-  member->next_probe = config->now + (int64_t) rng_below (&member->rng, MEMBER_PERIOD);
+  member->next_probe = config->now + (int64_t) rng_below (&member->rng, MEMBER_PROBE_PERIOD);
   return member;
 }
 
 static json_t *
 describe_host (const struct member *member, const struct member_host *host, int64_t now)
 {
-  const struct board_host *entry = member_board (member, host);
+  const struct board_host *entry = member_board_entry (member, host);
 
   return json_pack ("{s:s,s:s,s:s,s:I,s:I,s:I,s:f,s:b,s:b,s:I}", "name", host->name, "domain",
                     entry->domain, "state", host_state_text (entry->state), "incarnation",
--- a/src/member.h
+++ b/src/member.h
@@ -33,28 +33,28 @@
   char public_key[BOARD_KEY_SIZE]; /* "" for none */
 };
 
-struct member_wire
+struct member_transport
 {
-  const struct member_wire_ops *ops;
+  const struct member_transport_ops *ops;
 };
 
-struct member_wire_ops
+struct member_transport_ops
 {
-  void (*send) (struct member_wire *wire, const char *host, const void *data, size_t length);
+  void (*send) (struct member_transport *wire, const char *host, const void *data, size_t length);
 
   /* Called when a host is learned or changes its address or key.  `public_key` is "" for none. */
-  void (*set_address) (struct member_wire *wire,
+  void (*set_address) (struct member_transport *wire,
                        const char *host,
                        const char *address,
                        const char *public_key);
-  void (*forget) (struct member_wire *wire, const char *host);
+  void (*forget) (struct member_transport *wire, const char *host);
 };
 
 struct member_config
 {
   struct board *board; /* this host's entry is added to it, and its `self` set */
   struct counters *counters;
-  struct member_wire *wire;
+  struct member_transport *transport;
   struct board_host self; /* this host's record: names, addresses, key, voter, incarnation */
   const struct member_seed *seeds;
   uint32_t n_seeds;
@@ -75,11 +75,11 @@
 
 /* Announce that this host is shutting down, or has shut down: sent to every present host at once,
  * and gossiped. */
-void member_leave (struct member *member, int64_t now);
-void member_left (struct member *member, int64_t now);
+void member_announce_leaving (struct member *member, int64_t now);
+void member_announce_left (struct member *member, int64_t now);
 
 /* Whether this host reaches fewer than half of the hosts that it expects. */
-bool member_cut_off (const struct member *member);
+bool member_is_cut_off (const struct member *member);
 
 json_t *member_describe (const struct member *member, int64_t now);
 
--- a/src/member_control.c
+++ b/src/member_control.c
@@ -6,7 +6,7 @@
 
 struct member_control
 {
-  struct member_wire wire; /* first member */
+  struct member_transport transport; /* first member */
   struct peer_listener listener;
   struct timer timer;
   struct dump_source source;
@@ -16,7 +16,7 @@
 };
 
 static void
-wire_send (struct member_wire *wire, const char *host, const void *data, size_t length)
+wire_send (struct member_transport *wire, const char *host, const void *data, size_t length)
 {
   struct member_control *control = (struct member_control *) wire;
 
@@ -25,7 +25,7 @@
 }
 
 static void
-wire_set_address (struct member_wire *wire,
+wire_set_address (struct member_transport *wire,
                   const char *host,
                   const char *address,
                   const char *public_key)
@@ -37,14 +37,14 @@
 }
 
 static void
-wire_forget (struct member_wire *wire, const char *host)
+wire_forget (struct member_transport *wire, const char *host)
 {
   struct member_control *control = (struct member_control *) wire;
 
   control->port->ops->forget (control->port, host);
 }
 
-static const struct member_wire_ops wire_ops = {
+static const struct member_transport_ops wire_ops = {
   .send = wire_send,
   .set_address = wire_set_address,
   .forget = wire_forget,
@@ -104,14 +104,14 @@
 
   if (control == NULL)
     return NULL;
-  control->wire.ops = &wire_ops;
+  control->transport.ops = &wire_ops;
   control->listener.ops = &listener_ops;
   control->timer.ops = &timer_ops;
   control->source.ops = &source_ops;
   control->source.name = "member";
   control->port = config->port;
   control->timers = config->timers;
-  inner.wire = &control->wire;
+  inner.transport = &control->transport;
   control->member = member_new (control, &inner);
   if (control->member == NULL)
     {
--- a/src/member_probe.c
+++ b/src/member_probe.c
@@ -4,30 +4,30 @@
 #include "text.h"
 #include <string.h>
 
-#define JOIN_SPAN_MIN (500 * USEC_PER_MSEC)
-#define JOIN_SPAN_MAX (10 * USEC_PER_SEC)
+#define JOIN_INTERVAL_MIN (500 * USEC_PER_MSEC)
+#define JOIN_INTERVAL_MAX (10 * USEC_PER_SEC)
 
 /* Interval between joins sent to a dead host and to an unknown seed; shorter while cut off. */
-#define REACH_SPAN (10 * USEC_PER_SEC)
-#define REACH_SPAN_CUT_OFF (1 * USEC_PER_SEC)
+#define REACH_INTERVAL (10 * USEC_PER_SEC)
+#define REACH_INTERVAL_CUT_OFF (1 * USEC_PER_SEC)
 
 /* Updates take time to spread; views that differ for this long have missed some. */
-#define DIFFERENT_FOR (10 * USEC_PER_SEC)
-#define SYNC_SPAN (30 * USEC_PER_SEC)
-#define SYNC_SPAN_CUT_OFF (1 * USEC_PER_SEC)
+#define DIFFERENCE_AGE_MIN (10 * USEC_PER_SEC)
+#define SYNC_INTERVAL (30 * USEC_PER_SEC)
+#define SYNC_INTERVAL_CUT_OFF (1 * USEC_PER_SEC)
 
 /* ---- probes of this host ---- */
 
 static struct member_host *
-pick_of_round (struct member *member)
+pick_unprobed (struct member *member)
 {
   struct member_host *host;
   struct member_host *picked = NULL;
   uint32_t seen = 0;
 
   for (host = member->hosts; host != NULL; host = host->hh.next)
-    if (host != member->self && host->round < member->round
-        && member_present (member_board (member, host)->state)
+    if (host != member->self && host->probe_round < member->round
+        && member_state_is_present (member_board_entry (member, host)->state)
         && rng_below (&member->rng, ++seen) == 0)
       picked = host;
   return picked;
@@ -38,18 +38,18 @@
 static struct member_host *
 next_host (struct member *member)
 {
-  struct member_host *host = pick_of_round (member);
+  struct member_host *host = pick_unprobed (member);
 
   if (host != NULL)
     return host;
   member->round++;
-  return pick_of_round (member);
+  return pick_unprobed (member);
 }
 
 static struct member_probe *
-free_probe (struct member *member)
+find_free_probe (struct member *member)
 {
-  for (int i = 0; i < MEMBER_PROBES; i++)
+  for (int i = 0; i < MEMBER_PROBES_MAX; i++)
     if (member->probes[i].number == 0)
       return &member->probes[i];
   return NULL;
@@ -58,7 +58,7 @@
 static struct member_probe *
 find_probe (struct member *member, uint64_t number)
 {
-  for (int i = 0; i < MEMBER_PROBES; i++)
+  for (int i = 0; i < MEMBER_PROBES_MAX; i++)
     if (number != 0 && member->probes[i].number == number)
       return &member->probes[i];
   return NULL;
@@ -67,15 +67,15 @@
 static void
 start_probe (struct member *member, int64_t now)
 {
-  struct member_probe *probe = free_probe (member);
+  struct member_probe *probe = find_free_probe (member);
   struct member_host *host = probe != NULL ? next_host (member) : NULL;
 
   /* Jitter of a tenth either way, so that hosts do not probe in step. */
-  member->next_probe =
-      now + MEMBER_PERIOD * 9 / 10 + (int64_t) rng_below (&member->rng, MEMBER_PERIOD / 5);
+  member->next_probe = now + MEMBER_PROBE_PERIOD * 9 / 10
+                       + (int64_t) rng_below (&member->rng, MEMBER_PROBE_PERIOD / 5);
   if (host == NULL)
     return;
-  host->round = member->round;
+  host->probe_round = member->round;
   *probe = (struct member_probe){ .number = ++member->next_number, .started = now };
   text_copy_cut (probe->host, sizeof probe->host, host->name);
   member_send (member, host->name, MEMBER_PING, probe->number, "");
@@ -89,7 +89,7 @@
   probe->indirect = true;
   for (int i = 0; i < MEMBER_HELPERS; i++)
     {
-      const struct member_host *helper = member_pick (member, probe->host);
+      const struct member_host *helper = member_pick_random (member, probe->host);
 
       if (helper == NULL)
         return;
@@ -107,25 +107,25 @@
   probe->number = 0;
   if (host == NULL)
     return;
-  member_suspect (member, host, probe->helper_heard, now);
+  member_suspect (member, host, probe->helper_answered, now);
   /* Not even a helper answered: this host is likely cut off, and probes again at once to find
    * out. */
-  if (!probe->helper_heard)
+  if (!probe->helper_answered)
     member->next_probe = now;
 }
 
 static void
 probe_step (struct member *member, int64_t now)
 {
-  for (int i = 0; i < MEMBER_PROBES; i++)
+  for (int i = 0; i < MEMBER_PROBES_MAX; i++)
     {
       struct member_probe *probe = &member->probes[i];
 
       if (probe->number == 0)
         continue;
-      if (!probe->indirect && now - probe->started >= MEMBER_DIRECT)
+      if (!probe->indirect && now - probe->started >= MEMBER_DIRECT_TIMEOUT)
         ask_helpers (member, probe);
-      if (now - probe->started >= MEMBER_INDIRECT)
+      if (now - probe->started >= MEMBER_PROBE_TIMEOUT)
         end_probe (member, probe, now);
     }
   if (now >= member->next_probe)
@@ -137,15 +137,15 @@
 static void
 relay_start (struct member *member, const char *asker, const struct member_head *head, int64_t now)
 {
-  for (int i = 0; i < MEMBER_RELAYS; i++)
+  for (int i = 0; i < MEMBER_RELAYS_MAX; i++)
     {
       struct member_relay *relay = &member->relays[i];
 
       if (relay->number != 0)
         continue;
       relay->number = ++member->next_number;
-      relay->their_number = head->number;
-      relay->until = now + MEMBER_DIRECT;
+      relay->asker_number = head->number;
+      relay->until = now + MEMBER_DIRECT_TIMEOUT;
       text_copy_cut (relay->asker, sizeof relay->asker, asker);
       text_copy_cut (relay->about, sizeof relay->about, head->about);
       member_send (member, head->about, MEMBER_PING, relay->number, "");
@@ -157,13 +157,13 @@
 relay_end (struct member *member, struct member_relay *relay, enum member_kind kind)
 {
   relay->number = 0;
-  member_send (member, relay->asker, kind, relay->their_number, relay->about);
+  member_send (member, relay->asker, kind, relay->asker_number, relay->about);
 }
 
 static void
 relays_step (struct member *member, int64_t now)
 {
-  for (int i = 0; i < MEMBER_RELAYS; i++)
+  for (int i = 0; i < MEMBER_RELAYS_MAX; i++)
     if (member->relays[i].number != 0 && now >= member->relays[i].until)
       relay_end (member, &member->relays[i], MEMBER_NACK);
 }
@@ -177,27 +177,29 @@
     return;
   for (uint32_t i = 0; i < member->n_seeds; i++)
     member_send (member, member->seeds[i].name, MEMBER_JOIN, 0, "");
-  if (member->join_span < JOIN_SPAN_MIN)
-    member->join_span = JOIN_SPAN_MIN;
-  member->next_join = now + member->join_span;
-  member->join_span = member->join_span * 2 > JOIN_SPAN_MAX ? JOIN_SPAN_MAX : member->join_span * 2;
+  if (member->join_interval < JOIN_INTERVAL_MIN)
+    member->join_interval = JOIN_INTERVAL_MIN;
+  member->next_join = now + member->join_interval;
+  member->join_interval =
+      member->join_interval * 2 > JOIN_INTERVAL_MAX ? JOIN_INTERVAL_MAX : member->join_interval * 2;
 }
 
 static const char *
-absent_host (struct member *member)
+pick_dead_host (struct member *member)
 {
   const struct member_host *host;
   const char *picked = NULL;
   uint32_t seen = 0;
 
   for (host = member->hosts; host != NULL; host = host->hh.next)
-    if (member_board (member, host)->state == HOST_DEAD && rng_below (&member->rng, ++seen) == 0)
+    if (member_board_entry (member, host)->state == HOST_DEAD
+        && rng_below (&member->rng, ++seen) == 0)
       picked = host->name;
   return picked;
 }
 
 static const char *
-absent_seed (struct member *member)
+pick_unknown_seed (struct member *member)
 {
   uint32_t start = (uint32_t) rng_below (&member->rng, member->n_seeds);
 
@@ -220,13 +222,13 @@
 
   if (now < member->next_reach)
     return;
-  member->next_reach = now + (member->cut_off ? REACH_SPAN_CUT_OFF : REACH_SPAN) * 9 / 10
+  member->next_reach = now + (member->cut_off ? REACH_INTERVAL_CUT_OFF : REACH_INTERVAL) * 9 / 10
                        + (int64_t) rng_below (&member->rng, USEC_PER_SEC / 5);
   /* A host that restarted meanwhile may not know this one or its address; a join carries both. */
-  name = absent_host (member);
+  name = pick_dead_host (member);
   if (name != NULL)
     member_send (member, name, MEMBER_JOIN, 0, "");
-  name = absent_seed (member);
+  name = pick_unknown_seed (member);
   if (name != NULL)
     member_send (member, name, MEMBER_JOIN, 0, "");
 }
@@ -245,8 +247,8 @@
 static void
 compare_views (struct member *member, const char *from, const struct member_head *head, int64_t now)
 {
-  int64_t span = member->cut_off ? SYNC_SPAN_CUT_OFF : SYNC_SPAN;
-  int64_t different = member->cut_off ? 0 : DIFFERENT_FOR;
+  int64_t span = member->cut_off ? SYNC_INTERVAL_CUT_OFF : SYNC_INTERVAL;
+  int64_t different = member->cut_off ? 0 : DIFFERENCE_AGE_MIN;
 
   if (head->digest == member_digest (member))
     {
@@ -265,13 +267,13 @@
 static void
 clear_probes (struct member *member, const char *host)
 {
-  for (int i = 0; i < MEMBER_PROBES; i++)
+  for (int i = 0; i < MEMBER_PROBES_MAX; i++)
     if (strcmp (member->probes[i].host, host) == 0)
       member->probes[i].number = 0;
 }
 
 static void
-take_ack (struct member *member, const char *from, const struct member_head *head)
+handle_ack (struct member *member, const char *from, const struct member_head *head)
 {
   const struct member_probe *probe = find_probe (member, head->number);
 
@@ -279,7 +281,7 @@
   /* Sent by a helper that reached the host. */
   if (probe != NULL && strcmp (head->about, probe->host) == 0)
     clear_probes (member, head->about);
-  for (int i = 0; i < MEMBER_RELAYS; i++)
+  for (int i = 0; i < MEMBER_RELAYS_MAX; i++)
     if (member->relays[i].number != 0 && member->relays[i].number == head->number
         && strcmp (member->relays[i].about, from) == 0)
       {
@@ -289,16 +291,16 @@
 }
 
 static void
-take_nack (struct member *member, const struct member_head *head)
+handle_nack (struct member *member, const struct member_head *head)
 {
   struct member_probe *probe = find_probe (member, head->number);
 
   if (probe != NULL && strcmp (head->about, probe->host) == 0)
-    probe->helper_heard = true;
+    probe->helper_answered = true;
 }
 
 static void
-take_want (struct member *member, const char *from, const struct member_head *head)
+handle_want (struct member *member, const char *from, const struct member_head *head)
 {
   const struct member_host *about = member_find (member, head->about);
 
@@ -319,17 +321,17 @@
       compare_views (member, from, head, now);
       break;
     case MEMBER_ACK:
-      take_ack (member, from, head);
+      handle_ack (member, from, head);
       compare_views (member, from, head, now);
       break;
     case MEMBER_PROBE_FOR:
       relay_start (member, from, head, now);
       break;
     case MEMBER_NACK:
-      take_nack (member, head);
+      handle_nack (member, head);
       break;
     case MEMBER_WANT:
-      take_want (member, from, head);
+      handle_want (member, from, head);
       break;
     case MEMBER_JOIN:
       member_send_view (member, from, MEMBER_GOSSIP, true);
@@ -362,8 +364,8 @@
         continue;
       if (item.form != MEMBER_FORM_VITALS)
         member_apply (member, from, &item, now);
-      else if (member_take_vitals (member, item.host.name, &item.vitals))
-        member_make_vitals_news (member, member_find (member, item.host.name));
+      else if (member_apply_vitals (member, item.host.name, &item.vitals))
+        member_queue_vitals (member, member_find (member, item.host.name));
     }
   return pack_read_end (&reader);
 }
@@ -387,10 +389,10 @@
   if (strcmp (from, member->self->name) == 0)
     return;
   read_items (member, from, reader, head.n_items, true, now);
-  member_take_vitals (member, from, &head.vitals);
+  member_apply_vitals (member, from, &head.vitals);
   host = member_find (member, from);
   if (host != NULL)
-    member_board (member, host)->heard_at = now;
+    member_board_entry (member, host)->heard_at = now;
   else if (head.kind != MEMBER_JOIN)
     member_send (member, from, MEMBER_WANT, 0, from);
   member_probe_message (member, from, &head, now);
--- a/src/member_said.c
+++ b/src/member_report.c
@@ -6,7 +6,7 @@
 #include <talloc.h>
 
 static unsigned
-rank (enum host_state state)
+state_rank (enum host_state state)
 {
   static const unsigned ranks[] = {
     [HOST_ALIVE] = 0, [HOST_LEAVING] = 0, [HOST_SUSPECT] = 1, [HOST_DEAD] = 2, [HOST_LEFT] = 3,
@@ -20,20 +20,20 @@
 static void
 apply_self (struct member *member, const char *from, const struct member_item *item, int64_t now)
 {
-  struct board_host *entry = member_board (member, member->self);
-  const struct board_host *said = &item->host;
+  struct board_host *entry = member_board_entry (member, member->self);
+  const struct board_host *reported = &item->host;
 
-  if (said->incarnation > entry->incarnation)
+  if (reported->incarnation > entry->incarnation)
     {
-      entry->incarnation = said->incarnation + 1;
+      entry->incarnation = reported->incarnation + 1;
       member->self->sequence = 1;
-      member->vitals.beat = 0;
-      member_make_news (member, member->self, true);
+      member->vitals.version = 0;
+      member_queue_state (member, member->self, true);
       board_publish (member->board, BOARD_HOST_CHANGED, member->self->handle, now);
       return;
     }
-  if (said->incarnation < entry->incarnation || rank (said->state) == 0
-      || rank (entry->state) >= rank (said->state))
+  if (reported->incarnation < entry->incarnation || state_rank (reported->state) == 0
+      || state_rank (entry->state) >= state_rank (reported->state))
     return;
   /* Already refuted, but the refutation did not reach the sender and is no longer gossiped. */
   if (item->sequence < member->self->sequence)
@@ -43,45 +43,45 @@
     }
   counter_add (member->refutations, 1);
   member->self->sequence = item->sequence + 1;
-  member_make_news (member, member->self, false);
+  member_queue_state (member, member->self, false);
 }
 
 static void
-take_record (struct member *member, struct member_host *host, const struct board_host *said)
+update_record (struct member *member, struct member_host *host, const struct board_host *reported)
 {
-  struct board_host *entry = member_board (member, host);
-  bool moved = strcmp (entry->peer_address, said->peer_address) != 0
-               || strcmp (entry->public_key, said->public_key) != 0;
+  struct board_host *entry = member_board_entry (member, host);
+  bool moved = strcmp (entry->peer_address, reported->peer_address) != 0
+               || strcmp (entry->public_key, reported->public_key) != 0;
 
-  memcpy (entry->domain, said->domain, sizeof entry->domain);
-  memcpy (entry->region, said->region, sizeof entry->region);
-  memcpy (entry->entry_address, said->entry_address, sizeof entry->entry_address);
-  memcpy (entry->operator_address, said->operator_address, sizeof entry->operator_address);
-  memcpy (entry->target_address, said->target_address, sizeof entry->target_address);
-  memcpy (entry->peer_address, said->peer_address, sizeof entry->peer_address);
-  memcpy (entry->public_key, said->public_key, sizeof entry->public_key);
-  entry->voter = said->voter;
+  memcpy (entry->domain, reported->domain, sizeof entry->domain);
+  memcpy (entry->region, reported->region, sizeof entry->region);
+  memcpy (entry->entry_address, reported->entry_address, sizeof entry->entry_address);
+  memcpy (entry->operator_address, reported->operator_address, sizeof entry->operator_address);
+  memcpy (entry->target_address, reported->target_address, sizeof entry->target_address);
+  memcpy (entry->peer_address, reported->peer_address, sizeof entry->peer_address);
+  memcpy (entry->public_key, reported->public_key, sizeof entry->public_key);
+  entry->voter = reported->voter;
   if (moved && entry->peer_address[0] != '\0')
-    member->wire->ops->set_address (member->wire, host->name, entry->peer_address,
-                                    entry->public_key);
+    member->transport->ops->set_address (member->transport, host->name, entry->peer_address,
+                                         entry->public_key);
 }
 
 static bool
-is_news (const struct member *member,
-         const struct member_host *host,
-         const struct member_item *item)
+is_newer (const struct member *member,
+          const struct member_host *host,
+          const struct member_item *item)
 {
-  const struct board_host *entry = member_board (member, host);
-  const struct board_host *said = &item->host;
+  const struct board_host *entry = member_board_entry (member, host);
+  const struct board_host *reported = &item->host;
 
-  if (said->incarnation != entry->incarnation)
-    return said->incarnation > entry->incarnation;
+  if (reported->incarnation != entry->incarnation)
+    return reported->incarnation > entry->incarnation;
   if (item->sequence != host->sequence)
     return item->sequence > host->sequence;
   /* A suspicion on this host's evidence alone gives way to any report that the host is alive. */
-  if (host->local && rank (said->state) == 0)
+  if (host->local && state_rank (reported->state) == 0)
     return true;
-  return rank (said->state) > rank (entry->state);
+  return state_rank (reported->state) > state_rank (entry->state);
 }
 
 /* Handle an item about an unknown host. */
@@ -90,7 +90,7 @@
 {
   struct member_host *host;
 
-  if (!member_present (item->host.state))
+  if (!member_state_is_present (item->host.state))
     return;
   if (item->form != MEMBER_FORM_RECORD)
     {
@@ -101,14 +101,14 @@
   if (host == NULL)
     return;
   host->sequence = item->sequence;
-  member_board (member, host)->incarnation = item->host.incarnation;
-  member_board (member, host)->heard_at = now;
-  member_board (member, host)->behind = item->host.behind;
-  member_board (member, host)->cut_off = item->host.cut_off;
-  take_record (member, host, &item->host);
+  member_board_entry (member, host)->incarnation = item->host.incarnation;
+  member_board_entry (member, host)->heard_at = now;
+  member_board_entry (member, host)->behind = item->host.behind;
+  member_board_entry (member, host)->cut_off = item->host.cut_off;
+  update_record (member, host, &item->host);
   board_publish (member->board, BOARD_HOST_ADDED, host->handle, now);
   member_set_state (member, host, item->host.state, now);
-  member_make_news (member, host, true);
+  member_queue_state (member, host, true);
 }
 
 void
@@ -127,13 +127,13 @@
       apply_unknown (member, from, item, now);
       return;
     }
-  entry = member_board (member, host);
-  if (!is_news (member, host, item))
+  entry = member_board_entry (member, host);
+  if (!is_newer (member, host, item))
     {
       /* A sender that knows the state already needs no copy, so this counts as one sent (Demers et
        * al., Epidemic algorithms, 1987: feedback). */
       if (item->sequence == host->sequence && item->host.state == entry->state)
-        host->state_news.sent++;
+        host->state_update.sent++;
       return;
     }
   if (item->host.incarnation != entry->incarnation)
@@ -144,32 +144,32 @@
           member_send (member, from, MEMBER_WANT, 0, host->name);
           return;
         }
-      host->beat = 0;
+      host->vitals_version = 0;
       entry->incarnation = item->host.incarnation;
     }
   if (item->form == MEMBER_FORM_RECORD)
-    take_record (member, host, &item->host);
+    update_record (member, host, &item->host);
   host->sequence = item->sequence;
   entry->behind = item->host.behind;
   entry->cut_off = item->host.cut_off;
   host->local = false;
-  host->accused = false;
+  host->suspicion_gossiped = false;
   member_set_state (member, host, item->host.state, now);
-  member_make_news (member, host, item->form == MEMBER_FORM_RECORD);
+  member_queue_state (member, host, item->form == MEMBER_FORM_RECORD);
 }
 
 bool
-member_take_vitals (struct member *member, const char *name, const struct member_vitals *vitals)
+member_apply_vitals (struct member *member, const char *name, const struct member_vitals *vitals)
 {
   struct member_host *host = member_find (member, name);
   struct board_host *entry;
 
   if (host == NULL || host == member->self)
     return false;
-  entry = member_board (member, host);
-  if (vitals->incarnation != entry->incarnation || vitals->beat <= host->beat)
+  entry = member_board_entry (member, host);
+  if (vitals->incarnation != entry->incarnation || vitals->version <= host->vitals_version)
     return false;
-  host->beat = vitals->beat;
+  host->vitals_version = vitals->version;
   entry->revision = vitals->revision;
   entry->load = vitals->load_percent / 100.0;
   if (vitals->revision > member->newest_revision)
--- a/src/member_news.c
+++ b/src/member_update.c
@@ -7,96 +7,97 @@
 #include <xxhash.h>
 
 /* No update is added to a message once its items reach this size. */
-#define NEWS_BYTES 1200
+#define UPDATES_BYTES 1200
 
 /* A view is split into messages of about this size. */
 #define VIEW_BYTES (8u << 10)
 
 /* While state updates are queued, they are also sent between probes. */
-#define GOSSIP_SPAN (200 * USEC_PER_MSEC)
+#define GOSSIP_INTERVAL (200 * USEC_PER_MSEC)
 #define GOSSIP_FANOUT 2
 
 #define STATE_COPIES 3  /* sent of an update, times the binary logarithm of the hosts */
 #define VITALS_COPIES 1 /* likewise; the next update replaces a lost one */
 
 /* Vitals updates in one message; bounds their bytes whatever the number of hosts. */
-#define VITALS_ITEMS 4
+#define VITALS_ITEMS_MAX 4
 
 /* ---- the queue of updates ---- */
 
 static uint32_t
-copies (const struct member *member, uint32_t factor)
+copies_needed (const struct member *member, uint32_t factor)
 {
   return factor * (uint32_t) ceil (log2 (HASH_COUNT (member->hosts) + 1));
 }
 
 static void
-enlist (struct member *member, struct member_host *host)
+enqueue (struct member *member, struct member_host *host)
 {
-  if (host->in_news)
+  if (host->is_queued)
     return;
-  host->in_news = true;
-  DL_PREPEND (member->news, host);
+  host->is_queued = true;
+  DL_PREPEND (member->queue, host);
 }
 
 void
-member_make_news (struct member *member, struct member_host *host, bool record)
+member_queue_state (struct member *member, struct member_host *host, bool record)
 {
   /* A record still being gossiped must not shrink to a state, which hosts that lack the record
    * cannot use. */
-  bool kept = host->state_news.waiting && host->state_news.record;
+  bool kept = host->state_update.waiting && host->state_update.record;
 
-  host->state_news = (struct member_news){ .waiting = true, .record = record || kept, .sent = 0 };
-  enlist (member, host);
+  host->state_update =
+      (struct member_update){ .waiting = true, .record = record || kept, .sent = 0 };
+  enqueue (member, host);
 }
 
 void
-member_make_vitals_news (struct member *member, struct member_host *host)
+member_queue_vitals (struct member *member, struct member_host *host)
 {
-  host->vitals_news = (struct member_news){ .waiting = true, .record = false, .sent = 0 };
-  enlist (member, host);
+  host->vitals_update = (struct member_update){ .waiting = true, .record = false, .sent = 0 };
+  enqueue (member, host);
 }
 
 void
-member_forget_news (struct member *member, struct member_host *host)
+member_dequeue (struct member *member, struct member_host *host)
 {
-  if (host->in_news)
-    DL_DELETE (member->news, host);
-  host->in_news = false;
+  if (host->is_queued)
+    DL_DELETE (member->queue, host);
+  host->is_queued = false;
 }
 
 static void
-settle (struct member *member, struct member_host *host)
+dequeue_when_spread (struct member *member, struct member_host *host)
 {
-  if (host->state_news.sent >= copies (member, STATE_COPIES))
-    host->state_news.waiting = false;
-  if (host->vitals_news.sent >= copies (member, VITALS_COPIES))
-    host->vitals_news.waiting = false;
-  if (!host->state_news.waiting && !host->vitals_news.waiting)
-    member_forget_news (member, host);
+  if (host->state_update.sent >= copies_needed (member, STATE_COPIES))
+    host->state_update.waiting = false;
+  if (host->vitals_update.sent >= copies_needed (member, VITALS_COPIES))
+    host->vitals_update.waiting = false;
+  if (!host->state_update.waiting && !host->vitals_update.waiting)
+    member_dequeue (member, host);
 }
 
 static uint32_t
 least_sent (const struct member_host *host)
 {
-  return host->state_news.waiting ? host->state_news.sent : host->vitals_news.sent;
+  return host->state_update.waiting ? host->state_update.sent : host->vitals_update.sent;
 }
 
 /* State updates first, then those sent the fewest times. */
 static int
-by_need (const struct member_host *a, const struct member_host *b)
+compare_updates (const struct member_host *a, const struct member_host *b)
 {
-  if (a->state_news.waiting != b->state_news.waiting)
-    return a->state_news.waiting ? -1 : 1;
+  if (a->state_update.waiting != b->state_update.waiting)
+    return a->state_update.waiting ? -1 : 1;
   return (int) least_sent (a) - (int) least_sent (b);
 }
 
 /* utlist's macros expand to long code; the function is short.
  * NOLINTBEGIN(readability-function-size) */
 static void
-sort_news (struct member *member)
+sort_queue (struct member *member)
 {
-  DL_SORT (member->news, by_need);
+  DL_SORT (member->queue, compare_updates);
 }
 
 /* NOLINTEND(readability-function-size) */
@@ -112,7 +113,7 @@
   struct member_item item = {
     .form = record ? MEMBER_FORM_RECORD : MEMBER_FORM_STATE,
     .sequence = host->sequence,
-    .host = *member_board (member, host),
+    .host = *member_board_entry (member, host),
   };
 
   member_write_item (out, &item);
@@ -121,13 +122,13 @@
 static void
 write_vitals (const struct member *member, const struct member_host *host, struct bytes *out)
 {
-  const struct board_host *entry = member_board (member, host);
+  const struct board_host *entry = member_board_entry (member, host);
   struct member_item item = { .form = MEMBER_FORM_VITALS };
 
   text_copy_cut (item.host.name, sizeof item.host.name, host->name);
   item.vitals = (struct member_vitals){
     .incarnation = entry->incarnation,
-    .beat = host == member->self ? member->vitals.beat : host->beat,
+    .version = host == member->self ? member->vitals.version : host->vitals_version,
     .revision = entry->revision,
     .load_percent = (uint32_t) (entry->load * 100 + 0.5),
   };
@@ -142,9 +143,9 @@
 
   for (host = member->hosts; host != NULL; host = host->hh.next)
     {
-      const struct board_host *entry = member_board (member, host);
+      const struct board_host *entry = member_board_entry (member, host);
 
-      if (member_present (entry->state))
+      if (member_state_is_present (entry->state))
         sum ^= XXH3_64bits_withSeed (host->name, strlen (host->name),
                                      entry->incarnation * 4 + (entry->behind ? 2 : 0)
                                          + (entry->cut_off ? 1 : 0));
@@ -170,7 +171,7 @@
     {
       counter_add (member->messages_out, 1);
       counter_add (member->bytes_out, (double) out.length);
-      member->wire->ops->send (member->wire, host, out.data, out.length);
+      member->transport->ops->send (member->transport, host, out.data, out.length);
     }
   bytes_clear (&out);
 }
@@ -181,7 +182,7 @@
 write_suspicion (const struct member *member, const char *name, struct bytes *out)
 {
   const struct member_host *host = member_find (member, name);
-  enum host_state state = host != NULL ? member_board (member, host)->state : HOST_ALIVE;
+  enum host_state state = host != NULL ? member_board_entry (member, host)->state : HOST_ALIVE;
 
   if (state == HOST_ALIVE || state == HOST_LEAVING)
     return 0;
@@ -190,34 +191,34 @@
 }
 
 static uint32_t
-write_news (struct member *member, struct bytes *out)
+write_updates (struct member *member, struct bytes *out)
 {
   struct member_host *host;
   struct member_host *next;
   uint32_t vitals = 0;
   uint32_t count = 0;
 
-  sort_news (member);
-  DL_FOREACH_SAFE (member->news, host, next)
+  sort_queue (member);
+  DL_FOREACH_SAFE (member->queue, host, next)
     {
-      if (out->length >= NEWS_BYTES || count + 2 > MEMBER_ITEMS_MAX)
+      if (out->length >= UPDATES_BYTES || count + 2 > MEMBER_ITEMS_MAX)
         break;
-      if (host->state_news.waiting)
+      if (host->state_update.waiting)
         {
           /* A suspicion on this host's evidence alone is not gossiped. */
           if (!host->local)
-            write_state (member, host, host->state_news.record, out);
+            write_state (member, host, host->state_update.record, out);
           count += host->local ? 0 : 1;
-          host->state_news.sent++;
+          host->state_update.sent++;
         }
-      if (host->vitals_news.waiting && vitals < VITALS_ITEMS)
+      if (host->vitals_update.waiting && vitals < VITALS_ITEMS_MAX)
         {
           write_vitals (member, host, out);
           vitals++;
           count++;
-          host->vitals_news.sent++;
+          host->vitals_update.sent++;
         }
-      settle (member, host);
+      dequeue_when_spread (member, host);
     }
   return count;
 }
@@ -242,7 +243,7 @@
       head.n_items++;
     }
   else
-    head.n_items += write_news (member, &items);
+    head.n_items += write_updates (member, &items);
   send_items (member, host, &head, &items);
   bytes_clear (&items);
 }
@@ -285,7 +286,7 @@
 }
 
 void
-member_tell_all (struct member *member)
+member_broadcast_state (struct member *member)
 {
   struct member_host *host;
 
@@ -294,7 +295,8 @@
       struct member_head head = { .kind = MEMBER_GOSSIP, .n_items = 1 };
       struct bytes items;
 
-      if (host == member->self || !member_present (member_board (member, host)->state))
+      if (host == member->self
+          || !member_state_is_present (member_board_entry (member, host)->state))
         continue;
       bytes_init (&items, member);
       write_state (member, member->self, false, &items);
@@ -304,7 +306,7 @@
 }
 
 const struct member_host *
-member_pick (struct member *member, const char *not_this)
+member_pick_random (struct member *member, const char *not_this)
 {
   const struct member_host *picked = NULL;
   const struct member_host *host;
@@ -312,7 +314,7 @@
 
   for (host = member->hosts; host != NULL; host = host->hh.next)
     {
-      enum host_state state = member_board (member, host)->state;
+      enum host_state state = member_board_entry (member, host)->state;
 
       if (host == member->self || (state != HOST_ALIVE && state != HOST_LEAVING)
           || strcmp (host->name, not_this) == 0)
@@ -326,15 +328,15 @@
 void
 member_gossip (struct member *member, int64_t now)
 {
-  if (now < member->next_gossip || member->news == NULL)
+  if (now < member->next_gossip || member->queue == NULL)
     return;
-  sort_news (member);
-  if (!member->news->state_news.waiting)
+  sort_queue (member);
+  if (!member->queue->state_update.waiting)
     return;
-  member->next_gossip = now + GOSSIP_SPAN;
+  member->next_gossip = now + GOSSIP_INTERVAL;
   for (int i = 0; i < GOSSIP_FANOUT; i++)
     {
-      const struct member_host *host = member_pick (member, "");
+      const struct member_host *host = member_pick_random (member, "");
 
       if (host == NULL)
         return;
--- a/src/member_wire.c
+++ b/src/member_wire.c
@@ -9,7 +9,7 @@
 write_vitals (struct bytes *out, const struct member_vitals *vitals)
 {
   pack_uint (out, vitals->incarnation);
-  pack_uint (out, vitals->beat);
+  pack_uint (out, vitals->version);
   pack_uint (out, vitals->revision);
   pack_uint (out, vitals->load_percent);
 }
@@ -18,7 +18,7 @@
 read_vitals (struct pack_reader *reader, struct member_vitals *vitals)
 {
   vitals->incarnation = pack_read_uint (reader, UINT64_MAX);
-  vitals->beat = pack_read_uint (reader, UINT64_MAX);
+  vitals->version = pack_read_uint (reader, UINT64_MAX);
   vitals->revision = pack_read_uint (reader, UINT64_MAX);
   vitals->load_percent = (uint32_t) pack_read_uint (reader, 100);
 }
--- a/src/member_wire.h
+++ b/src/member_wire.h
@@ -34,7 +34,7 @@
 struct member_vitals
 {
   uint64_t incarnation;
-  uint64_t beat; /* orders vitals within the incarnation */
+  uint64_t version; /* orders vitals within the incarnation */
   uint64_t revision;
   uint32_t load_percent;
 };
--- a/src/quarantine_entry.c
+++ b/src/quarantine_entry.c
@@ -32,7 +32,7 @@
   struct quarantine_entry *entry = CONTAINER_OF (peers, struct quarantine_entry, peers);
 
   (void) now;
-  return subscriber_controllers (entry->config.subscriber, out);
+  return subscriber_list_controllers (entry->config.subscriber, out);
 }
 
 static const struct quarantine_peers_ops peers_ops = { .list = list_controllers };
--- a/src/subscriber.c
+++ b/src/subscriber.c
@@ -12,7 +12,7 @@
 
 /* A controller learned from another one is removed when it was neither heard from nor named by
  * another for this long. */
-#define FORGET_AFTER (30 * USEC_PER_SEC)
+#define CONTROLLER_TTL (30 * USEC_PER_SEC)
 
 /* ---- controllers ---- */
 
@@ -43,7 +43,7 @@
 }
 
 static void
-forget_controllers (struct subscriber *self, int64_t now)
+remove_silent_controllers (struct subscriber *self, int64_t now)
 {
   for (uint32_t i = 0; i < self->n_controllers; i++)
     {
@@ -51,7 +51,7 @@
       int64_t last =
           controller->heard > controller->named_at ? controller->heard : controller->named_at;
 
-      if (controller->seed || now - last <= FORGET_AFTER)
+      if (controller->seed || now - last <= CONTROLLER_TTL)
         continue;
       self->config.port->ops->forget (self->config.port, controller->name);
       talloc_free (controller->list);
@@ -62,9 +62,9 @@
 }
 
 static void
-send_ask (struct subscriber *self, struct known_controller *controller, int64_t now)
+send_request (struct subscriber *self, struct known_controller *controller, int64_t now)
 {
-  struct sync_ask ask = {
+  struct sync_request request = {
     .nonce = ++controller->last_nonce,
     .document = document_version (self->document),
     .controller = controller->incarnation,
@@ -74,13 +74,14 @@
   };
   struct bytes out;
 
-  ask.self.ready = subscriber_ready (self);
-  controller->asks[ask.nonce % ASKS_KEPT] =
-      (struct ask_record){ .nonce = ask.nonce, .at = self->config.boottime () };
-  controller->next_ask = now + (controller->heard == 0 ? SYNC_FIRST_ASK_PERIOD : SYNC_ASK_PERIOD);
+  request.self.ready = subscriber_is_ready (self);
+  controller->requests[request.nonce % REQUESTS_KEPT] =
+      (struct request_record){ .nonce = request.nonce, .sent_at = self->config.boottime () };
+  controller->next_request =
+      now + (controller->heard == 0 ? SYNC_FIRST_REQUEST_PERIOD : SYNC_REQUEST_PERIOD);
   bytes_init (&out, NULL);
-  sync_begin (SYNC_ASK, &out);
-  sync_write_ask (&ask, &out);
+  sync_write_header (SYNC_REQUEST, &out);
+  sync_write_request (&request, &out);
   if (!bytes_failed (&out))
     self->config.port->ops->send (self->config.port, controller->name, PEER_CHANNEL_SYNC, out.data,
                                   out.length);
@@ -88,17 +89,17 @@
 }
 
 void
-subscriber_note_touch (struct subscriber *self,
-                       struct known_controller *controller,
-                       bool in_touch,
-                       int64_t now)
+subscriber_set_reachable (struct subscriber *self,
+                          struct known_controller *controller,
+                          bool reachable,
+                          int64_t now)
 {
-  if (controller->in_touch == in_touch)
+  if (controller->reachable == reachable)
     return;
-  controller->in_touch = in_touch;
+  controller->reachable = reachable;
   self->view_stale = true;
   log_event (
-      LOG_MODULE_MEMBER, LOG_LEVEL_INFO, in_touch ? "controller-regained" : "controller-lost",
+      LOG_MODULE_MEMBER, LOG_LEVEL_INFO, reachable ? "controller-regained" : "controller-lost",
       "{s:s,s:I}", "controller", controller->name, "age_ms",
       (json_int_t) (controller->heard == 0 ? -1 : (now - controller->heard) / USEC_PER_MSEC));
 }
@@ -140,9 +141,9 @@
 
   if (now < self->expire_at)
     return;
-  self->expire_at = now + SYNC_ASK_PERIOD;
+  self->expire_at = now + SYNC_REQUEST_PERIOD;
   registry_expire (self->registry, self->config.target_lease, now);
-  subscriber_tell_changed (self, revision, now);
+  subscriber_report_changed (self, revision, now);
 }
 
 static void
@@ -155,16 +156,17 @@
     {
       struct known_controller *controller = &self->controllers[i];
 
-      if (now >= controller->next_ask)
-        send_ask (self, controller, now);
-      if (now - controller->heard > SYNC_TOUCH)
-        subscriber_note_touch (self, controller, false, now);
+      if (now >= controller->next_request)
+        send_request (self, controller, now);
+      if (now - controller->heard > SYNC_CONTACT_TIMEOUT)
+        subscriber_set_reachable (self, controller, false, now);
     }
-  forget_controllers (self, now);
+  remove_silent_controllers (self, now);
   expire_targets (self, now);
-  subscriber_note_ready (self);
+  subscriber_update_ready (self);
   if (self->confirmed)
-    gauge_set (self->age_gauge, (double) subscriber_age (self) / (double) USEC_PER_SEC);
+    gauge_set (self->age_gauge,
+               (double) subscriber_confirmation_age (self) / (double) USEC_PER_SEC);
   timer_arm (self->config.timers, timer, now + TICK_PERIOD);
 }
 
@@ -201,16 +203,16 @@
 }
 
 int64_t
-subscriber_age (const struct subscriber *self)
+subscriber_confirmation_age (const struct subscriber *self)
 {
   return self->confirmed ? self->config.boottime () - self->confirmed_at : USEC_NEVER;
 }
 
 bool
-subscriber_ready (const struct subscriber *self)
+subscriber_is_ready (const struct subscriber *self)
 {
   return self->routing != NULL && !self->self.leaving
-         && subscriber_age (self) <= self->config.ready_for;
+         && subscriber_confirmation_age (self) <= self->config.ready_for;
 }
 
 const char *
@@ -231,26 +233,26 @@
   self->self.leaving = true;
   self->view_stale = true;
   for (uint32_t i = 0; i < self->n_controllers; i++)
-    send_ask (self, &self->controllers[i], now);
-  subscriber_note_ready (self);
+    send_request (self, &self->controllers[i], now);
+  subscriber_update_ready (self);
 }
 
 uint32_t
-subscriber_controllers (const struct subscriber *self, const char *out[SYNC_HOSTS_MAX])
+subscriber_list_controllers (const struct subscriber *self, const char *out[SYNC_HOSTS_MAX])
 {
   uint32_t n = 0;
 
   for (uint32_t i = 0; i < self->n_controllers; i++)
-    if (self->controllers[i].in_touch)
+    if (self->controllers[i].reachable)
       out[n++] = self->controllers[i].name;
   return n;
 }
 
 static bool
-any_in_touch (const struct subscriber *self)
+has_reachable_controller (const struct subscriber *self)
 {
   for (uint32_t i = 0; i < self->n_controllers; i++)
-    if (self->controllers[i].in_touch)
+    if (self->controllers[i].reachable)
       return true;
   return false;
 }
@@ -258,7 +260,7 @@
 /* A view that lacks some hosts differs from those of other hosts, so hosts would compute different
  * owners. */
 static void
-note_full (struct subscriber *self)
+log_left_out (struct subscriber *self)
 {
   bool full = self->view.n_omitted > 0;
 
@@ -276,7 +278,7 @@
 static void
 merge_lists (struct subscriber *self)
 {
-  bool touch = any_in_touch (self);
+  bool any_reachable = has_reachable_controller (self);
 
   counter_add (self->merges, 1);
   host_view_clear (&self->view);
@@ -285,12 +287,12 @@
     {
       const struct known_controller *controller = &self->controllers[i];
 
-      if (controller->in_touch || !touch)
+      if (controller->reachable || !any_reachable)
         host_view_add (&self->view, controller->list, controller->n_list);
     }
   if (self->self.leaving)
     host_view_remove (&self->view, self->self.name);
-  note_full (self);
+  log_left_out (self);
 }
 
 const struct host_view *
@@ -310,7 +312,7 @@
 }
 
 static void
-take_counters (struct subscriber *self)
+create_counters (struct subscriber *self)
 {
   struct counters *counters = self->config.counters;
 
@@ -355,7 +357,7 @@
       if (controller != NULL)
         controller->seed = true;
     }
-  take_counters (self);
+  create_counters (self);
   config->port->ops->listen (config->port, PEER_CHANNEL_SYNC, &self->listener);
   timer_arm (config->timers, &self->tick, 0);
   talloc_set_destructor (self, free_subscriber);
--- a/src/subscriber.h
+++ b/src/subscriber.h
@@ -17,13 +17,13 @@
 
 /* Interval between requests to each controller.  A change whose push was lost is known within it,
  * and the right to serve keyed requests is renewed many times before it expires. */
-#define SYNC_ASK_PERIOD (500 * USEC_PER_MSEC)
+#define SYNC_REQUEST_PERIOD (500 * USEC_PER_MSEC)
 
 /* The interval until the first answer. */
-#define SYNC_FIRST_ASK_PERIOD (100 * USEC_PER_MSEC)
+#define SYNC_FIRST_REQUEST_PERIOD (100 * USEC_PER_MSEC)
 
 /* A controller or entry host not heard from for this long counts as not in touch. */
-#define SYNC_TOUCH (2 * USEC_PER_SEC)
+#define SYNC_CONTACT_TIMEOUT (2 * USEC_PER_SEC)
 
 struct subscriber;
 
@@ -72,10 +72,10 @@
 
 /* Time in us since the newest confirmed request was sent, on a clock that includes system suspend;
  * USEC_NEVER when none was confirmed since the start. */
-int64_t subscriber_age (const struct subscriber *subscriber);
+int64_t subscriber_confirmation_age (const struct subscriber *subscriber);
 
 /* Whether clients may be sent to this host. */
-bool subscriber_ready (const struct subscriber *subscriber);
+bool subscriber_is_ready (const struct subscriber *subscriber);
 
 const char *subscriber_domain (const struct subscriber *subscriber);
 bool subscriber_is_self (const struct subscriber *subscriber, const struct sync_host *host);
@@ -85,8 +85,8 @@
 
 /* Store the names of the controllers in touch in `out` and return their count.  The names are valid
  * until the next message or timer is handled. */
-uint32_t subscriber_controllers (const struct subscriber *subscriber,
-                                 const char *out[SYNC_HOSTS_MAX]);
+uint32_t subscriber_list_controllers (const struct subscriber *subscriber,
+                                      const char *out[SYNC_HOSTS_MAX]);
 
 /* The entry hosts that may share work, including this one unless it is leaving.  Valid until the
  * next message or timer is handled. */
--- a/src/subscriber_private.h
+++ b/src/subscriber_private.h
@@ -6,12 +6,12 @@
 #include "subscriber.h"
 
 /* Requests whose answers still count; the next request is sent before a slow answer arrives. */
-#define ASKS_KEPT 8
+#define REQUESTS_KEPT 8
 
-struct ask_record
+struct request_record
 {
   uint64_t nonce;
-  int64_t at; /* on a clock that includes system suspend */
+  int64_t sent_at; /* on a clock that includes system suspend */
 };
 
 struct known_controller
@@ -22,11 +22,11 @@
   uint64_t targets; /* revisions held */
   uint64_t hosts;
   uint64_t last_nonce;
-  struct ask_record asks[ASKS_KEPT]; /* the latest, by nonce modulo ASKS_KEPT */
-  int64_t next_ask;
+  struct request_record requests[REQUESTS_KEPT]; /* the latest, by nonce modulo REQUESTS_KEPT */
+  int64_t next_request;
   int64_t heard;    /* 0: never */
   int64_t named_at; /* last named by another controller */
-  bool in_touch;
+  bool reachable;
   uint32_t n_list;
   struct sync_host *list; /* entry hosts that it listed last */
 };
@@ -65,16 +65,16 @@
 struct known_controller *subscriber_add_controller (struct subscriber *self,
                                                     const char *name,
                                                     int64_t now);
-void subscriber_note_touch (struct subscriber *self,
-                            struct known_controller *controller,
-                            bool in_touch,
-                            int64_t now);
+void subscriber_set_reachable (struct subscriber *self,
+                               struct known_controller *controller,
+                               bool reachable,
+                               int64_t now);
 
 /* subscriber_state.c: handling of controllers' states */
 extern const struct peer_listener_ops subscriber_listener_ops;
-void subscriber_note_ready (struct subscriber *self);
+void subscriber_update_ready (struct subscriber *self);
 
 /* Report the targets whose record changed after revision `since` to the listener. */
-void subscriber_tell_changed (struct subscriber *self, uint64_t since, int64_t now);
+void subscriber_report_changed (struct subscriber *self, uint64_t since, int64_t now);
 
 #endif
--- a/src/subscriber_state.c
+++ b/src/subscriber_state.c
@@ -10,7 +10,7 @@
 #include <talloc.h>
 
 static void
-tell_target (struct subscriber *self, struct registry_target *target, int64_t now)
+report_target (struct subscriber *self, struct registry_target *target, int64_t now)
 {
   const struct registry_registration *word = &target->registration;
 
@@ -24,7 +24,7 @@
 
 /* A record of one target may change others at its address; their revisions show which. */
 void
-subscriber_tell_changed (struct subscriber *self, uint64_t since, int64_t now)
+subscriber_report_changed (struct subscriber *self, uint64_t since, int64_t now)
 {
   struct registry_target *target;
   struct registry_target *next;
@@ -34,7 +34,7 @@
   HASH_ITER (hh, self->registry->targets, target, next)
     {
       if (target->revision > since)
-        tell_target (self, target, now);
+        report_target (self, target, now);
     }
 }
 
@@ -56,7 +56,7 @@
 }
 
 static void
-take_renewal (struct subscriber *self, const struct sync_renewal *renewal, int64_t now)
+apply_renewal (struct subscriber *self, const struct sync_renewal *renewal, int64_t now)
 {
   struct registry_target *target = registry_find_by_hash (self->registry, renewal->id_hash);
   struct registry_registration word;
@@ -81,7 +81,7 @@
 
       if (!sync_read_renewal (in, &renewal))
         return;
-      take_renewal (self, &renewal, now);
+      apply_renewal (self, &renewal, now);
     }
 }
 
@@ -125,42 +125,43 @@
 
 /* A confirmation counts from when its request was sent, so a delayed one extends nothing. */
 static void
-take_confirmation (struct subscriber *self,
-                   const struct known_controller *controller,
-                   const struct sync_state *state)
+apply_confirmation (struct subscriber *self,
+                    const struct known_controller *controller,
+                    const struct sync_state *state)
 {
-  const struct ask_record *ask = &controller->asks[state->nonce % ASKS_KEPT];
+  const struct request_record *request = &controller->requests[state->nonce % REQUESTS_KEPT];
 
-  if (!state->confirmed || state->nonce == 0 || state->nonce != ask->nonce
+  if (!state->confirmed || state->nonce == 0 || state->nonce != request->nonce
       || document_version (self->document) < state->document)
     return;
   counter_add (self->confirmations, 1);
-  if (!self->confirmed || ask->at > self->confirmed_at)
-    self->confirmed_at = ask->at;
+  if (!self->confirmed || request->sent_at > self->confirmed_at)
+    self->confirmed_at = request->sent_at;
   self->confirmed = true;
 }
 
 void
-subscriber_note_ready (struct subscriber *self)
+subscriber_update_ready (struct subscriber *self)
 {
-  bool ready = subscriber_ready (self);
+  bool ready = subscriber_is_ready (self);
 
   if (ready == self->was_ready)
     return;
   self->was_ready = ready;
-  log_event (LOG_MODULE_HOST, LOG_LEVEL_INFO, ready ? "ready" : "not-ready", "{s:b,s:I,s:I}",
-             "confirmed", self->confirmed, "age_ms",
-             (json_int_t) (self->confirmed ? subscriber_age (self) / USEC_PER_MSEC : -1), "version",
-             (json_int_t) document_version (self->document));
+  log_event (
+      LOG_MODULE_HOST, LOG_LEVEL_INFO, ready ? "ready" : "not-ready", "{s:b,s:I,s:I}", "confirmed",
+      self->confirmed, "age_ms",
+      (json_int_t) (self->confirmed ? subscriber_confirmation_age (self) / USEC_PER_MSEC : -1),
+      "version", (json_int_t) document_version (self->document));
   for (uint32_t i = 0; i < self->n_controllers; i++)
-    self->controllers[i].next_ask = 0;
+    self->controllers[i].next_request = 0;
 }
 
 static void
-got_state (struct subscriber *self,
-           struct known_controller *controller,
-           struct pack_reader *in,
-           int64_t now)
+handle_state (struct subscriber *self,
+              struct known_controller *controller,
+              struct pack_reader *in,
+              int64_t now)
 {
   uint64_t revision = self->registry->revision;
   struct sync_state state;
@@ -174,7 +175,7 @@
   if (!pack_read_ok (in))
     return;
   controller->heard = now;
-  subscriber_note_touch (self, controller, true, now);
+  subscriber_set_reachable (self, controller, true, now);
   self->document_from = controller->name;
   if (text != NULL)
     document_take (self->document, state.document, text, length);
@@ -184,7 +185,7 @@
     read_hosts (self, controller, in);
   if (pack_read_ok (in))
     read_controllers (self, in, now);
-  subscriber_tell_changed (self, revision, now);
+  subscriber_report_changed (self, revision, now);
   if (!pack_read_end (in))
     {
       counter_add (self->malformed, 1);
@@ -193,8 +194,8 @@
   controller->incarnation = state.controller;
   controller->targets = state.targets;
   controller->hosts = state.hosts;
-  take_confirmation (self, controller, &state);
-  subscriber_note_ready (self);
+  apply_confirmation (self, controller, &state);
+  subscriber_update_ready (self);
 }
 
 static void
@@ -209,7 +210,7 @@
   self->now = now;
   pack_reader_init (&in, data, length);
   if (controller != NULL && sync_read_type (&in, &type) && type == SYNC_STATE)
-    got_state (self, controller, &in, now);
+    handle_state (self, controller, &in, now);
 }
 
 const struct peer_listener_ops subscriber_listener_ops = { .received = received };
--- a/src/sync.c
+++ b/src/sync.c
@@ -1,19 +1,19 @@
 /* Messages between entry hosts and controllers. */
 #include "sync.h"
 
-#define SYNC_FORMAT 1
+#define SYNC_VERSION 1
 
 void
-sync_begin (enum sync_message type, struct bytes *out)
+sync_write_header (enum sync_message type, struct bytes *out)
 {
-  pack_uint (out, SYNC_FORMAT);
+  pack_uint (out, SYNC_VERSION);
   pack_uint (out, type);
 }
 
 bool
 sync_read_type (struct pack_reader *in, enum sync_message *type)
 {
-  if (pack_read_uint (in, UINT64_MAX) != SYNC_FORMAT)
+  if (pack_read_uint (in, UINT64_MAX) != SYNC_VERSION)
     in->failed = true;
   *type = (enum sync_message) pack_read_uint (in, SYNC_MESSAGE_COUNT - 1);
   return pack_read_ok (in);
@@ -45,25 +45,25 @@
 }
 
 void
-sync_write_ask (const struct sync_ask *ask, struct bytes *out)
+sync_write_request (const struct sync_request *request, struct bytes *out)
 {
-  pack_uint (out, ask->nonce);
-  pack_uint (out, ask->document);
-  pack_uint (out, ask->controller);
-  pack_uint (out, ask->targets);
-  pack_uint (out, ask->hosts);
-  sync_write_host (&ask->self, out);
+  pack_uint (out, request->nonce);
+  pack_uint (out, request->document);
+  pack_uint (out, request->controller);
+  pack_uint (out, request->targets);
+  pack_uint (out, request->hosts);
+  sync_write_host (&request->self, out);
 }
 
 bool
-sync_read_ask (struct pack_reader *in, struct sync_ask *ask)
+sync_read_request (struct pack_reader *in, struct sync_request *request)
 {
-  ask->nonce = pack_read_uint (in, UINT64_MAX);
-  ask->document = pack_read_uint (in, UINT64_MAX);
-  ask->controller = pack_read_uint (in, UINT64_MAX);
-  ask->targets = pack_read_uint (in, UINT64_MAX);
-  ask->hosts = pack_read_uint (in, UINT64_MAX);
-  return sync_read_host (in, &ask->self);
+  request->nonce = pack_read_uint (in, UINT64_MAX);
+  request->document = pack_read_uint (in, UINT64_MAX);
+  request->controller = pack_read_uint (in, UINT64_MAX);
+  request->targets = pack_read_uint (in, UINT64_MAX);
+  request->hosts = pack_read_uint (in, UINT64_MAX);
+  return sync_read_host (in, &request->self);
 }
 
 void
--- a/src/sync.h
+++ b/src/sync.h
@@ -25,10 +25,10 @@
 /* Written into messages: never renumbered. */
 enum sync_message
 {
-  SYNC_ASK = 0,      /* entry host to controller */
-  SYNC_STATE = 1,    /* controller to entry host */
-  SYNC_TARGET = 2,   /* controller to controller: a leaving target, which others must know too */
-  SYNC_RECEIVED = 3, /* its acknowledgement */
+  SYNC_REQUEST = 0,    /* entry host to controller */
+  SYNC_STATE = 1,      /* controller to entry host */
+  SYNC_TARGET = 2,     /* controller to controller: a leaving target, which others must know too */
+  SYNC_TARGET_ACK = 3, /* its acknowledgement */
   SYNC_MESSAGE_COUNT
 };
 
@@ -44,7 +44,7 @@
   bool leaving;
 };
 
-struct sync_ask
+struct sync_request
 {
   uint64_t nonce;
   uint64_t document;   /* version held */
@@ -77,10 +77,10 @@
   uint64_t age; /* in us */
 };
 
-void sync_begin (enum sync_message type, struct bytes *out);
+void sync_write_header (enum sync_message type, struct bytes *out);
 bool sync_read_type (struct pack_reader *in, enum sync_message *type);
-void sync_write_ask (const struct sync_ask *ask, struct bytes *out);
-bool sync_read_ask (struct pack_reader *in, struct sync_ask *ask);
+void sync_write_request (const struct sync_request *request, struct bytes *out);
+bool sync_read_request (struct pack_reader *in, struct sync_request *request);
 void sync_write_state (const struct sync_state *state, struct bytes *out);
 bool sync_read_state (struct pack_reader *in, struct sync_state *state);
 void sync_write_host (const struct sync_host *host, struct bytes *out);
--- a/tests/sync_harness.h
+++ b/tests/sync_harness.h
@@ -12,14 +12,14 @@
 #include <vector>
 
 // A peer port that records what is sent and lets the test deliver messages.
-struct played_port
+struct recording_port
 {
   struct peer_port port;
   std::vector<std::tuple<std::string, enum peer_channel, std::string>> sent;
   std::map<int, struct peer_listener *> listeners;
   std::map<std::string, bool> unreachable;
 
-  played_port ()
+  recording_port ()
   {
     static const struct peer_port_ops ops = {
       .set_address = [] (struct peer_port *, const char *, const char *,
@@ -28,7 +28,7 @@
       .send =
           [] (struct peer_port *base, const char *host, enum peer_channel channel, const void *data,
               size_t length) {
-            auto *self = reinterpret_cast<played_port *> (base);
+            auto *self = reinterpret_cast<recording_port *> (base);
 
             if (self->unreachable[host])
               return STATUS_AGAIN;
@@ -38,7 +38,7 @@
           },
       .listen =
           [] (struct peer_port *base, enum peer_channel channel, struct peer_listener *listener) {
-            reinterpret_cast<played_port *> (base)->listeners[channel] = listener;
+            reinterpret_cast<recording_port *> (base)->listeners[channel] = listener;
           },
     };
 
@@ -55,7 +55,7 @@
 };
 
 // The content of a state that a controller sends to an entry host.
-struct told_state
+struct state_message
 {
   struct sync_state head = {};
   std::string document;
@@ -66,10 +66,10 @@
 };
 
 inline void
-write_state (const told_state &state, struct bytes *out)
+write_state (const state_message &state, struct bytes *out)
 {
   bytes_init (out, nullptr);
-  sync_begin (SYNC_STATE, out);
+  sync_write_header (SYNC_STATE, out);
   sync_write_state (&state.head, out);
   if (state.head.has_document)
     pack_binary (out, state.document.data (), state.document.size ());
@@ -103,7 +103,7 @@
 
 // The latest request that was sent to a controller.
 inline bool
-last_ask (const played_port &port, const std::string &controller, struct sync_ask *out)
+last_request (const recording_port &port, const std::string &controller, struct sync_request *out)
 {
   for (auto at = port.sent.rbegin (); at != port.sent.rend (); ++at)
     {
@@ -113,7 +113,7 @@
       if (std::get<0> (*at) != controller || std::get<1> (*at) != PEER_CHANNEL_SYNC)
         continue;
       pack_reader_init (&in, std::get<2> (*at).data (), std::get<2> (*at).size ());
-      if (sync_read_type (&in, &type) && type == SYNC_ASK && sync_read_ask (&in, out))
+      if (sync_read_type (&in, &type) && type == SYNC_REQUEST && sync_read_request (&in, out))
         return true;
     }
   return false;
--- a/tests/unit_config.cc
+++ b/tests/unit_config.cc
@@ -213,7 +213,7 @@
 {
 protected:
   void
-  know (struct node &of, const std::string &self, const std::vector<std::string> &names)
+  add_board_hosts (struct node &of, const std::string &self, const std::vector<std::string> &names)
   {
     for (const auto &name : names)
       {
@@ -234,7 +234,7 @@
 
   add_node ("v2", true);
   add_node ("f", false);
-  know (v1, "v1", { "v1", "v2", "f" });
+  add_board_hosts (v1, "v1", { "v1", "v2", "f" });
   clock.run (2 * SEC);
   put_all ("pools", "gen", POOL);
   config_wait_start (v1.wait, &waiting.waiter, 1, clock.now + 10 * SEC, clock.now);
@@ -255,7 +255,7 @@
 
   add_node ("v2", true);
   add_node ("f", false);
-  know (v1, "v1", { "v1", "v2", "f" });
+  add_board_hosts (v1, "v1", { "v1", "v2", "f" });
   clock.run (2 * SEC);
   network.cut.insert ("f");
   put_all ("pools", "gen", POOL);
--- a/tests/unit_config_peers.h
+++ b/tests/unit_config_peers.h
@@ -36,7 +36,7 @@
     enum peer_channel channel;
     std::string data;
   };
-  std::list<struct message> on_the_way = {};
+  std::list<struct message> in_flight = {};
 
   test_network (struct timer_service *on, const int64_t *clock) : timers (on), now (clock)
   {
@@ -44,7 +44,7 @@
 
   ~test_network ()
   {
-    for (auto &each : on_the_way)
+    for (auto &each : in_flight)
       timer_disarm (timers, &each.timer);
   }
 
@@ -73,7 +73,7 @@
     struct test_network *network = each->network;
     struct message own = *each;
 
-    network->on_the_way.remove_if ([each] (const struct message &other) { return &other == each; });
+    network->in_flight.remove_if ([each] (const struct message &other) { return &other == each; });
     if (network->cut.count (own.from) + network->cut.count (own.to) > 0)
       return;
     struct peer_listener *listener = network->ports[own.to].listeners[own.channel];
@@ -100,14 +100,14 @@
         network->drop_next--;
         return STATUS_OK;
       }
-    network->on_the_way.push_back ({ {},
-                                     network,
-                                     own->name,
-                                     host,
-                                     channel,
-                                     std::string (static_cast<const char *> (data), length) });
-    network->on_the_way.back ().timer.ops = &ops;
-    timer_arm (network->timers, &network->on_the_way.back ().timer, *network->now + USEC_PER_MSEC);
+    network->in_flight.push_back ({ {},
+                                    network,
+                                    own->name,
+                                    host,
+                                    channel,
+                                    std::string (static_cast<const char *> (data), length) });
+    network->in_flight.back ().timer.ops = &ops;
+    timer_arm (network->timers, &network->in_flight.back ().timer, *network->now + USEC_PER_MSEC);
     return STATUS_OK;
   }
 };
--- a/tests/unit_config_random.cc
+++ b/tests/unit_config_random.cc
@@ -25,7 +25,7 @@
   std::vector<state> accepted = { state (NAMES, 0) }; // by revision
   std::vector<struct change> log;
   std::map<std::string, size_t> applied;
-  std::map<std::string, uint64_t> was_in_force; // also before restarts
+  std::map<std::string, uint64_t> last_revision; // also before restarts
 
   void
   catch_up (const std::string &voter, size_t upto)
@@ -38,7 +38,7 @@
   // Applies a random change on voters with a quorum, some of which miss it at random.  Voters that
   // lack it have no quorum until they catch up.
   void
-  accept ()
+  apply_random_change ()
   {
     size_t which = rng_below (&rng, NAMES);
     state next = accepted.back ();
@@ -91,7 +91,7 @@
       case 0:
       case 1:
       case 2:
-        accept ();
+        apply_random_change ();
         break;
       case 3:
         catch_up (voter, log.size ());
@@ -130,9 +130,9 @@
         EXPECT_EQ (board->revision, 0u) << name;
         return;
       }
-    ASSERT_GE (board->revision, was_in_force[name]) << name;
+    ASSERT_GE (board->revision, last_revision[name]) << name;
     ASSERT_LT (board->revision, accepted.size ()) << name;
-    was_in_force[name] = board->revision;
+    last_revision[name] = board->revision;
     for (int i = 0; i < NAMES; i++)
       {
         const struct board_organisation *entry =
--- a/tests/unit_controller.cc
+++ b/tests/unit_controller.cc
@@ -76,7 +76,7 @@
 protected:
   void *parent = talloc_new (nullptr);
   struct timer_service *timers = timer_service_new (parent);
-  played_port port;
+  recording_port port;
   played_log log;
   struct document *document = document_new (parent, nullptr);
   struct counters *counters = counters_new (parent);
@@ -130,7 +130,7 @@
        bool leaving = false,
        const char *domain = "a")
   {
-    struct sync_ask question = {};
+    struct sync_request question = {};
     struct bytes message;
 
     question.nonce = nonce;
@@ -141,8 +141,8 @@
     question.self.ready = true;
     question.self.leaving = leaving;
     bytes_init (&message, nullptr);
-    sync_begin (SYNC_ASK, &message);
-    sync_write_ask (&question, &message);
+    sync_write_header (SYNC_REQUEST, &message);
+    sync_write_request (&question, &message);
     port.deliver (host, PEER_CHANNEL_SYNC, &message, now);
     bytes_clear (&message);
   }
@@ -179,7 +179,7 @@
         uint64_t number = pack_read_uint (&in, UINT64_MAX);
 
         bytes_init (&message, nullptr);
-        sync_begin (SYNC_RECEIVED, &message);
+        sync_write_header (SYNC_TARGET_ACK, &message);
         pack_uint (&message, incarnation);
         pack_uint (&message, number);
         port.deliver (from, PEER_CHANNEL_SYNC, &message, now);
--- a/tests/unit_member.cc
+++ b/tests/unit_member.cc
@@ -38,7 +38,7 @@
 
   // Counts the other hosts that see `about` in that state.
   unsigned
-  see (uint32_t about, enum host_state state) const
+  count_seeing (uint32_t about, enum host_state state) const
   {
     unsigned count = 0;
 
@@ -51,13 +51,13 @@
   all_alive () const
   {
     for (uint32_t i = 0; i < hosts.size (); i++)
-      if (see (i, HOST_ALIVE) != hosts.size () - 1)
+      if (count_seeing (i, HOST_ALIVE) != hosts.size () - 1)
         return false;
     return true;
   }
 
   double
-  counted (const char *name) const
+  sum_counter (const char *name) const
   {
     double sum = 0;
 
@@ -76,7 +76,7 @@
   const struct board_host *host = board_find_host (c.hosts[8]->board, "host-004", nullptr);
   EXPECT_STREQ (host->domain, "domain-1");
   EXPECT_STREQ (host->target_address, "10.0.0.4:8082");
-  EXPECT_FALSE (member_cut_off (c.hosts[8]->member));
+  EXPECT_FALSE (member_is_cut_off (c.hosts[8]->member));
 }
 
 // All seeds but one are down when a host starts, and come back one by one.
@@ -103,9 +103,9 @@
   c.run (10 * USEC_PER_SEC);
   spread_net_stop (c.net, 4, false);
   c.run (6 * USEC_PER_SEC);
-  EXPECT_EQ (c.see (4, HOST_ALIVE), 0u);
+  EXPECT_EQ (c.count_seeing (4, HOST_ALIVE), 0u);
   c.run (9 * USEC_PER_SEC);
-  EXPECT_EQ (c.see (4, HOST_DEAD), 8u);
+  EXPECT_EQ (c.count_seeing (4, HOST_DEAD), 8u);
   c.hosts[4] = spread_member_new (c.memory, c.net, 4, 2);
   c.run (10 * USEC_PER_SEC);
   EXPECT_TRUE (c.all_alive ());
@@ -122,7 +122,7 @@
   spread_net_cut (c.net, 5, 3, true);
   c.run (300 * USEC_PER_SEC);
   EXPECT_TRUE (c.all_alive ());
-  EXPECT_EQ (c.counted ("cherryarch_member_suspicions_total"), 0);
+  EXPECT_EQ (c.sum_counter ("cherryarch_member_suspicions_total"), 0);
 }
 
 // A host is stopped for a while (SIGSTOP, or a machine that swaps): its connections stay up and no
@@ -134,11 +134,11 @@
   c.run (10 * USEC_PER_SEC);
   spread_net_stop (c.net, 2, true);
   c.run (20 * USEC_PER_SEC);
-  EXPECT_EQ (c.see (2, HOST_DEAD), 8u);
+  EXPECT_EQ (c.count_seeing (2, HOST_DEAD), 8u);
   spread_net_go_on (c.net, 2);
   c.run (20 * USEC_PER_SEC);
   EXPECT_TRUE (c.all_alive ());
-  EXPECT_GT (c.counted ("cherryarch_member_refutations_total"), 0);
+  EXPECT_GT (c.sum_counter ("cherryarch_member_refutations_total"), 0);
 }
 
 // One host receives nothing, but what it sends arrives.  It considers all others dead; if that
@@ -161,13 +161,13 @@
             ASSERT_EQ (spread_member_sees (c.hosts[i], about), HOST_ALIVE) << i << " " << about;
           }
     }
-  EXPECT_EQ (c.see (6, HOST_DEAD), 8u);
-  EXPECT_TRUE (member_cut_off (c.hosts[6]->member));
+  EXPECT_EQ (c.count_seeing (6, HOST_DEAD), 8u);
+  EXPECT_TRUE (member_is_cut_off (c.hosts[6]->member));
   for (uint32_t i = 0; i < 9; i++)
     spread_net_cut (c.net, i, 6, false);
   c.run (15 * USEC_PER_SEC);
   EXPECT_TRUE (c.all_alive ());
-  EXPECT_FALSE (member_cut_off (c.hosts[6]->member));
+  EXPECT_FALSE (member_is_cut_off (c.hosts[6]->member));
 }
 
 // The other direction: what one host sends is lost.  It receives suspicions of itself, its
@@ -180,10 +180,10 @@
   for (uint32_t i = 0; i < 9; i++)
     spread_net_cut (c.net, 6, i, true);
   c.run (30 * USEC_PER_SEC);
-  EXPECT_EQ (c.see (6, HOST_DEAD), 8u);
-  EXPECT_TRUE (member_cut_off (c.hosts[6]->member));
+  EXPECT_EQ (c.count_seeing (6, HOST_DEAD), 8u);
+  EXPECT_TRUE (member_is_cut_off (c.hosts[6]->member));
   for (uint32_t i = 0; i < 9; i++)
-    EXPECT_EQ (member_cut_off (c.hosts[i]->member), i == 6) << i;
+    EXPECT_EQ (member_is_cut_off (c.hosts[i]->member), i == 6) << i;
 }
 
 // A silent partition separates three hosts from six for ten minutes.  Each side considers the other
@@ -199,8 +199,8 @@
         spread_net_cut (c.net, i, j, true);
   c.run (600 * USEC_PER_SEC);
   for (uint32_t i = 0; i < 9; i++)
-    EXPECT_EQ (member_cut_off (c.hosts[i]->member), i < 3) << i;
-  EXPECT_EQ (c.see (7, HOST_DEAD), 3u);
+    EXPECT_EQ (member_is_cut_off (c.hosts[i]->member), i < 3) << i;
+  EXPECT_EQ (c.count_seeing (7, HOST_DEAD), 3u);
   for (uint32_t i = 0; i < 9; i++)
     for (uint32_t j = 0; j < 9; j++)
       spread_net_cut (c.net, i, j, false);
@@ -217,15 +217,15 @@
   c.run (10 * USEC_PER_SEC);
   for (uint32_t i = 5; i < 8; i++)
     spread_net_cut (c.net, 4, i, true);
-  member_leave (c.hosts[4]->member, spread_net_now (c.net));
+  member_announce_leaving (c.hosts[4]->member, spread_net_now (c.net));
   c.run (2 * USEC_PER_SEC);
-  EXPECT_EQ (c.see (4, HOST_LEAVING), 8u);
-  member_left (c.hosts[4]->member, spread_net_now (c.net));
+  EXPECT_EQ (c.count_seeing (4, HOST_LEAVING), 8u);
+  member_announce_left (c.hosts[4]->member, spread_net_now (c.net));
   spread_net_run (c.net, 100 * USEC_PER_MSEC);
   spread_net_stop (c.net, 4, false);
   c.run (10 * USEC_PER_SEC);
-  EXPECT_EQ (c.see (4, HOST_LEFT), 8u);
-  EXPECT_EQ (c.counted ("cherryarch_member_deaths_total"), 0);
+  EXPECT_EQ (c.count_seeing (4, HOST_LEFT), 8u);
+  EXPECT_EQ (c.sum_counter ("cherryarch_member_deaths_total"), 0);
 }
 
 // A host restarts with a clock that was set back, so its incarnation is below the one that others
@@ -238,7 +238,7 @@
   c.run (10 * USEC_PER_SEC);
   spread_net_stop (c.net, 3, false);
   c.run (20 * USEC_PER_SEC);
-  EXPECT_EQ (c.see (3, HOST_DEAD), 4u);
+  EXPECT_EQ (c.count_seeing (3, HOST_DEAD), 4u);
   c.hosts[3] = spread_member_new (c.memory, c.net, 3, 50);
   c.run (20 * USEC_PER_SEC);
   EXPECT_TRUE (c.all_alive ());
@@ -251,7 +251,7 @@
   spread_net_set_loss (c.net, 0.01);
   c.run (600 * USEC_PER_SEC);
   EXPECT_TRUE (c.all_alive ());
-  EXPECT_EQ (c.counted ("cherryarch_member_deaths_total"), 0);
+  EXPECT_EQ (c.sum_counter ("cherryarch_member_deaths_total"), 0);
 }
 
 // One of two hosts receives nothing from the other for a while and suspects it.  The other refutes,
--- a/tests/unit_quarantine_control.cc
+++ b/tests/unit_quarantine_control.cc
@@ -100,7 +100,7 @@
   void *parent = talloc_new (nullptr);
   struct timer_service *timers = timer_service_new (parent);
   struct quarantine_control *control = nullptr;
-  played_port port;
+  recording_port port;
   listed_peers peers;
   int64_t now = 100 * USEC_PER_SEC;
 };
