--- a/bench/fake_group.c
+++ b/bench/fake_group.c
@@ -338,7 +338,7 @@
   if (number < 0)
     return false;
   raft = consensus_voter_raft (group->hosts[number].consensus);
-  members = raft_member_set (raft);
+  members = raft_get_members (raft);
   if (raft_members_voters (members) != group->config.voters)
     return false;
   for (uint32_t i = 0; i < members->n; i++)
--- a/bench/fuzz_message.c
+++ b/bench/fuzz_message.c
@@ -122,7 +122,7 @@
 static void
 proposal_sample (uint32_t i, struct bytes *out)
 {
-  const struct client_answer answer = {
+  const struct client_response answer = {
     .number = 4 + i,
     .status = i == 0 ? STATUS_OK : STATUS_NOT_LEADER,
     .index = 17,
@@ -131,18 +131,18 @@
     .length = 6,
   };
 
-  client_write_answer (&answer, out);
+  client_write_response (&answer, out);
 }
 
 static enum status
 proposal_decode (void *parent, const void *data, size_t length)
 {
-  struct client_answer answer;
-  struct client_ask ask;
-  bool is_ask;
+  struct client_response answer;
+  struct client_request ask;
+  bool is_request;
 
   (void) parent;
-  return client_read_message (data, length, &is_ask, &ask, &answer);
+  return client_read_message (data, length, &is_request, &ask, &answer);
 }
 
 const struct fuzz_decoder fuzz_proposal = {
--- a/bench/fuzz_raft.c
+++ b/bench/fuzz_raft.c
@@ -47,7 +47,7 @@
   while (raft_poll (raft, &ready, now))
     raft_synced (raft, now);
   while (raft_next_committed (raft) != NULL)
-    raft_applied_one (raft);
+    raft_mark_applied (raft);
 }
 
 /* A server with a few entries, the first of them committed. */
--- a/src/consensus_client.c
+++ b/src/consensus_client.c
@@ -6,8 +6,8 @@
 #include <string.h>
 #include <talloc.h>
 
-#define MESSAGE_ASK 1
-#define MESSAGE_ANSWER 2
+#define MESSAGE_REQUEST 1
+#define MESSAGE_RESPONSE 2
 #define RESULT_MAX (3u << 20)
 
 void
@@ -33,9 +33,9 @@
 }
 
 static void
-write_ask (const struct request *request, struct bytes *out, int64_t now)
+write_request (const struct request *request, struct bytes *out, int64_t now)
 {
-  pack_uint (out, MESSAGE_ASK);
+  pack_uint (out, MESSAGE_REQUEST);
   pack_uint (out, request->number);
   pack_uint (out, request->kind);
   pack_uint (out, (uint64_t) (request->deadline - now));
@@ -62,107 +62,107 @@
   struct bytes out;
   enum status status = STATUS_UNAVAILABLE;
 
-  request->place = REQUEST_FORWARDED;
+  request->stage = REQUEST_FORWARDED;
   /* No answer from the presumed leader: it failed, is partitioned, or no longer leads. */
-  if (request->asked[0] != '\0' && strcmp (request->asked, client->leader) == 0)
+  if (request->sent_to[0] != '\0' && strcmp (request->sent_to, client->leader) == 0)
     client->leader[0] = '\0';
   host = choose_host (client);
   if (host != NULL && now < request->deadline)
     {
       bytes_init (&out, request);
-      write_ask (request, &out, now);
+      write_request (request, &out, now);
       if (!bytes_failed (&out))
         status = client->port->ops->send (client->port, host, PEER_CHANNEL_PROPOSAL, out.data,
                                           out.length);
       bytes_clear (&out);
-      text_copy_cut (request->asked, sizeof request->asked, host);
+      text_copy_cut (request->sent_to, sizeof request->sent_to, host);
     }
-  request->tries++;
-  request_arm (request, now + (status == STATUS_OK ? CLIENT_SILENCE : CLIENT_BACKOFF));
+  request->attempts++;
+  request_arm (request, now + (status == STATUS_OK ? CLIENT_RESPONSE_TIMEOUT : CLIENT_BACKOFF));
 }
 
 /* The host did not accept the request: retry at the leader that it names, or after a backoff. */
 static void
-send_on (struct client *client,
-         struct request *request,
-         const struct client_answer *answer,
-         const char *from,
-         int64_t now)
+redirect_request (struct client *client,
+                  struct request *request,
+                  const struct client_response *response,
+                  const char *from,
+                  int64_t now)
 {
-  text_copy_cut (client->leader, sizeof client->leader, answer->leader);
+  text_copy_cut (client->leader, sizeof client->leader, response->leader);
   if (strcmp (client->leader, from) == 0 || strcmp (client->leader, client->self) == 0)
     client->leader[0] = '\0';
-  request->asked[0] = '\0';
-  if (client->leader[0] != '\0' && request->tries % 4 != 0)
+  request->sent_to[0] = '\0';
+  if (client->leader[0] != '\0' && request->attempts % 4 != 0)
     client_send (client, request, now);
   else
     {
-      request->tries++;
+      request->attempts++;
       request_arm (request, now + CLIENT_BACKOFF);
     }
 }
 
 struct request *
-client_answered (struct client *client,
-                 const struct client_answer *answer,
-                 const char *from,
-                 int64_t now)
+client_handle_response (struct client *client,
+                        const struct client_response *response,
+                        const char *from,
+                        int64_t now)
 {
-  struct request *request = request_find (client->requests, answer->number);
+  struct request *request = request_find (client->requests, response->number);
 
-  if (request == NULL || request->proposal == NULL || request->place != REQUEST_FORWARDED)
+  if (request == NULL || request->proposal == NULL || request->stage != REQUEST_FORWARDED)
     return NULL;
-  switch (answer->status)
+  switch (response->status)
     {
     case STATUS_NOT_LEADER:
     case STATUS_AGAIN:
     case STATUS_UNAVAILABLE:
       /* Ignore duplicate answers and those of a host that is no longer being asked. */
-      if (strcmp (request->asked, from) == 0)
-        send_on (client, request, answer, from, now);
+      if (strcmp (request->sent_to, from) == 0)
+        redirect_request (client, request, response, from, now);
       return NULL;
     default:
-      text_copy_cut (client->leader, sizeof client->leader, answer->leader);
+      text_copy_cut (client->leader, sizeof client->leader, response->leader);
       return request;
     }
 }
 
 static void
-read_ask (struct pack_reader *in, struct client_ask *ask)
+read_request (struct pack_reader *in, struct client_request *request)
 {
-  ask->number = pack_read_uint (in, UINT64_MAX);
-  ask->kind = (enum request_kind) pack_read_uint (in, REQUEST_KIND_COUNT - 1);
-  ask->time_left = (int64_t) pack_read_uint (in, INT32_MAX * (uint64_t) USEC_PER_SEC);
-  ask->data = pack_read_binary (in, RAFT_ENTRY_MAX, &ask->length);
+  request->number = pack_read_uint (in, UINT64_MAX);
+  request->kind = (enum request_kind) pack_read_uint (in, REQUEST_KIND_COUNT - 1);
+  request->time_left = (int64_t) pack_read_uint (in, INT32_MAX * (uint64_t) USEC_PER_SEC);
+  request->data = pack_read_binary (in, RAFT_ENTRY_MAX, &request->length);
 }
 
 static void
-read_answer (struct pack_reader *in, struct client_answer *answer)
+read_response (struct pack_reader *in, struct client_response *response)
 {
-  answer->number = pack_read_uint (in, UINT64_MAX);
-  answer->status = (enum status) pack_read_uint (in, STATUS_COUNT - 1);
-  answer->index = pack_read_uint (in, UINT64_MAX);
-  pack_read_text (in, answer->leader, sizeof answer->leader);
-  answer->result = pack_read_binary (in, RESULT_MAX, &answer->length);
+  response->number = pack_read_uint (in, UINT64_MAX);
+  response->status = (enum status) pack_read_uint (in, STATUS_COUNT - 1);
+  response->index = pack_read_uint (in, UINT64_MAX);
+  pack_read_text (in, response->leader, sizeof response->leader);
+  response->result = pack_read_binary (in, RESULT_MAX, &response->length);
 }
 
 enum status
 client_read_message (const void *data,
                      size_t length,
-                     bool *is_ask,
-                     struct client_ask *ask,
-                     struct client_answer *answer)
+                     bool *is_request,
+                     struct client_request *request,
+                     struct client_response *response)
 {
   struct pack_reader in;
   uint64_t type;
 
   pack_reader_init (&in, data, length);
-  type = pack_read_uint (&in, MESSAGE_ANSWER);
-  *is_ask = type == MESSAGE_ASK;
-  if (type == MESSAGE_ASK)
-    read_ask (&in, ask);
-  else if (type == MESSAGE_ANSWER)
-    read_answer (&in, answer);
+  type = pack_read_uint (&in, MESSAGE_RESPONSE);
+  *is_request = type == MESSAGE_REQUEST;
+  if (type == MESSAGE_REQUEST)
+    read_request (&in, request);
+  else if (type == MESSAGE_RESPONSE)
+    read_response (&in, response);
   else
     return status_fail (STATUS_MALFORMED, "unknown type of message on the proposal channel");
   return pack_read_end (&in)
@@ -171,12 +171,12 @@
 }
 
 void
-client_write_answer (const struct client_answer *answer, struct bytes *out)
+client_write_response (const struct client_response *response, struct bytes *out)
 {
-  pack_uint (out, MESSAGE_ANSWER);
-  pack_uint (out, answer->number);
-  pack_uint (out, answer->status);
-  pack_uint (out, answer->index);
-  pack_text (out, answer->leader);
-  pack_binary (out, answer->result, answer->length);
+  pack_uint (out, MESSAGE_RESPONSE);
+  pack_uint (out, response->number);
+  pack_uint (out, response->status);
+  pack_uint (out, response->index);
+  pack_text (out, response->leader);
+  pack_binary (out, response->result, response->length);
 }
--- a/src/consensus_client.h
+++ b/src/consensus_client.h
@@ -12,8 +12,8 @@
 /* XXX: only the hosts named in the settings are asked.  Once all of the initial voters have been
  * replaced by other hosts, the settings must name the new ones. */
 #define CLIENT_HOSTS_MAX 16
-#define CLIENT_SILENCE (1000 * USEC_PER_MSEC) /* before the next host is asked */
-#define CLIENT_BACKOFF (100 * USEC_PER_MSEC)  /* after an answer that names no leader */
+#define CLIENT_RESPONSE_TIMEOUT (1000 * USEC_PER_MSEC) /* before the next host is asked */
+#define CLIENT_BACKOFF (100 * USEC_PER_MSEC)           /* after an answer that names no leader */
 
 struct client
 {
@@ -28,7 +28,7 @@
 };
 
 /* The answer to a forwarded request. */
-struct client_answer
+struct client_response
 {
   uint64_t number;
   enum status status;
@@ -39,7 +39,7 @@
 };
 
 /* A request as received by a voter. */
-struct client_ask
+struct client_request
 {
   uint64_t number;
   enum request_kind kind;
@@ -62,19 +62,19 @@
 
 /* Process an answer.  Returns the request, which the caller must finish with the answer; NULL when
  * the request no longer exists or was sent to another host. */
-struct request *client_answered (struct client *client,
-                                 const struct client_answer *answer,
-                                 const char *from,
-                                 int64_t now);
+struct request *client_handle_response (struct client *client,
+                                        const struct client_response *response,
+                                        const char *from,
+                                        int64_t now);
 
-/* Decode a message on PEER_CHANNEL_PROPOSAL: `ask` is filled in when `is_ask` is set, else
+/* Decode a message on PEER_CHANNEL_PROPOSAL: `ask` is filled in when `is_request` is set, else
  * `answer`.  STATUS_MALFORMED. */
 enum status client_read_message (const void *data,
                                  size_t length,
-                                 bool *is_ask,
-                                 struct client_ask *ask,
-                                 struct client_answer *answer);
-void client_write_answer (const struct client_answer *answer, struct bytes *out);
+                                 bool *is_request,
+                                 struct client_request *request,
+                                 struct client_response *response);
+void client_write_response (const struct client_response *response, struct bytes *out);
 
 END_DECLS
 
--- a/src/consensus_flush.c
+++ b/src/consensus_flush.c
@@ -46,7 +46,7 @@
 /* When the disk is full the entries are discarded, as a restart would.  The vote is small, and the
  * reserved space normally leaves room for it; STATUS_DISK_FULL when it does not. */
 static enum status
-store (struct consensus_voter *self, const struct raft_ready *ready, int64_t now)
+store_ready (struct consensus_voter *self, const struct raft_ready *ready, int64_t now)
 {
   enum status status = STATUS_OK;
   bool entries = true;
@@ -63,9 +63,9 @@
   if (status == STATUS_DISK_FULL)
     {
       self->low_space = true;
-      raft_hold (self->raft, true);
+      raft_set_paused (self->raft, true);
     }
-  raft_drop_unstored (self->raft, now);
+  raft_discard_unstored (self->raft, now);
   return store_records (self, ready, false);
 }
 
@@ -77,13 +77,14 @@
 }
 
 static void
-set_stalled (struct consensus_voter *self, bool stalled)
+set_vote_unstored (struct consensus_voter *self, bool vote_unstored)
 {
-  if (stalled != self->stalled)
-    log_event (LOG_MODULE_CONSENSUS, stalled ? LOG_LEVEL_WARNING : LOG_LEVEL_INFO,
-               stalled ? "vote-not-stored" : "vote-stored", "{s:I,s:s}", "term",
-               (json_int_t) raft_term (self->raft), "message", stalled ? status_message () : "");
-  self->stalled = stalled;
+  if (vote_unstored != self->vote_unstored)
+    log_event (LOG_MODULE_CONSENSUS, vote_unstored ? LOG_LEVEL_WARNING : LOG_LEVEL_INFO,
+               vote_unstored ? "vote-not-stored" : "vote-stored", "{s:I,s:s}", "term",
+               (json_int_t) raft_term (self->raft), "message",
+               vote_unstored ? status_message () : "");
+  self->vote_unstored = vote_unstored;
 }
 
 /* The leader sends appends before its own sync, so that both proceed in parallel; but not before a
@@ -95,23 +96,23 @@
 
   if (!ready->state_changed)
     send_all (self, ready->early, ready->n_early);
-  status = store (self, ready, now);
+  status = store_ready (self, ready, now);
   /* A voter that stopped for good when its disk was full for some seconds left the group without a
    * quorum at the next loss, until its process was restarted.  So while it cannot store its vote it
    * only stays silent, like a partitioned host, and the next message retries the write. */
   if (status == STATUS_DISK_FULL)
     {
-      set_stalled (self, true);
-      raft_give_back (self->raft, now);
+      set_vote_unstored (self, true);
+      raft_discard_ready (self->raft, now);
       return false;
     }
   if (status != STATUS_OK)
     {
-      voter_fail (self, status, "storing", now);
+      voter_stop (self, status, "storing", now);
       return false;
     }
   if (ready->state_changed || ready->last >= ready->first)
-    set_stalled (self, false);
+    set_vote_unstored (self, false);
   if (ready->state_changed)
     send_all (self, ready->early, ready->n_early);
   send_all (self, ready->late, ready->n_late);
@@ -122,7 +123,7 @@
 /* Returns the request that proposed the entry at `index` on this host, NULL if there is none or it
  * no longer exists.  Drops pending proposals up to `index`. */
 static struct request *
-take_pending (struct consensus_voter *self, uint64_t index, uint64_t term)
+pop_pending (struct consensus_voter *self, uint64_t index, uint64_t term)
 {
   struct request *request = NULL;
 
@@ -142,13 +143,13 @@
 apply_one (struct consensus_voter *self, const struct raft_entry *entry, int64_t now)
 {
   struct machine *machine = self->config.machine;
-  struct request *request = take_pending (self, entry->index, entry->term);
+  struct request *request = pop_pending (self, entry->index, entry->term);
   struct bytes result;
 
   bytes_init (&result, self);
   if (entry->kind == RAFT_ENTRY_DATA)
     machine->ops->apply (machine, entry->index, entry->data, entry->length, &result);
-  raft_applied_one (self->raft);
+  raft_mark_applied (self->raft);
   if (self->applied_entries != NULL)
     counter_add (self->applied_entries, 1);
   if (request != NULL)
@@ -166,35 +167,35 @@
 }
 
 static void
-take_reads (struct consensus_voter *self, int64_t now)
+collect_reads (struct consensus_voter *self, int64_t now)
 {
   struct raft_read read;
 
-  while (raft_take_read (self->raft, &read))
+  while (raft_pop_read (self->raft, &read))
     {
       struct request *request = request_find (&self->requests, read.token);
 
-      if (request == NULL || request->place != REQUEST_READING)
+      if (request == NULL || request->stage != REQUEST_READING)
         continue;
       if (!read.ok)
         {
-          request->place = REQUEST_FORWARDED;
+          request->stage = REQUEST_FORWARDED;
           if (request->proposal != NULL)
             request_arm (request, now);
           else
             request_finish (request, STATUS_UNAVAILABLE, NULL, 0, now);
           continue;
         }
-      request->place = REQUEST_APPLYING;
+      request->stage = REQUEST_APPLYING;
       request->index = read.index;
       self->reads_waiting = true;
     }
 }
 
 static bool
-read_reached (const struct consensus_voter *self, const struct request *request)
+read_is_applied (const struct consensus_voter *self, const struct request *request)
 {
-  return request->place == REQUEST_APPLYING
+  return request->stage == REQUEST_APPLYING
          && (request->proposal == NULL || request->index <= raft_applied (self->raft));
 }
 
@@ -213,9 +214,9 @@
   numbers = talloc_array (self, uint64_t, HASH_COUNT (self->requests.by_number));
   for (struct request *request = self->requests.by_number; request != NULL;
        request = request->hh.next)
-    if (numbers != NULL && read_reached (self, request))
+    if (numbers != NULL && read_is_applied (self, request))
       numbers[n++] = request->number;
-    else if (request->place == REQUEST_APPLYING)
+    else if (request->stage == REQUEST_APPLYING)
       self->reads_waiting = true;
   for (uint32_t i = 0; i < n; i++)
     {
@@ -257,7 +258,7 @@
       || self->config.snapshot_entries < CONSENSUS_KEEP_ENTRIES)
     keep = 0;
   keep_from = snapshot.index > keep ? snapshot.index - keep : 0;
-  raft_compacted (self->raft, &snapshot, keep_from);
+  raft_compact_log (self->raft, &snapshot, keep_from);
   if (self->snapshots != NULL)
     counter_add (self->snapshots, 1);
   return journal_drop (self->journal, keep_from);
@@ -281,16 +282,16 @@
     return;
   self->snapshot_retry_at = now + SNAPSHOT_RETRY;
   if (status == STATUS_IO)
-    voter_fail (self, status, "snapshot", now);
+    voter_stop (self, status, "snapshot", now);
   else
     log_event (LOG_MODULE_CONSENSUS, LOG_LEVEL_WARNING, "snapshot put off", "{s:s}", "message",
                status_message ());
 }
 
 static void
-tell_members (const struct consensus_voter *self)
+log_members (const struct consensus_voter *self)
 {
-  const struct raft_members *members = raft_member_set (self->raft);
+  const struct raft_members *members = raft_get_members (self->raft);
   json_t *list = json_array ();
 
   for (uint32_t i = 0; i < members->n; i++)
@@ -303,28 +304,29 @@
 
 /* Log changes of the leader and of the members, which later answers depend on. */
 static void
-tell_changes (struct consensus_voter *self)
+log_changes (struct consensus_voter *self)
 {
-  const struct raft_members *members = raft_member_set (self->raft);
+  const struct raft_members *members = raft_get_members (self->raft);
   uint64_t hash = XXH3_64bits (members->members, members->n * sizeof members->members[0]);
   json_t *position;
 
-  if (hash != self->told_members)
-    tell_members (self);
-  self->told_members = hash;
-  if (raft_leader (self->raft) == self->told_leader && raft_term (self->raft) == self->told_term)
+  if (hash != self->logged_members)
+    log_members (self);
+  self->logged_members = hash;
+  if (raft_leader (self->raft) == self->logged_leader
+      && raft_term (self->raft) == self->logged_term)
     return;
-  self->told_leader = raft_leader (self->raft);
-  self->told_term = raft_term (self->raft);
+  self->logged_leader = raft_leader (self->raft);
+  self->logged_term = raft_term (self->raft);
   position = self->consensus.ops->position (&self->consensus);
   log_event (LOG_MODULE_CONSENSUS, LOG_LEVEL_INFO, "leader-changed", "{s:O}", "position", position);
   json_decref (position);
 }
 
 static void
-show (struct consensus_voter *self)
+report_state (struct consensus_voter *self)
 {
-  tell_changes (self);
+  log_changes (self);
   if (self->term_gauge == NULL)
     return;
   gauge_set (self->term_gauge, (double) raft_term (self->raft));
@@ -349,23 +351,23 @@
     }
   if (self->health != STATUS_OK)
     return;
-  take_reads (self, now);
+  collect_reads (self, now);
   finish_reads (self, now);
   voter_role_changed (self, now);
-  if (raft_lost_entries (self->raft))
+  if (raft_has_lost_entries (self->raft))
     {
       status_fail (STATUS_CORRUPT, "the data folder is older than what this voter acknowledged");
-      voter_fail (self, STATUS_CORRUPT, "entries lost", now);
+      voter_stop (self, STATUS_CORRUPT, "entries lost", now);
       return;
     }
   snapshot_if_due (self, now);
-  show (self);
+  report_state (self);
   if (self->health != STATUS_OK)
     return;
   if (rounds == FLUSH_ROUNDS)
-    voter_wake (self, now);
-  if (raft_next (self->raft) == USEC_NEVER)
+    voter_schedule_flush (self, now);
+  if (raft_next_tick_at (self->raft) == USEC_NEVER)
     timer_disarm (self->config.timers, &self->tick_timer);
   else
-    timer_arm (self->config.timers, &self->tick_timer, raft_next (self->raft));
+    timer_arm (self->config.timers, &self->tick_timer, raft_next_tick_at (self->raft));
 }
--- a/src/consensus_form.c
+++ b/src/consensus_form.c
@@ -11,7 +11,7 @@
 #include <inttypes.h>
 #include <string.h>
 
-#define FORM_FRESH (2 * USEC_PER_SEC) /* maximum age of a hello used to form a group */
+#define CONTACT_AGE_MAX (2 * USEC_PER_SEC) /* maximum age of a hello used to form a group */
 
 enum status
 voter_join_group (struct consensus_voter *self, uint64_t group)
@@ -25,7 +25,7 @@
   self->identity.group = group;
   status = journal_identity_write (self->config.disk, &self->identity);
   if (status != STATUS_OK)
-    voter_fail (self, status, "taking the group", 0);
+    voter_stop (self, status, "taking the group", 0);
   return status;
 }
 
@@ -44,14 +44,14 @@
 /* Collect the members of a new group.  False while a voter has not been heard recently, or when one
  * already belongs to a group. */
 static bool
-gather (const struct consensus_voter *self, struct raft_members *members, int64_t now)
+collect_members (const struct consensus_voter *self, struct raft_members *members, int64_t now)
 {
-  *members = (struct raft_members){ .n = self->n_first_voters, .wanted = self->n_first_voters };
+  *members = (struct raft_members){ .n = self->n_initial_voters, .wanted = self->n_initial_voters };
   if (self->config.wanted_voters > members->wanted)
     members->wanted = self->config.wanted_voters;
-  for (uint32_t i = 0; i < self->n_first_voters; i++)
+  for (uint32_t i = 0; i < self->n_initial_voters; i++)
     {
-      const char *name = self->first_voters[i];
+      const char *name = self->initial_voters[i];
       struct raft_member *member = &members->members[i];
       const struct voter_contact *contact = newest_contact (self, name);
 
@@ -59,7 +59,7 @@
       member->voter = true;
       if (strcmp (name, self->name) == 0)
         member->id = self->identity.id;
-      else if (contact == NULL || contact->group != 0 || now - contact->heard_at > FORM_FRESH)
+      else if (contact == NULL || contact->group != 0 || now - contact->heard_at > CONTACT_AGE_MAX)
         return false;
       else
         member->id = contact->id;
@@ -79,7 +79,7 @@
     return;
   if (raft_bootstrap (self->raft, members) != STATUS_OK)
     {
-      voter_fail (self, STATUS_NO_MEMORY, "forming the group", now);
+      voter_stop (self, STATUS_NO_MEMORY, "forming the group", now);
       return;
     }
   log_event (LOG_MODULE_CONSENSUS, LOG_LEVEL_INFO, "group formed", "{s:i}", "voters",
@@ -91,23 +91,23 @@
  * because its leader was deposed, has stored the id but is not a member for anybody else.  A
  * partitioned member also sends hellos; the leader ignores them, since it already is a member. */
 bool
-voter_is_waiting (const struct consensus_voter *self, int64_t now)
+voter_is_joining (const struct consensus_voter *self, int64_t now)
 {
   return self->identity.group == 0
          || (raft_role (self->raft) != RAFT_LEADER
-             && now - raft_heard_at (self->raft) > self->config.timing.hello_silence);
+             && now - raft_leader_heard_at (self->raft) > self->config.timing.hello_after);
 }
 
 void
-voter_form (struct consensus_voter *self, int64_t now)
+voter_form_or_join (struct consensus_voter *self, int64_t now)
 {
   struct raft_members members;
-  bool first = !self->config.join_only && self->n_first_voters > 0
-               && strcmp (self->first_voters[0], self->name) == 0;
+  bool first = !self->config.join_only && self->n_initial_voters > 0
+               && strcmp (self->initial_voters[0], self->name) == 0;
 
-  if (!voter_is_waiting (self, now))
+  if (!voter_is_joining (self, now))
     return;
-  if (first && self->identity.group == 0 && gather (self, &members, now))
+  if (first && self->identity.group == 0 && collect_members (self, &members, now))
     {
       form_group (self, &members, now);
       return;
@@ -116,6 +116,6 @@
     return;
   self->hello_at =
       now + (first && self->identity.group == 0 ? 0 : self->config.timing.hello_period);
-  for (uint32_t i = 0; i < self->n_first_voters; i++)
-    voter_send_hello (self, self->first_voters[i], true, now);
+  for (uint32_t i = 0; i < self->n_initial_voters; i++)
+    voter_send_hello (self, self->initial_voters[i], true, now);
 }
--- a/src/consensus_peer.c
+++ b/src/consensus_peer.c
@@ -14,7 +14,7 @@
 #define MESSAGE_OLD_FOLDER 3 /* id, starts: a later start of that server was seen */
 #define MESSAGE_TYPE_MAX 3
 
-struct head
+struct header
 {
   uint64_t type;
   uint64_t group;
@@ -22,7 +22,7 @@
 };
 
 static void
-write_head (const struct consensus_voter *self, uint64_t type, struct bytes *out)
+write_header (const struct consensus_voter *self, uint64_t type, struct bytes *out)
 {
   bytes_init (out, (void *) (uintptr_t) self);
   pack_uint (out, type);
@@ -47,10 +47,10 @@
 
   if (strcmp (host, self->name) == 0)
     return;
-  write_head (self, MESSAGE_HELLO, &out);
+  write_header (self, MESSAGE_HELLO, &out);
   pack_uint (&out, self->identity.id);
   pack_bool (&out, wants_reply);
-  pack_bool (&out, voter_is_waiting (self, now));
+  pack_bool (&out, voter_is_joining (self, now));
   pack_text (&out, voter_leader_name (self));
   send_bytes (self, host, &out);
 }
@@ -60,7 +60,7 @@
 {
   struct bytes out;
 
-  write_head (self, MESSAGE_OLD_FOLDER, &out);
+  write_header (self, MESSAGE_OLD_FOLDER, &out);
   pack_uint (&out, contact->id);
   pack_uint (&out, contact->starts);
   send_bytes (self, contact->name, &out);
@@ -77,7 +77,7 @@
 
 /* The contact record of a server.  A new one replaces the record not updated for longest. */
 static struct voter_contact *
-contact_of (struct consensus_voter *self, uint64_t id)
+get_contact (struct consensus_voter *self, uint64_t id)
 {
   const struct voter_contact *known = voter_contact_by_id (self, id);
   struct voter_contact *oldest = &self->contacts[0];
@@ -98,32 +98,32 @@
  * message was delayed, or an older copy of the data folder was restored and started.  The sender is
  * told, since it can tell which. */
 static bool
-note_contact (struct consensus_voter *self,
-              uint64_t id,
-              const char *from,
-              const struct head *head,
-              int64_t now)
+record_contact (struct consensus_voter *self,
+                uint64_t id,
+                const char *from,
+                const struct header *header,
+                int64_t now)
 {
-  struct voter_contact *contact = contact_of (self, id);
+  struct voter_contact *contact = get_contact (self, id);
 
-  if (head->starts < contact->starts)
+  if (header->starts < contact->starts)
     {
       send_old_folder (self, contact);
       return false;
     }
-  contact->starts = head->starts;
-  contact->group = head->group;
+  contact->starts = header->starts;
+  contact->group = header->group;
   contact->heard_at = now;
   text_copy_cut (contact->name, sizeof contact->name, from);
   return true;
 }
 
 static void
-got_hello (struct consensus_voter *self,
-           const struct head *head,
-           struct pack_reader *in,
-           const char *from,
-           int64_t now)
+handle_hello (struct consensus_voter *self,
+              const struct header *header,
+              struct pack_reader *in,
+              const char *from,
+              int64_t now)
 {
   uint64_t id = pack_read_uint (in, UINT64_MAX);
   bool wants_reply = pack_read_bool (in);
@@ -131,20 +131,20 @@
   char leader[RESOURCE_NAME_SIZE];
 
   pack_read_text (in, leader, sizeof leader);
-  if (!pack_read_end (in) || !note_contact (self, id, from, head, now))
+  if (!pack_read_end (in) || !record_contact (self, id, from, header, now))
     return;
   if (waits)
-    contact_of (self, id)->hello_at = now;
+    get_contact (self, id)->hello_at = now;
   if (wants_reply)
     voter_send_hello (self, from, false, now);
   /* A host that waits to be added must reach the leader, which need not be one of the initial
    * voters. */
-  else if (leader[0] != '\0' && strcmp (leader, from) != 0 && voter_is_waiting (self, now))
+  else if (leader[0] != '\0' && strcmp (leader, from) != 0 && voter_is_joining (self, now))
     voter_send_hello (self, leader, false, now);
 }
 
 static void
-got_old_folder (struct consensus_voter *self, struct pack_reader *in, int64_t now)
+handle_old_folder (struct consensus_voter *self, struct pack_reader *in, int64_t now)
 {
   uint64_t id = pack_read_uint (in, UINT64_MAX);
   uint64_t starts = pack_read_uint (in, UINT64_MAX);
@@ -152,28 +152,28 @@
   if (!pack_read_end (in) || id != self->identity.id || starts <= self->identity.starts)
     return;
   status_fail (STATUS_CORRUPT, "a later start of this data folder was seen by another voter");
-  voter_fail (self, STATUS_CORRUPT, "older folder", now);
+  voter_stop (self, STATUS_CORRUPT, "older folder", now);
 }
 
 static void
-got_raft (struct consensus_voter *self,
-          const struct head *head,
-          const struct pack_reader *in,
-          const char *from,
-          int64_t now)
+handle_raft (struct consensus_voter *self,
+             const struct header *header,
+             const struct pack_reader *in,
+             const char *from,
+             int64_t now)
 {
   struct raft_message message;
   void *parent;
 
-  if (head->group == 0)
+  if (header->group == 0)
     return;
   parent = talloc_new (self);
   if (raft_message_read (parent, in->data, in->left, &message) == STATUS_OK
-      && message.to == self->identity.id && note_contact (self, message.from, from, head, now)
-      && voter_join_group (self, head->group) == STATUS_OK)
+      && message.to == self->identity.id && record_contact (self, message.from, from, header, now)
+      && voter_join_group (self, header->group) == STATUS_OK)
     {
       raft_step (self->raft, &message, now);
-      voter_wake (self, now);
+      voter_schedule_flush (self, now);
     }
   talloc_free (parent);
 }
@@ -186,65 +186,68 @@
       (struct consensus_voter *) ((char *) listener
                                   - offsetof (struct consensus_voter, consensus_listener));
   struct pack_reader in;
-  struct head head;
+  struct header header;
 
   if (self->health != STATUS_OK)
     return;
   pack_reader_init (&in, data, length);
-  head.type = pack_read_uint (&in, MESSAGE_TYPE_MAX);
-  head.group = pack_read_uint (&in, UINT64_MAX);
-  head.starts = pack_read_uint (&in, UINT64_MAX);
+  header.type = pack_read_uint (&in, MESSAGE_TYPE_MAX);
+  header.group = pack_read_uint (&in, UINT64_MAX);
+  header.starts = pack_read_uint (&in, UINT64_MAX);
   if (!pack_read_ok (&in))
     return;
-  if (head.type == MESSAGE_HELLO)
-    got_hello (self, &head, &in, from, now);
-  else if (head.type == MESSAGE_OLD_FOLDER)
-    got_old_folder (self, &in, now);
-  else if (head.type == MESSAGE_RAFT)
-    got_raft (self, &head, &in, from, now);
+  if (header.type == MESSAGE_HELLO)
+    handle_hello (self, &header, &in, from, now);
+  else if (header.type == MESSAGE_OLD_FOLDER)
+    handle_old_folder (self, &in, now);
+  else if (header.type == MESSAGE_RAFT)
+    handle_raft (self, &header, &in, from, now);
 }
 
 /* A request from another host: accepted when this host leads, else answered with the leader's
  * name. */
 static void
-got_ask (struct consensus_voter *self, const struct client_ask *ask, const char *from, int64_t now)
+handle_request (struct consensus_voter *self,
+                const struct client_request *incoming,
+                const char *from,
+                int64_t now)
 {
   enum status status;
-  struct request *request = request_new (&self->requests, ask->kind, ask->data, ask->length,
-                                         now + ask->time_left, &status);
+  struct request *request = request_new (&self->requests, incoming->kind, incoming->data,
+                                         incoming->length, now + incoming->time_left, &status);
 
   if (request == NULL)
     return;
   text_copy_cut (request->origin, sizeof request->origin, from);
-  request->origin_number = ask->number;
-  voter_submit (self, request, now);
+  request->origin_number = incoming->number;
+  voter_route_request (self, request, now);
 }
 
 static void
-got_answer (struct consensus_voter *self,
-            const struct client_answer *answer,
-            const char *from,
-            int64_t now)
+handle_response (struct consensus_voter *self,
+                 const struct client_response *response,
+                 const char *from,
+                 int64_t now)
 {
-  struct request *request = client_answered (&self->client, answer, from, now);
+  struct request *request = client_handle_response (&self->client, response, from, now);
 
   if (request == NULL)
     return;
-  if (request->kind == REQUEST_PROPOSE || answer->status != STATUS_OK)
+  if (request->kind == REQUEST_PROPOSE || response->status != STATUS_OK)
     {
-      request_finish (request, answer->status, answer->result, answer->length, now);
+      request_finish (request, response->status, response->result, response->length, now);
       return;
     }
-  if (!voter_may_read (self))
+  if (!voter_can_read (self))
     {
       request_finish (request, STATUS_UNAVAILABLE, NULL, 0, now);
       return;
     }
-  request->place = REQUEST_APPLYING;
-  request->index = answer->index;
+  request->stage = REQUEST_APPLYING;
+  request->index = response->index;
   self->reads_waiting = true;
   request_arm (request, request->deadline);
-  voter_wake (self, now);
+  voter_schedule_flush (self, now);
 }
 
 static void
@@ -254,16 +257,16 @@
   struct consensus_voter *self =
       (struct consensus_voter *) ((char *) listener
                                   - offsetof (struct consensus_voter, proposal_listener));
-  struct client_ask ask;
-  struct client_answer answer;
-  bool is_ask;
+  struct client_request incoming;
+  struct client_response response;
+  bool is_request;
 
-  if (client_read_message (data, length, &is_ask, &ask, &answer) != STATUS_OK)
+  if (client_read_message (data, length, &is_request, &incoming, &response) != STATUS_OK)
     return;
-  if (is_ask)
-    got_ask (self, &ask, from, now);
+  if (is_request)
+    handle_request (self, &incoming, from, now);
   else
-    got_answer (self, &answer, from, now);
+    handle_response (self, &response, from, now);
 }
 
 static const struct peer_listener_ops consensus_ops = { .received = consensus_received };
@@ -281,9 +284,9 @@
 }
 
 static const char *
-name_of (const struct consensus_voter *self, uint64_t id)
+find_host_name (const struct consensus_voter *self, uint64_t id)
 {
-  const struct raft_member *member = raft_members_find (raft_member_set (self->raft), id);
+  const struct raft_member *member = raft_members_find (raft_get_members (self->raft), id);
   const struct voter_contact *contact;
 
   if (member != NULL)
@@ -295,7 +298,7 @@
 void
 voter_send (struct consensus_voter *self, const struct raft_message *message)
 {
-  const char *host = name_of (self, message->to);
+  const char *host = find_host_name (self, message->to);
   struct raft_message filled = *message;
   struct bytes chunk;
   struct bytes out;
@@ -312,7 +315,7 @@
     }
   if (status == STATUS_OK)
     {
-      write_head (self, MESSAGE_RAFT, &out);
+      write_header (self, MESSAGE_RAFT, &out);
       raft_message_write (&filled, &out);
       send_bytes (self, host, &out);
     }
--- a/src/consensus_remote.c
+++ b/src/consensus_remote.c
@@ -35,8 +35,8 @@
 {
   struct consensus_remote *self = (struct consensus_remote *) consensus;
   enum status status;
-  struct request *request = request_new_own (&self->requests, REQUEST_PROPOSE, entry, length,
-                                             proposal, deadline, &status);
+  struct request *request = request_new_local (&self->requests, REQUEST_PROPOSE, entry, length,
+                                               proposal, deadline, &status);
 
   if (request != NULL)
     client_send (&self->client, request, now);
@@ -120,14 +120,15 @@
     struct peer_listener *listener, const char *from, const void *data, size_t length, int64_t now)
 {
   struct consensus_remote *self = of_listener (listener);
-  struct client_ask ask;
-  struct client_answer answer;
+  struct client_request incoming;
+  struct client_response answer;
   struct request *request;
-  bool is_ask;
+  bool is_request;
 
-  if (client_read_message (data, length, &is_ask, &ask, &answer) != STATUS_OK || is_ask)
+  if (client_read_message (data, length, &is_request, &incoming, &answer) != STATUS_OK
+      || is_request)
     return;
-  request = client_answered (&self->client, &answer, from, now);
+  request = client_handle_response (&self->client, &answer, from, now);
   if (request != NULL)
     request_finish (request, answer.status, answer.result, answer.length, now);
 }
--- a/src/consensus_repair.c
+++ b/src/consensus_repair.c
@@ -14,14 +14,14 @@
 #include <string.h>
 
 /* Maximum age of the last hello of a host that waits to be added. */
-#define WAITING_FRESH (6 * USEC_PER_SEC)
+#define HELLO_AGE_MAX (6 * USEC_PER_SEC)
 
 /* Time since the member was last heard, in microseconds. */
 static int64_t
-silence (const struct consensus_voter *self, const struct raft_member *member, int64_t now)
+time_since_heard (const struct consensus_voter *self, const struct raft_member *member, int64_t now)
 {
   struct raft_progress progress;
-  int64_t heard_at = self->led_at;
+  int64_t heard_at = self->role_changed_at;
 
   if (member->id == self->identity.id)
     return 0;
@@ -33,14 +33,14 @@
 static bool
 is_waiting (const struct consensus_voter *self, const struct voter_contact *contact, int64_t now)
 {
-  return contact->hello_at > 0 && now - contact->hello_at <= WAITING_FRESH
+  return contact->hello_at > 0 && now - contact->hello_at <= HELLO_AGE_MAX
          && (contact->group == 0 || contact->group == self->identity.group)
-         && raft_members_find (raft_member_set (self->raft), contact->id) == NULL;
+         && raft_members_find (raft_get_members (self->raft), contact->id) == NULL;
 }
 
 /* A host of the same name waits to be added with a new id: the member's data folder is lost. */
 static bool
-came_back_empty (const struct consensus_voter *self, const struct raft_member *member, int64_t now)
+has_lost_folder (const struct consensus_voter *self, const struct raft_member *member, int64_t now)
 {
   for (uint32_t i = 0; i < self->n_contacts; i++)
     if (is_waiting (self, &self->contacts[i], now)
@@ -60,53 +60,53 @@
 }
 
 static bool
-is_gone (const struct consensus_voter *self, const struct raft_member *member, int64_t now)
+has_failed (const struct consensus_voter *self, const struct raft_member *member, int64_t now)
 {
-  const struct raft_members *members = raft_member_set (self->raft);
+  const struct raft_members *members = raft_get_members (self->raft);
 
   if (member->id == self->identity.id)
     return false;
-  if (silence (self, member, now) < self->config.timing.election_max)
+  if (time_since_heard (self, member, now) < self->config.timing.election_max)
     return false;
-  return is_superseded (members, member) || came_back_empty (self, member, now)
-         || silence (self, member, now) >= self->config.timing.replace_after;
+  return is_superseded (members, member) || has_lost_folder (self, member, now)
+         || time_since_heard (self, member, now) >= self->config.timing.replace_after;
 }
 
 static const struct raft_member *
-find_gone (const struct consensus_voter *self, bool voter, int64_t now)
+find_failed (const struct consensus_voter *self, bool voter, int64_t now)
 {
-  const struct raft_members *members = raft_member_set (self->raft);
+  const struct raft_members *members = raft_get_members (self->raft);
 
   for (uint32_t i = 0; i < members->n; i++)
-    if (members->members[i].voter == voter && is_gone (self, &members->members[i], now))
+    if (members->members[i].voter == voter && has_failed (self, &members->members[i], now))
       return &members->members[i];
   return NULL;
 }
 
 static bool
-caught_up (const struct consensus_voter *self, const struct raft_member *learner, int64_t now)
+is_caught_up (const struct consensus_voter *self, const struct raft_member *learner, int64_t now)
 {
   struct raft_progress progress;
 
   return raft_progress_of (self->raft, learner->id, &progress)
          && progress.match >= raft_committed (self->raft)
-         && silence (self, learner, now) < self->config.timing.election_max;
+         && time_since_heard (self, learner, now) < self->config.timing.election_max;
 }
 
 /* Find a caught-up learner to replace `gone`; one with the same name is preferred. */
 static const struct raft_member *
-find_successor (const struct consensus_voter *self, const struct raft_member *gone, int64_t now)
+find_successor (const struct consensus_voter *self, const struct raft_member *failed, int64_t now)
 {
-  const struct raft_members *members = raft_member_set (self->raft);
+  const struct raft_members *members = raft_get_members (self->raft);
   const struct raft_member *found = NULL;
 
   for (uint32_t i = 0; i < members->n; i++)
     {
       const struct raft_member *member = &members->members[i];
 
-      if (member->voter || !caught_up (self, member, now))
+      if (member->voter || !is_caught_up (self, member, now))
         continue;
-      if (found == NULL || (gone != NULL && strcmp (member->name, gone->name) == 0))
+      if (found == NULL || (failed != NULL && strcmp (member->name, failed->name) == 0))
         found = member;
     }
   return found;
@@ -114,7 +114,7 @@
 
 /* Find a host that waits to be added; one with the name of `gone` is preferred. */
 static const struct voter_contact *
-find_waiting (const struct consensus_voter *self, const struct raft_member *gone, int64_t now)
+find_waiting (const struct consensus_voter *self, const struct raft_member *failed, int64_t now)
 {
   const struct voter_contact *found = NULL;
 
@@ -124,7 +124,7 @@
 
       if (!is_waiting (self, contact, now))
         continue;
-      if (found == NULL || (gone != NULL && strcmp (contact->name, gone->name) == 0))
+      if (found == NULL || (failed != NULL && strcmp (contact->name, failed->name) == 0))
         found = contact;
     }
   return found;
@@ -133,38 +133,38 @@
 /* A voter has failed or is missing, and a learner can replace it: remove the failed voter first,
  * else promote the learner. */
 static bool
-voter_change (const struct consensus_voter *self,
-              const struct raft_member *gone,
-              struct raft_change *change,
-              int64_t now)
+plan_voter_change (const struct consensus_voter *self,
+                   const struct raft_member *failed,
+                   struct raft_change *change,
+                   int64_t now)
 {
-  const struct raft_member *successor = find_successor (self, gone, now);
+  const struct raft_member *successor = find_successor (self, failed, now);
 
   if (successor == NULL)
     return false;
-  change->kind = gone != NULL ? RAFT_REMOVE : RAFT_PROMOTE;
-  change->member = gone != NULL ? *gone : *successor;
+  change->kind = failed != NULL ? RAFT_REMOVE : RAFT_PROMOTE;
+  change->member = failed != NULL ? *failed : *successor;
   return true;
 }
 
 /* Remove a failed learner, else add a waiting host as a learner. */
 static bool
-learner_change (const struct consensus_voter *self,
-                const struct raft_member *gone_voter,
-                struct raft_change *change,
-                int64_t now)
+plan_learner_change (const struct consensus_voter *self,
+                     const struct raft_member *failed_voter,
+                     struct raft_change *change,
+                     int64_t now)
 {
-  const struct raft_members *members = raft_member_set (self->raft);
-  const struct raft_member *gone = find_gone (self, false, now);
+  const struct raft_members *members = raft_get_members (self->raft);
+  const struct raft_member *failed = find_failed (self, false, now);
   const struct voter_contact *waiting;
 
-  if (gone != NULL)
+  if (failed != NULL)
     {
       change->kind = RAFT_REMOVE;
-      change->member = *gone;
+      change->member = *failed;
       return true;
     }
-  waiting = find_waiting (self, gone_voter, now);
+  waiting = find_waiting (self, failed_voter, now);
   if (waiting == NULL || members->n == RAFT_MEMBERS_MAX)
     return false;
   change->kind = RAFT_ADD_LEARNER;
@@ -177,17 +177,17 @@
 static bool
 next_change (const struct consensus_voter *self, struct raft_change *change, int64_t now)
 {
-  const struct raft_members *members = raft_member_set (self->raft);
-  const struct raft_member *gone = find_gone (self, true, now);
+  const struct raft_members *members = raft_get_members (self->raft);
+  const struct raft_member *failed = find_failed (self, true, now);
 
-  if ((gone != NULL || raft_members_voters (members) < members->wanted)
-      && voter_change (self, gone, change, now))
+  if ((failed != NULL || raft_members_voters (members) < members->wanted)
+      && plan_voter_change (self, failed, change, now))
     return true;
-  return learner_change (self, gone, change, now);
+  return plan_learner_change (self, failed, change, now);
 }
 
 void
-voter_repair (struct consensus_voter *self, int64_t now)
+voter_repair_group (struct consensus_voter *self, int64_t now)
 {
   struct raft_change change;
 
@@ -196,5 +196,5 @@
     return;
   log_event (LOG_MODULE_CONSENSUS, LOG_LEVEL_INFO, "members change", "{s:s,s:s}", "change",
              raft_change_text (change.kind), "host", change.member.name);
-  voter_wake (self, now);
+  voter_schedule_flush (self, now);
 }
--- a/src/consensus_request.c
+++ b/src/consensus_request.c
@@ -78,13 +78,13 @@
 }
 
 struct request *
-request_new_own (struct requests *requests,
-                 enum request_kind kind,
-                 const void *entry,
-                 size_t length,
-                 struct proposal *proposal,
-                 int64_t deadline,
-                 enum status *status)
+request_new_local (struct requests *requests,
+                   enum request_kind kind,
+                   const void *entry,
+                   size_t length,
+                   struct proposal *proposal,
+                   int64_t deadline,
+                   enum status *status)
 {
   struct request *request;
 
--- a/src/consensus_request.h
+++ b/src/consensus_request.h
@@ -20,7 +20,7 @@
 };
 
 /* The stage of a request. */
-enum request_place
+enum request_stage
 {
   REQUEST_FORWARDED, /* sent to another host, or waiting for a host to send it to */
   REQUEST_PENDING,   /* in the leader's log at `index`, `term` */
@@ -34,12 +34,12 @@
   struct requests *requests;
   uint64_t number;
   enum request_kind kind;
-  enum request_place place;
+  enum request_stage stage;
   struct proposal *proposal; /* NULL for a request from host `origin` */
   char origin[RESOURCE_NAME_SIZE];
   uint64_t origin_number;
-  char asked[RESOURCE_NAME_SIZE]; /* the host it was last sent to */
-  uint32_t tries;
+  char sent_to[RESOURCE_NAME_SIZE]; /* the host it was last sent to */
+  uint32_t attempts;
   int64_t deadline;
   uint64_t index;
   uint64_t term;
@@ -84,13 +84,13 @@
 
 /* A request made on this host, whose outcome is given to `proposal`.  NULL with the reason in
  * `status`: as request_new(), and STATUS_TOO_LARGE. */
-struct request *request_new_own (struct requests *requests,
-                                 enum request_kind kind,
-                                 const void *entry,
-                                 size_t length,
-                                 struct proposal *proposal,
-                                 int64_t deadline,
-                                 enum status *status);
+struct request *request_new_local (struct requests *requests,
+                                   enum request_kind kind,
+                                   const void *entry,
+                                   size_t length,
+                                   struct proposal *proposal,
+                                   int64_t deadline,
+                                   enum status *status);
 
 /* Copies `data`.  NULL with STATUS_NO_MEMORY or STATUS_LIMIT in `status`. */
 struct request *request_new (struct requests *requests,
--- a/src/consensus_route.c
+++ b/src/consensus_route.c
@@ -32,7 +32,7 @@
 }
 
 static enum status
-propose_here (struct consensus_voter *self, struct request *request)
+propose_locally (struct consensus_voter *self, struct request *request)
 {
   struct voter_pending pending = { .request = request->number };
   enum status status;
@@ -42,19 +42,19 @@
   status = raft_propose (self->raft, request->data, request->length, &pending.index, &pending.term);
   if (status != STATUS_OK)
     return status;
-  request->place = REQUEST_PENDING;
+  request->stage = REQUEST_PENDING;
   request->index = pending.index;
   request->term = pending.term;
   return push_pending (self, &pending);
 }
 
 static enum status
-read_here (struct consensus_voter *self, struct request *request, int64_t now)
+read_locally (struct consensus_voter *self, struct request *request, int64_t now)
 {
   enum status status = raft_read_request (self->raft, request->number, now);
 
   if (status == STATUS_OK)
-    request->place = REQUEST_READING;
+    request->stage = REQUEST_READING;
   return status;
 }
 
@@ -64,7 +64,8 @@
 forward (struct consensus_voter *self, struct request *request, int64_t now)
 {
   const char *leader = voter_leader_name (self);
-  bool member = self->health == STATUS_OK && !self->stalled && raft_member_set (self->raft)->n > 0;
+  bool member =
+      self->health == STATUS_OK && !self->vote_unstored && raft_get_members (self->raft)->n > 0;
 
   if (self->config.port != NULL && (leader[0] != '\0' || !member)
       && strcmp (leader, self->name) != 0)
@@ -74,22 +75,22 @@
       client_send (&self->client, request, now);
       return;
     }
-  request->place = REQUEST_FORWARDED;
+  request->stage = REQUEST_FORWARDED;
   request_arm (request, now + NO_LEADER_BACKOFF);
 }
 
 void
-voter_submit (struct consensus_voter *self, struct request *request, int64_t now)
+voter_route_request (struct consensus_voter *self, struct request *request, int64_t now)
 {
   enum status status = STATUS_NOT_LEADER;
 
-  if (!voter_may_read (self) && request->kind == REQUEST_READ && request->proposal != NULL)
+  if (!voter_can_read (self) && request->kind == REQUEST_READ && request->proposal != NULL)
     status = STATUS_UNAVAILABLE;
-  else if (voter_leads (self))
+  else if (voter_has_leadership (self))
     {
-      status = request->kind == REQUEST_PROPOSE ? propose_here (self, request)
-                                                : read_here (self, request, now);
-      voter_wake (self, now);
+      status = request->kind == REQUEST_PROPOSE ? propose_locally (self, request)
+                                                : read_locally (self, request, now);
+      voter_schedule_flush (self, now);
     }
   if (status == STATUS_OK)
     request_arm (request, request->deadline);
@@ -107,27 +108,27 @@
 {
   struct request *request;
   struct request *next;
-  bool lead = voter_leads (self);
+  bool lead = voter_has_leadership (self);
 
-  if (lead == self->led)
+  if (lead == self->was_leader)
     return;
-  self->led = lead;
-  self->led_at = now;
+  self->was_leader = lead;
+  self->role_changed_at = now;
   if (!lead)
     self->n_pending = 0;
   HASH_ITER (hh, self->requests.by_number, request, next)
     {
-      bool ours = request->proposal != NULL;
+      bool is_local = request->proposal != NULL;
 
-      if (lead && ours && request->place == REQUEST_FORWARDED)
+      if (lead && is_local && request->stage == REQUEST_FORWARDED)
         request_arm (request, now);
-      else if (!lead && request->place != REQUEST_FORWARDED && ours
-               && request->place != REQUEST_APPLYING)
+      else if (!lead && request->stage != REQUEST_FORWARDED && is_local
+               && request->stage != REQUEST_APPLYING)
         {
-          request->place = REQUEST_FORWARDED;
+          request->stage = REQUEST_FORWARDED;
           request_arm (request, now);
         }
-      else if (!lead && !ours)
+      else if (!lead && !is_local)
         request_finish (request, STATUS_UNAVAILABLE, NULL, 0, now);
     }
 }
@@ -144,8 +145,8 @@
 {
   struct consensus_voter *self = of_requests (requests);
 
-  if (request->place == REQUEST_FORWARDED)
-    voter_submit (self, request, now);
+  if (request->stage == REQUEST_FORWARDED)
+    voter_route_request (self, request, now);
   else
     request_arm (request, request->deadline);
 }
@@ -158,7 +159,7 @@
                 size_t length)
 {
   struct consensus_voter *self = of_requests (requests);
-  struct client_answer answer = {
+  struct client_response answer = {
     .number = request->origin_number,
     .status = status,
     .index = request->index,
@@ -169,7 +170,7 @@
 
   text_copy_cut (answer.leader, sizeof answer.leader, voter_leader_name (self));
   bytes_init (&out, self);
-  client_write_answer (&answer, &out);
+  client_write_response (&answer, &out);
   if (!bytes_failed (&out))
     self->config.port->ops->send (self->config.port, request->origin, PEER_CHANNEL_PROPOSAL,
                                   out.data, out.length);
--- a/src/consensus_voter.c
+++ b/src/consensus_voter.c
@@ -11,7 +11,7 @@
 
 /* Schedule the flush for this event loop iteration or the next. */
 void
-voter_wake (struct consensus_voter *self, int64_t now)
+voter_schedule_flush (struct consensus_voter *self, int64_t now)
 {
   if (self->health == STATUS_OK && !timer_is_armed (&self->flush_timer))
     timer_arm (self->config.timers, &self->flush_timer, now);
@@ -21,13 +21,13 @@
 voter_leader_name (const struct consensus_voter *self)
 {
   uint64_t leader = self->health == STATUS_OK ? raft_leader (self->raft) : 0;
-  const struct raft_member *member = raft_members_find (raft_member_set (self->raft), leader);
+  const struct raft_member *member = raft_members_find (raft_get_members (self->raft), leader);
 
   return member != NULL ? member->name : "";
 }
 
 bool
-voter_leads (const struct consensus_voter *self)
+voter_has_leadership (const struct consensus_voter *self)
 {
   return self->health == STATUS_OK && raft_role (self->raft) == RAFT_LEADER;
 }
@@ -37,14 +37,14 @@
  * before, and confirmed it to entry hosts as the newest: the leader confirms the read index, not
  * that this host follows the log. */
 bool
-voter_may_read (const struct consensus_voter *self)
+voter_can_read (const struct consensus_voter *self)
 {
   return self->health == STATUS_OK;
 }
 
 /* Reschedule the local reads in progress. */
 static void
-recall_reads (struct consensus_voter *self, int64_t now)
+restart_reads (struct consensus_voter *self, int64_t now)
 {
   struct request *request;
   struct request *next;
@@ -53,7 +53,7 @@
     {
       if (request->kind != REQUEST_READ || request->proposal == NULL)
         continue;
-      request->place = REQUEST_FORWARDED;
+      request->stage = REQUEST_FORWARDED;
       request_arm (request, now);
     }
 }
@@ -61,7 +61,7 @@
 /* Stop this voter for good: its stored state can no longer be relied on.  From here on proposals
  * are forwarded to other voters, and reads are refused. */
 void
-voter_fail (struct consensus_voter *self, enum status status, const char *what, int64_t now)
+voter_stop (struct consensus_voter *self, enum status status, const char *what, int64_t now)
 {
   if (self->health != STATUS_OK)
     return;
@@ -74,7 +74,7 @@
   if (self->health_gauge != NULL)
     gauge_set (self->health_gauge, 0);
   voter_role_changed (self, now);
-  recall_reads (self, now);
+  restart_reads (self, now);
 }
 
 static enum status
@@ -89,18 +89,18 @@
   struct request *request;
   enum status status;
 
-  if (kind == REQUEST_READ && !voter_may_read (self))
+  if (kind == REQUEST_READ && !voter_can_read (self))
     return status_fail (STATUS_UNAVAILABLE, "this voter has stopped: %s", self->health_message);
-  if (kind == REQUEST_PROPOSE && voter_leads (self) && self->low_space)
+  if (kind == REQUEST_PROPOSE && voter_has_leadership (self) && self->low_space)
     return status_fail (STATUS_DISK_FULL, "too little room in the leader's data folder");
-  request = request_new_own (&self->requests, kind, entry, length, proposal, deadline, &status);
+  request = request_new_local (&self->requests, kind, entry, length, proposal, deadline, &status);
   if (request == NULL)
     return status;
   /* Forwarded proposals and reads are submitted from the timer, since done() must not be called
    * before this returns. */
-  request->place = REQUEST_FORWARDED;
-  if (voter_leads (self) && kind == REQUEST_PROPOSE)
-    voter_submit (self, request, now);
+  request->stage = REQUEST_FORWARDED;
+  if (voter_has_leadership (self) && kind == REQUEST_PROPOSE)
+    voter_route_request (self, request, now);
   else
     request_arm (request, now);
   return STATUS_OK;
@@ -136,7 +136,7 @@
 static bool
 voter_is_leader (const struct consensus *consensus)
 {
-  return voter_leads ((const struct consensus_voter *) consensus);
+  return voter_has_leadership ((const struct consensus_voter *) consensus);
 }
 
 static const char *
@@ -162,7 +162,7 @@
 voter_describe (const struct consensus *consensus)
 {
   const struct consensus_voter *self = (const struct consensus_voter *) consensus;
-  const struct raft_members *members = raft_member_set (self->raft);
+  const struct raft_members *members = raft_get_members (self->raft);
   json_t *list = json_array ();
   char id[20];
   char group[20];
@@ -187,12 +187,12 @@
 voter_position (const struct consensus *consensus)
 {
   const struct consensus_voter *self = (const struct consensus_voter *) consensus;
-  bool works = self->health == STATUS_OK;
+  bool is_healthy = self->health == STATUS_OK;
   char group[20];
 
   snprintf (group, sizeof group, "%016" PRIx64, self->identity.group);
   return json_pack ("{s:s,s:s,s:s,s:I,s:I,s:I}", "group", group, "role",
-                    works ? raft_role_text (raft_role (self->raft)) : "stopped", "leader",
+                    is_healthy ? raft_role_text (raft_role (self->raft)) : "stopped", "leader",
                     voter_leader_name (self), "term", (json_int_t) raft_term (self->raft),
                     "committed", (json_int_t) raft_committed (self->raft), "applied",
                     (json_int_t) raft_applied (self->raft));
@@ -228,48 +228,50 @@
 
 /* Refuse proposals early enough that votes, and entries in flight, still fit on the disk. */
 static void
-watch_room (struct consensus_voter *self, int64_t now)
+check_free_space (struct consensus_voter *self, int64_t now)
 {
-  uint64_t room = self->config.disk->ops->free_bytes (self->config.disk);
-  bool low = room < self->config.reserve_bytes;
-  bool holds = room < (self->config.reserve_bytes + 1) / 2;
+  uint64_t available = self->config.disk->ops->free_bytes (self->config.disk);
+  bool low = available < self->config.reserve_bytes;
+  bool pause_entries = available < (self->config.reserve_bytes + 1) / 2;
 
   if (low != self->low_space)
     log_event (LOG_MODULE_CONSENSUS, low ? LOG_LEVEL_WARNING : LOG_LEVEL_INFO,
                low ? "room-lost" : "room-regained", "{s:I,s:b}", "free_bytes",
-               (json_int_t) (room > INT64_MAX ? INT64_MAX : room), "leads", voter_leads (self));
+               (json_int_t) (available > INT64_MAX ? INT64_MAX : available), "leads",
+               voter_has_leadership (self));
   self->low_space = low;
-  raft_hold (self->raft, holds);
+  raft_set_paused (self->raft, pause_entries);
   /* A leader with a full disk refused every change although a quorum had space.  It transfers
    * leadership only once it refuses entries itself: then it is not a candidate for the next
    * transfer, and two hosts that are both short of space do not pass leadership back and forth. */
-  if (holds && raft_can_spare_leader (self->raft, now))
+  if (pause_entries && raft_has_quorum_without_leader (self->raft, now))
     (void) consensus_voter_transfer (&self->consensus, now);
 }
 
 static void
-slow_fired (struct timer *timer, int64_t now)
+maintenance_fired (struct timer *timer, int64_t now)
 {
   struct consensus_voter *self =
-      (struct consensus_voter *) ((char *) timer - offsetof (struct consensus_voter, slow_timer));
+      (struct consensus_voter *) ((char *) timer
+                                  - offsetof (struct consensus_voter, maintenance_timer));
 
   if (self->health != STATUS_OK)
     return;
-  watch_room (self, now);
-  voter_form (self, now);
-  voter_repair (self, now);
+  check_free_space (self, now);
+  voter_form_or_join (self, now);
+  voter_repair_group (self, now);
   timer_arm (self->config.timers, timer,
              now
-                 + (raft_member_set (self->raft)->n == 0 ? FORM_PERIOD
-                                                         : self->config.timing.repair_period));
+                 + (raft_get_members (self->raft)->n == 0 ? FORM_PERIOD
+                                                          : self->config.timing.repair_period));
 }
 
 static const struct timer_ops flush_ops = { .fire = flush_fired };
 static const struct timer_ops tick_ops = { .fire = tick_fired };
-static const struct timer_ops slow_ops = { .fire = slow_fired };
+static const struct timer_ops maintenance_ops = { .fire = maintenance_fired };
 
 static void
-take_defaults (struct consensus_voter_config *config)
+set_defaults (struct consensus_voter_config *config)
 {
   struct consensus_timing *timing = &config->timing;
 
@@ -287,8 +289,8 @@
     timing->repair_period = CONSENSUS_REPAIR_PERIOD;
   if (timing->hello_period == 0)
     timing->hello_period = CONSENSUS_HELLO_PERIOD;
-  if (timing->hello_silence == 0)
-    timing->hello_silence = CONSENSUS_HELLO_SILENCE;
+  if (timing->hello_after == 0)
+    timing->hello_after = CONSENSUS_HELLO_AFTER;
   if (config->snapshot_entries == 0)
     config->snapshot_entries = CONSENSUS_SNAPSHOT_ENTRIES;
   if (config->segment_bytes == 0)
@@ -298,7 +300,7 @@
 }
 
 static void
-take_counters (struct consensus_voter *self, struct counters *counters)
+register_metrics (struct consensus_voter *self, struct counters *counters)
 {
   if (counters == NULL)
     return;
@@ -322,28 +324,28 @@
   requests_clear (&self->requests);
   timer_disarm (self->config.timers, &self->flush_timer);
   timer_disarm (self->config.timers, &self->tick_timer);
-  timer_disarm (self->config.timers, &self->slow_timer);
+  timer_disarm (self->config.timers, &self->maintenance_timer);
   return 0;
 }
 
 static void
-take_config (struct consensus_voter *self, const struct consensus_voter_config *config)
+set_config (struct consensus_voter *self, const struct consensus_voter_config *config)
 {
   self->consensus.ops = &ops;
   self->config = *config;
-  take_defaults (&self->config);
+  set_defaults (&self->config);
   self->flush_timer.ops = &flush_ops;
   self->tick_timer.ops = &tick_ops;
-  self->slow_timer.ops = &slow_ops;
+  self->maintenance_timer.ops = &maintenance_ops;
   rng_init (&self->rng, config->seed);
   text_copy_cut (self->name, sizeof self->name, config->name);
   for (uint32_t i = 0; i < config->n_voters && i < CLIENT_HOSTS_MAX; i++)
-    text_copy_cut (self->first_voters[self->n_first_voters++], RESOURCE_NAME_SIZE,
+    text_copy_cut (self->initial_voters[self->n_initial_voters++], RESOURCE_NAME_SIZE,
                    config->voters[i]);
   requests_init (&self->requests, &voter_requests_ops, self, config->timers, rng_u64 (&self->rng));
   client_init (&self->client, &self->requests, config->port, self->name, config->voters,
                config->n_voters, rng_u64 (&self->rng));
-  take_counters (self, config->counters);
+  register_metrics (self, config->counters);
 }
 
 struct consensus *
@@ -359,7 +361,7 @@
       *status = status_fail (STATUS_NO_MEMORY, "voter");
       return NULL;
     }
-  take_config (self, config);
+  set_config (self, config);
   talloc_set_destructor (self, free_voter);
   *status = voter_restore (self, now);
   if (*status != STATUS_OK)
@@ -369,9 +371,9 @@
     }
   if (config->port != NULL)
     voter_listen (self);
-  watch_room (self, now);
-  timer_arm (config->timers, &self->slow_timer, now);
-  voter_wake (self, now);
+  check_free_space (self, now);
+  timer_arm (config->timers, &self->maintenance_timer, now);
+  voter_schedule_flush (self, now);
   return &self->consensus;
 }
 
@@ -381,10 +383,10 @@
   struct consensus_voter *self = (struct consensus_voter *) consensus;
   enum status status = STATUS_NOT_LEADER;
 
-  if (voter_leads (self))
+  if (voter_has_leadership (self))
     status = raft_change_members (self->raft, change);
   if (status == STATUS_OK)
-    voter_wake (self, now);
+    voter_schedule_flush (self, now);
   return status;
 }
 
@@ -394,10 +396,10 @@
   struct consensus_voter *self = (struct consensus_voter *) consensus;
   enum status status = STATUS_NOT_LEADER;
 
-  if (voter_leads (self))
+  if (voter_has_leadership (self))
     status = raft_transfer (self->raft, 0, now);
   if (status == STATUS_OK)
-    voter_wake (self, now);
+    voter_schedule_flush (self, now);
   return status;
 }
 
--- a/src/consensus_voter.h
+++ b/src/consensus_voter.h
@@ -25,7 +25,7 @@
   int64_t replace_after; /* silence after which a voter is replaced; USEC_NEVER: never */
   int64_t repair_period; /* between checks of the members and of the free space */
   int64_t hello_period;  /* between hellos of a host that waits to be added */
-  int64_t hello_silence; /* a member that hears no leader for this long sends hellos too */
+  int64_t hello_after;   /* a member that hears no leader for this long sends hellos too */
   uint32_t drift_ppm;
 };
 
@@ -38,7 +38,7 @@
 #define CONSENSUS_DRIFT_PPM 10000
 #define CONSENSUS_REPAIR_PERIOD USEC_PER_SEC
 #define CONSENSUS_HELLO_PERIOD (2 * USEC_PER_SEC)
-#define CONSENSUS_HELLO_SILENCE (4 * USEC_PER_SEC)
+#define CONSENSUS_HELLO_AFTER (4 * USEC_PER_SEC)
 
 struct consensus_voter_config
 {
--- a/src/consensus_voter_private.h
+++ b/src/consensus_voter_private.h
@@ -36,30 +36,30 @@
   struct consensus_voter_config config;
   struct peer_listener consensus_listener;
   struct peer_listener proposal_listener;
-  struct timer flush_timer; /* runs the flush once per event loop iteration */
-  struct timer tick_timer;  /* at raft_next() */
-  struct timer slow_timer;  /* group formation, free space, repair */
+  struct timer flush_timer;       /* runs the flush once per event loop iteration */
+  struct timer tick_timer;        /* at raft_next_tick_at() */
+  struct timer maintenance_timer; /* group formation, free space, repair */
   struct rng rng;
   char name[RESOURCE_NAME_SIZE];
-  char first_voters[CLIENT_HOSTS_MAX][RESOURCE_NAME_SIZE];
-  uint32_t n_first_voters;
+  char initial_voters[CLIENT_HOSTS_MAX][RESOURCE_NAME_SIZE];
+  uint32_t n_initial_voters;
 
   struct raft *raft;
   struct journal *journal;
   struct journal_identity identity;
   enum status health;
   char health_message[VOTER_HEALTH_SIZE];
-  bool low_space; /* proposals are refused */
-  bool stalled;   /* the vote could not be stored: disk full */
-  bool led;       /* was leader at the end of the last flush */
-  int64_t led_at;
+  bool low_space;     /* proposals are refused */
+  bool vote_unstored; /* the vote could not be stored: disk full */
+  bool was_leader;    /* was leader at the end of the last flush */
+  int64_t role_changed_at;
   int64_t snapshot_retry_at;
   int64_t hello_at; /* when to send the next hello, while waiting to be added to a group */
 
   /* As last logged. */
-  uint64_t told_leader;
-  uint64_t told_term;
-  uint64_t told_members; /* a hash */
+  uint64_t logged_leader;
+  uint64_t logged_term;
+  uint64_t logged_members; /* a hash */
 
   bool reads_waiting; /* some reads wait until their index is applied */
   struct requests requests;
@@ -80,17 +80,17 @@
 };
 
 /* consensus_voter.c */
-void voter_fail (struct consensus_voter *self, enum status status, const char *what, int64_t now);
-bool voter_leads (const struct consensus_voter *self);
-void voter_wake (struct consensus_voter *self, int64_t now);
+void voter_stop (struct consensus_voter *self, enum status status, const char *what, int64_t now);
+bool voter_has_leadership (const struct consensus_voter *self);
+void voter_schedule_flush (struct consensus_voter *self, int64_t now);
 
 /* The local state machine may answer reads: it applies what is committed. */
-bool voter_may_read (const struct consensus_voter *self);
+bool voter_can_read (const struct consensus_voter *self);
 const char *voter_leader_name (const struct consensus_voter *self);
 
 /* consensus_route.c */
 extern const struct requests_ops voter_requests_ops;
-void voter_submit (struct consensus_voter *self, struct request *request, int64_t now);
+void voter_route_request (struct consensus_voter *self, struct request *request, int64_t now);
 void voter_role_changed (struct consensus_voter *self, int64_t now);
 
 /* consensus_open.c */
@@ -110,12 +110,12 @@
 
 /* consensus_form.c */
 enum status voter_join_group (struct consensus_voter *self, uint64_t group);
-void voter_form (struct consensus_voter *self, int64_t now);
+void voter_form_or_join (struct consensus_voter *self, int64_t now);
 
 /* No leader sends to this host: it may have to be added to the group. */
-bool voter_is_waiting (const struct consensus_voter *self, int64_t now);
+bool voter_is_joining (const struct consensus_voter *self, int64_t now);
 
 /* consensus_repair.c */
-void voter_repair (struct consensus_voter *self, int64_t now);
+void voter_repair_group (struct consensus_voter *self, int64_t now);
 
 #endif
--- a/src/controller_host.c
+++ b/src/controller_host.c
@@ -66,7 +66,7 @@
 members (void *context, struct controller_member out[SYNC_CONTROLLERS_MAX])
 {
   struct controller_host *host = context;
-  const struct raft_members *set = raft_member_set (consensus_voter_raft (host->consensus));
+  const struct raft_members *set = raft_get_members (consensus_voter_raft (host->consensus));
   uint32_t n = 0;
 
   for (uint32_t i = 0; i < set->n && n < SYNC_CONTROLLERS_MAX; i++)
@@ -166,7 +166,7 @@
                 .replace_after = REPLACE_AFTER,
                 .repair_period = REPAIR_PERIOD,
                 .hello_period = HELLO_PERIOD,
-                .hello_silence = HELLO_SILENCE },
+                .hello_after = HELLO_SILENCE },
     /* A lease rests on a clock that stands still while the host is suspended. */
     .no_lease = true,
     .snapshot_entries = SNAPSHOT_ENTRIES,
--- a/src/disk.h
+++ b/src/disk.h
@@ -57,9 +57,12 @@
 
 /* Replace a whole file atomically: after a crash it is there completely or not at all.  Writes and
  * syncs a temporary file, renames it to `name` and syncs the folder. */
-enum status disk_replace (struct disk *disk, const char *name, const void *data, size_t length);
+enum status disk_replace_file (struct disk *disk,
+                               const char *name,
+                               const void *data,
+                               size_t length);
 
-#define DISK_TEMPORARY "temporary"
+#define DISK_TEMPORARY_NAME "temporary"
 
 END_DECLS
 
--- a/src/disk_posix.c
+++ b/src/disk_posix.c
@@ -220,15 +220,15 @@
 
 /* A created folder is durable only after its parent is synced. */
 static enum status
-make_folder (const char *folder)
+create_folder (const char *folder)
 {
-  char up[PATH_MAX];
+  char parent_path[PATH_MAX];
   int parent;
 
   if (mkdir (folder, FOLDER_MODE) != 0)
     return errno == EEXIST ? STATUS_OK : fail_errno ("make the folder", folder);
-  snprintf (up, sizeof up, "%s/..", folder);
-  parent = open (up, O_RDONLY | O_DIRECTORY | O_CLOEXEC);
+  snprintf (parent_path, sizeof parent_path, "%s/..", folder);
+  parent = open (parent_path, O_RDONLY | O_DIRECTORY | O_CLOEXEC);
   if (parent < 0 || fsync (parent) != 0)
     {
       enum status status = fail_errno ("sync the folder above", folder);
@@ -271,7 +271,7 @@
   self->folder = -1;
   self->lock = -1;
   talloc_set_destructor (self, free_disk);
-  *status = make_folder (folder);
+  *status = create_folder (folder);
   if (*status == STATUS_OK)
     *status = lock_folder (self, folder);
   if (*status == STATUS_OK)
--- a/src/forward_end.c
+++ b/src/forward_end.c
@@ -26,7 +26,7 @@
 void
 job_log (const struct forward_job *job,
          enum forward_reason reason,
-         struct forward_client_answer client_answer)
+         struct forward_client_answer client_response)
 {
   const struct forward *forward = job->forward;
   int64_t now = loop_now (forward->config.loop);
@@ -36,7 +36,7 @@
   log_event (LOG_MODULE_FLOW, LOG_LEVEL_INFO, "request-ended",
              "{s:s,s:s,s:s,s:s,s:i,s:b,s:I,s:I,s:I,s:i,s:i,s:I,s:I,s:I,s:i}", "id", job->facts.id,
              "route", job->route.name, "pool", job->pool, "outcome", reason_texts[reason], "status",
-             (int) client_answer.status, "whole", client_answer.whole, "age_ms",
+             (int) client_response.status, "whole", client_response.whole, "age_ms",
              (json_int_t) (job->age / USEC_PER_MSEC), "version", (json_int_t) job->version,
              "version_age_ms", (json_int_t) (age == USEC_NEVER ? -1 : age / USEC_PER_MSEC), "sends",
              (int) job->sends, "runs", (int) job->runs, "stages_us",
--- a/src/forward_private.h
+++ b/src/forward_private.h
@@ -194,7 +194,7 @@
 void job_end_stream (struct forward_job *job);
 void job_log (const struct forward_job *job,
               enum forward_reason reason,
-              struct forward_client_answer client_answer);
+              struct forward_client_answer client_response);
 
 /* For a request that ends before its answer is complete. */
 struct forward_client_answer job_answer_so_far (const struct forward_job *job);
--- a/src/journal.c
+++ b/src/journal.c
@@ -90,7 +90,7 @@
 
   write_header (journal, flags, header);
   snprintf (name, sizeof name, JOURNAL_NAME_FORMAT, number);
-  status = disk_replace (disk, name, header, sizeof header);
+  status = disk_replace_file (disk, name, header, sizeof header);
   if (status == STATUS_OK)
     status = disk->ops->open (disk, name, &file);
   if (status != STATUS_OK)
--- a/src/journal.h
+++ b/src/journal.h
@@ -7,7 +7,7 @@
  * (STATUS_CORRUPT, this voter must not start); any other bad record is the rest of an
  * unacknowledged write that a crash interrupted (the tail is truncated).  Damage inside the last
  * synced batch looks like a crash; a leader that still knows what this voter acknowledged detects
- * it (raft_lost_entries()). */
+ * it (raft_has_lost_entries()). */
 #ifndef JOURNAL_H
 #define JOURNAL_H
 
--- a/src/journal_identity.c
+++ b/src/journal_identity.c
@@ -69,7 +69,7 @@
     format_put (checksum, XXH3_64bits (out.data, out.length));
   bytes_append (&out, checksum, sizeof checksum);
   status = bytes_failed (&out) ? status_fail (STATUS_NO_MEMORY, "identity")
-                               : disk_replace (disk, IDENTITY_NAME, out.data, out.length);
+                               : disk_replace_file (disk, IDENTITY_NAME, out.data, out.length);
   bytes_clear (&out);
   return status;
 }
--- a/src/raft.c
+++ b/src/raft.c
@@ -31,8 +31,8 @@
   if (raft == NULL)
     return NULL;
   INVARIANT (options->id != 0 && base_index <= snapshot->index);
-  raft->spare = talloc_zero (raft, struct raft_message);
-  if (raft->spare == NULL)
+  raft->unsent = talloc_zero (raft, struct raft_message);
+  if (raft->unsent == NULL)
     {
       talloc_free (raft);
       return NULL;
@@ -85,7 +85,7 @@
 }
 
 enum status
-raft_append_own (struct raft *raft, enum raft_entry_kind kind, const void *data, uint32_t length)
+raft_append_local (struct raft *raft, enum raft_entry_kind kind, const void *data, uint32_t length)
 {
   return raft_log_append (raft, &raft->log, raft->state.term, kind, data, length);
 }
@@ -103,7 +103,7 @@
   raft_members_write (members, &out);
   if (bytes_failed (&out))
     return status_fail (STATUS_NO_MEMORY, "members of a new group");
-  status = raft_append_own (raft, RAFT_ENTRY_MEMBERS, out.data, (uint32_t) out.length);
+  status = raft_append_local (raft, RAFT_ENTRY_MEMBERS, out.data, (uint32_t) out.length);
   bytes_clear (&out);
   if (status == STATUS_OK)
     raft_configs_add (raft, 1, members);
@@ -112,9 +112,9 @@
 }
 
 int64_t
-raft_next (const struct raft *raft)
+raft_next_tick_at (const struct raft *raft)
 {
-  if (raft->lost)
+  if (raft->lost_entries)
     return USEC_NEVER;
   if (raft->role == RAFT_LEADER)
     return raft->heartbeat_at;
@@ -126,7 +126,7 @@
 void
 raft_tick (struct raft *raft, int64_t now)
 {
-  if (now < raft_next (raft))
+  if (now < raft_next_tick_at (raft))
     return;
   if (raft->role == RAFT_LEADER)
     raft_tick_leader (raft, now);
@@ -147,11 +147,11 @@
 
 /* Adopt a higher term.  False when the message is to be ignored. */
 static bool
-take_term (struct raft *raft, const struct raft_message *m, int64_t now)
+update_term (struct raft *raft, const struct raft_message *m, int64_t now)
 {
   bool from_leader = m->kind == RAFT_APPEND || m->kind == RAFT_SNAPSHOT;
 
-  if ((m->kind == RAFT_PRE_VOTE || m->kind == RAFT_VOTE) && raft_votes_refused (raft, m, now))
+  if ((m->kind == RAFT_PRE_VOTE || m->kind == RAFT_VOTE) && raft_refuses_vote (raft, m, now))
     return false;
   if (m->kind == RAFT_PRE_VOTE || (m->kind == RAFT_PRE_VOTE_REPLY && m->ok))
     return true;
@@ -163,15 +163,15 @@
 void
 raft_step (struct raft *raft, const struct raft_message *m, int64_t now)
 {
-  INVARIANT (!raft->ready_out);
-  if (m->to != raft->options.id || m->from == raft->options.id || raft->lost)
+  INVARIANT (!raft->ready_pending);
+  if (m->to != raft->options.id || m->from == raft->options.id || raft->lost_entries)
     return;
   if (m->term < raft->state.term)
     {
       answer_old_term (raft, m);
       return;
     }
-  if (!take_term (raft, m, now))
+  if (!update_term (raft, m, now))
     return;
   switch (m->kind)
     {
@@ -215,24 +215,24 @@
     return status_fail (STATUS_NOT_LEADER, "not the leader");
   if (length > RAFT_ENTRY_MAX)
     return status_fail (STATUS_TOO_LARGE, "entry of %zu bytes, %u at most", length, RAFT_ENTRY_MAX);
-  status = raft_append_own (raft, RAFT_ENTRY_DATA, data, (uint32_t) length);
+  status = raft_append_local (raft, RAFT_ENTRY_DATA, data, (uint32_t) length);
   *index = raft_log_last (&raft->log);
   *term = raft->state.term;
   return status;
 }
 
 static struct raft_message *
-queue (struct raft *raft,
-       struct raft_message ***list,
-       uint32_t *n,
-       enum raft_message_kind kind,
-       uint64_t to)
+queue_message (struct raft *raft,
+               struct raft_message ***list,
+               uint32_t *n,
+               enum raft_message_kind kind,
+               uint64_t to)
 {
   struct raft_message *m = talloc_zero (raft, struct raft_message);
 
   /* Out of memory is treated like a lost message. */
   if (m == NULL)
-    return raft->spare;
+    return raft->unsent;
   if ((*n & (*n - 1)) == 0)
     {
       struct raft_message **grown =
@@ -241,7 +241,7 @@
       if (grown == NULL)
         {
           talloc_free (m);
-          return raft->spare;
+          return raft->unsent;
         }
       *list = grown;
     }
@@ -256,21 +256,21 @@
 struct raft_message *
 raft_send (struct raft *raft, enum raft_message_kind kind, uint64_t to)
 {
-  return queue (raft, &raft->out, &raft->n_out, kind, to);
+  return queue_message (raft, &raft->out, &raft->n_out, kind, to);
 }
 
 struct raft_message *
 raft_send_early (struct raft *raft, enum raft_message_kind kind, uint64_t to)
 {
-  return queue (raft, &raft->early, &raft->n_early, kind, to);
+  return queue_message (raft, &raft->early, &raft->n_early, kind, to);
 }
 
 bool
 raft_poll (struct raft *raft, struct raft_ready *out, int64_t now)
 {
-  INVARIANT (!raft->ready_out);
+  INVARIANT (!raft->ready_pending);
   memset (out, 0, sizeof *out);
-  if (raft->lost)
+  if (raft->lost_entries)
     return false;
   if (raft->role == RAFT_LEADER)
     raft_generate_appends (raft, now);
@@ -281,7 +281,7 @@
   out->state = raft->state;
   if (raft->install_ready)
     {
-      raft->install.keeps_log = raft_log_holds (raft, &raft->install.snapshot);
+      raft->install.keeps_log = raft_log_matches_snapshot (raft, &raft->install.snapshot);
       out->install = &raft->install;
     }
   out->first = raft->log.stored + 1;
@@ -290,7 +290,7 @@
   out->n_early = raft->n_early;
   out->late = raft->out;
   out->n_late = raft->n_out;
-  raft->ready_out = true;
+  raft->ready_pending = true;
   raft->ready_last = out->last;
   raft->ready_term = raft->state.term;
   return true;
@@ -308,8 +308,8 @@
 void
 raft_synced (struct raft *raft, int64_t now)
 {
-  INVARIANT (raft->ready_out);
-  raft->ready_out = false;
+  INVARIANT (raft->ready_pending);
+  raft->ready_pending = false;
   raft->state_changed = false;
   raft->stored_state = raft->state;
   raft->log.stored = raft->ready_last;
@@ -326,11 +326,11 @@
 /* Acknowledgements of entries that were not stored must not be sent; to the leader they look like
  * lost messages. */
 void
-raft_drop_unstored (struct raft *raft, int64_t now)
+raft_discard_unstored (struct raft *raft, int64_t now)
 {
   uint64_t from = raft->log.stored + 1;
 
-  INVARIANT (raft->ready_out);
+  INVARIANT (raft->ready_pending);
   raft_log_truncate (&raft->log, from);
   raft_configs_truncate (raft, from);
   if (raft->commit > raft->log.stored)
@@ -342,7 +342,7 @@
     if (raft->out[i]->kind == RAFT_APPEND_REPLY && raft->out[i]->index >= from)
       {
         raft->out[i]->ok = true;
-        raft->out[i]->hold = true;
+        raft->out[i]->paused = true;
         raft->out[i]->index = raft->commit;
         raft->out[i]->last = raft->log.stored;
       }
@@ -354,10 +354,10 @@
  * server looks to the others like one whose messages were lost, and it adopts the term again with
  * the next message. */
 void
-raft_give_back (struct raft *raft, int64_t now)
+raft_discard_ready (struct raft *raft, int64_t now)
 {
-  INVARIANT (raft->ready_out);
-  raft->ready_out = false;
+  INVARIANT (raft->ready_pending);
+  raft->ready_pending = false;
   raft->state_changed = false;
   free_messages (&raft->early, &raft->n_early);
   free_messages (&raft->out, &raft->n_out);
@@ -366,9 +366,9 @@
 }
 
 void
-raft_hold (struct raft *raft, bool hold)
+raft_set_paused (struct raft *raft, bool paused)
 {
-  raft->hold = hold;
+  raft->paused = paused;
 }
 
 const struct raft_entry *
@@ -382,14 +382,14 @@
 }
 
 void
-raft_applied_one (struct raft *raft)
+raft_mark_applied (struct raft *raft)
 {
   INVARIANT (raft->applied < raft->commit);
   raft->applied++;
 }
 
 void
-raft_compacted (struct raft *raft, const struct raft_snapshot *snapshot, uint64_t keep_from)
+raft_compact_log (struct raft *raft, const struct raft_snapshot *snapshot, uint64_t keep_from)
 {
   INVARIANT (snapshot->index <= raft->applied && keep_from <= snapshot->index);
   raft->snapshot = *snapshot;
@@ -431,7 +431,7 @@
 }
 
 int64_t
-raft_heard_at (const struct raft *raft)
+raft_leader_heard_at (const struct raft *raft)
 {
   return raft->heard_at;
 }
@@ -467,7 +467,7 @@
 }
 
 const struct raft_members *
-raft_member_set (const struct raft *raft)
+raft_get_members (const struct raft *raft)
 {
   return raft_current_members (raft);
 }
@@ -479,7 +479,7 @@
 }
 
 bool
-raft_lost_entries (const struct raft *raft)
+raft_has_lost_entries (const struct raft *raft)
 {
-  return raft->lost;
+  return raft->lost_entries;
 }
--- a/src/raft.h
+++ b/src/raft.h
@@ -11,7 +11,7 @@
  * vote, entries) are then stored and synced.  Only after that are the messages in `late` sent and
  * raft_synced() called, which makes this server's own copy and vote count.  No other function is
  * called between raft_poll() and raft_synced().  A driver that cannot store for lack of space and
- * stored nothing calls raft_drop_unstored(); on any other failure it never calls raft again. */
+ * stored nothing calls raft_discard_unstored(); on any other failure it never calls raft again. */
 #ifndef RAFT_H
 #define RAFT_H
 
@@ -123,7 +123,7 @@
 enum status raft_bootstrap (struct raft *raft, const struct raft_members *members);
 
 /* Time of the next raft_tick(); USEC_NEVER for none. */
-int64_t raft_next (const struct raft *raft);
+int64_t raft_next_tick_at (const struct raft *raft);
 void raft_tick (struct raft *raft, int64_t now);
 
 /* Process a message from another server.  The decoder has rejected malformed content; the message
@@ -135,10 +135,10 @@
 enum status raft_propose (
     struct raft *raft, const void *data, size_t length, uint64_t *index, uint64_t *term);
 
-/* Request a read; the result is returned by raft_take_read().  STATUS_NOT_LEADER, STATUS_LIMIT,
+/* Request a read; the result is returned by raft_pop_read().  STATUS_NOT_LEADER, STATUS_LIMIT,
  * STATUS_NO_MEMORY. */
 enum status raft_read_request (struct raft *raft, uint64_t token, int64_t now);
-bool raft_take_read (struct raft *raft, struct raft_read *out);
+bool raft_pop_read (struct raft *raft, struct raft_read *out);
 
 /* One change at a time: STATUS_AGAIN while the last one is not committed, STATUS_CONFLICT when it
  * does not fit the current members, STATUS_UNAVAILABLE when the learner has not caught up. */
@@ -152,7 +152,7 @@
 
 /* On the leader: the other voters that were heard recently and have disk space form a quorum
  * without it. */
-bool raft_can_spare_leader (const struct raft *raft, int64_t now);
+bool raft_has_quorum_without_leader (const struct raft *raft, int64_t now);
 
 /* The next ready.  False when there is nothing to do.  Valid until raft_synced() is called. */
 bool raft_poll (struct raft *raft, struct raft_ready *out, int64_t now);
@@ -161,24 +161,24 @@
 /* The entries of the last ready could not be stored because the disk is full, and none of them was:
  * discard them, as a restart would.  A leader steps down, since it must not assign the same indices
  * to other entries in its term. */
-void raft_drop_unstored (struct raft *raft, int64_t now);
+void raft_discard_unstored (struct raft *raft, int64_t now);
 
-/* Called after raft_drop_unstored() when even the term and vote of the ready could not be stored:
- * the whole ready is discarded, none of its messages may be sent, and raft_synced() is not
+/* Called after raft_discard_unstored() when even the term and vote of the ready could not be
+ * stored: the whole ready is discarded, none of its messages may be sent, and raft_synced() is not
  * called. */
-void raft_give_back (struct raft *raft, int64_t now);
+void raft_discard_ready (struct raft *raft, int64_t now);
 
 /* While held, entries from a leader are refused and it is told to wait. */
-void raft_hold (struct raft *raft, bool hold);
+void raft_set_paused (struct raft *raft, bool paused);
 
 /* Returns the next entry to apply, NULL when all committed and stored entries are applied;
- * raft_applied_one() follows each. */
+ * raft_mark_applied() follows each. */
 const struct raft_entry *raft_next_committed (struct raft *raft);
-void raft_applied_one (struct raft *raft);
+void raft_mark_applied (struct raft *raft);
 
 /* A snapshot at `snapshot->index`, at most the applied index, is stored; discard entries up to
  * `keep_from`. */
-void raft_compacted (struct raft *raft, const struct raft_snapshot *snapshot, uint64_t keep_from);
+void raft_compact_log (struct raft *raft, const struct raft_snapshot *snapshot, uint64_t keep_from);
 
 /* An entry held in memory, else NULL. */
 const struct raft_entry *raft_entry_at (const struct raft *raft, uint64_t index);
@@ -186,21 +186,21 @@
 uint64_t raft_id (const struct raft *raft);
 uint64_t raft_term (const struct raft *raft);
 enum raft_role raft_role (const struct raft *raft);
-uint64_t raft_leader (const struct raft *raft);  /* 0: unknown */
-int64_t raft_heard_at (const struct raft *raft); /* time a leader was last heard */
+uint64_t raft_leader (const struct raft *raft);         /* 0: unknown */
+int64_t raft_leader_heard_at (const struct raft *raft); /* time a leader was last heard */
 uint64_t raft_committed (const struct raft *raft);
 uint64_t raft_applied (const struct raft *raft);
 uint64_t raft_first (const struct raft *raft); /* first entry held in memory */
 uint64_t raft_last (const struct raft *raft);
 uint64_t raft_log_bytes (const struct raft *raft);
-const struct raft_members *raft_member_set (const struct raft *raft);
+const struct raft_members *raft_get_members (const struct raft *raft);
 bool raft_members_at (const struct raft *raft, uint64_t index, struct raft_members *out);
 bool raft_lease_valid (const struct raft *raft, int64_t now);
 const struct raft_snapshot *raft_last_snapshot (const struct raft *raft);
 
 /* The leader proved that this server no longer holds entries that it acknowledged: its data folder
  * is older than what it told the others.  It must stop for good. */
-bool raft_lost_entries (const struct raft *raft);
+bool raft_has_lost_entries (const struct raft *raft);
 
 /* Replication progress of another member. */
 struct raft_progress
--- a/src/raft_change.c
+++ b/src/raft_change.c
@@ -80,18 +80,18 @@
   enum status status = check_change (raft, change);
 
   if (status == STATUS_OK)
-    status = raft_members_changed (raft_current_members (raft), change, &members);
+    status = raft_members_apply_change (raft_current_members (raft), change, &members);
   if (status != STATUS_OK)
     return status;
   bytes_init (&out, raft);
   raft_members_write (&members, &out);
   if (bytes_failed (&out))
     return status_fail (STATUS_NO_MEMORY, "members");
-  status = raft_append_own (raft, RAFT_ENTRY_MEMBERS, out.data, (uint32_t) out.length);
+  status = raft_append_local (raft, RAFT_ENTRY_MEMBERS, out.data, (uint32_t) out.length);
   bytes_clear (&out);
   if (status != STATUS_OK)
     return status;
   raft_configs_add (raft, raft_log_last (&raft->log), &members);
-  raft_sync_peers (raft);
+  raft_rebuild_peers (raft);
   return STATUS_OK;
 }
--- a/src/raft_config.c
+++ b/src/raft_config.c
@@ -104,9 +104,9 @@
 }
 
 enum status
-raft_members_changed (const struct raft_members *members,
-                      const struct raft_change *change,
-                      struct raft_members *out)
+raft_members_apply_change (const struct raft_members *members,
+                           const struct raft_change *change,
+                           struct raft_members *out)
 {
   *out = *members;
   switch (change->kind)
--- a/src/raft_config.h
+++ b/src/raft_config.h
@@ -63,9 +63,9 @@
 
 /* The members after `change`.  STATUS_CONFLICT when it does not fit the members, STATUS_LIMIT when
  * the set is full. */
-enum status raft_members_changed (const struct raft_members *members,
-                                  const struct raft_change *change,
-                                  struct raft_members *out);
+enum status raft_members_apply_change (const struct raft_members *members,
+                                       const struct raft_change *change,
+                                       struct raft_members *out);
 
 void raft_members_write (const struct raft_members *members, struct bytes *out);
 
--- a/src/raft_election.c
+++ b/src/raft_election.c
@@ -51,14 +51,14 @@
  * lease first.  The refusal also keeps a server that was partitioned from disturbing a group with a
  * leader (the counterpart of check-quorum). */
 bool
-raft_votes_refused (const struct raft *raft, const struct raft_message *m, int64_t now)
+raft_refuses_vote (const struct raft *raft, const struct raft_message *m, int64_t now)
 {
   int64_t heard_at = raft->heard_at;
 
   if (m->kind == RAFT_VOTE && m->transfer)
     return false;
   if (raft->role == RAFT_LEADER)
-    heard_at = raft->quorum_at > raft->elected_at ? raft->quorum_at : raft->elected_at;
+    heard_at = raft->quorum_sent_at > raft->elected_at ? raft->quorum_sent_at : raft->elected_at;
   return now < heard_at + raft->options.election_min;
 }
 
@@ -70,7 +70,7 @@
 }
 
 static void
-ask_votes (struct raft *raft, enum raft_message_kind kind, uint64_t term)
+request_votes (struct raft *raft, enum raft_message_kind kind, uint64_t term)
 {
   const struct raft_members *members = raft_current_members (raft);
 
@@ -104,7 +104,7 @@
       grant_to_self (raft);
       if (raft_members_quorum (members) > 1)
         {
-          ask_votes (raft, RAFT_PRE_VOTE, raft->state.term + 1);
+          request_votes (raft, RAFT_PRE_VOTE, raft->state.term + 1);
           return;
         }
     }
@@ -112,11 +112,11 @@
   raft->state = (struct raft_state){ .term = raft->state.term + 1, .vote = raft->options.id };
   raft->state_changed = true;
   raft->n_granted = 0; /* the own vote counts once it is stored */
-  ask_votes (raft, RAFT_VOTE, raft->state.term);
+  request_votes (raft, RAFT_VOTE, raft->state.term);
 }
 
 static bool
-log_is_current (const struct raft *raft, const struct raft_message *m)
+candidate_log_is_current (const struct raft *raft, const struct raft_message *m)
 {
   uint64_t last_term = raft_log_last_term (&raft->log);
 
@@ -129,7 +129,7 @@
 raft_on_vote (struct raft *raft, const struct raft_message *m, int64_t now)
 {
   struct raft_message *reply;
-  bool grant = log_is_current (raft, m);
+  bool grant = candidate_log_is_current (raft, m);
 
   if (m->kind == RAFT_PRE_VOTE)
     {
@@ -168,17 +168,17 @@
   if (raft->role == RAFT_PRE_CANDIDATE)
     raft_campaign (raft, false, false, now);
   else
-    raft_lead (raft, now);
+    raft_become_leader (raft, now);
 }
 
 void
 raft_on_vote_reply (struct raft *raft, const struct raft_message *m, int64_t now)
 {
-  bool wanted = m->kind == RAFT_VOTE_REPLY
-                    ? raft->role == RAFT_CANDIDATE && m->term == raft->state.term
-                    : raft->role == RAFT_PRE_CANDIDATE && m->term == raft->state.term + 1;
+  bool is_expected = m->kind == RAFT_VOTE_REPLY
+                         ? raft->role == RAFT_CANDIDATE && m->term == raft->state.term
+                         : raft->role == RAFT_PRE_CANDIDATE && m->term == raft->state.term + 1;
 
-  if (wanted && m->ok)
+  if (is_expected && m->ok)
     count_vote (raft, m->from, now);
 }
 
--- a/src/raft_follow.c
+++ b/src/raft_follow.c
@@ -3,7 +3,7 @@
 
 /* The member sets in a message are validated before any of its entries is appended. */
 static bool
-members_readable (const struct raft_message *m)
+has_valid_members (const struct raft_message *m)
 {
   struct raft_members members;
 
@@ -15,7 +15,7 @@
 }
 
 static enum status
-take_entry (struct raft *raft, const struct raft_entry *entry)
+append_entry (struct raft *raft, const struct raft_entry *entry)
 {
   struct raft_members members;
   uint64_t term;
@@ -42,7 +42,7 @@
 /* The entry before the first one of the message is in the log.  Committed entries are the same in
  * every log, and their terms may no longer be in memory. */
 static bool
-matches (const struct raft *raft, const struct raft_message *m)
+previous_entry_matches (const struct raft *raft, const struct raft_message *m)
 {
   uint64_t term;
 
@@ -54,7 +54,7 @@
 /* The index at which the leader should retry: before all entries of the conflicting term, so that
  * it does not step back one entry per message. */
 static uint64_t
-hint (const struct raft *raft, const struct raft_message *m)
+next_index_hint (const struct raft *raft, const struct raft_message *m)
 {
   uint64_t first;
 
@@ -68,29 +68,30 @@
 raft_on_append (struct raft *raft, const struct raft_message *m, int64_t now)
 {
   struct raft_message *reply;
-  uint32_t taken = 0;
+  uint32_t n_appended = 0;
 
   if (raft->role == RAFT_LEADER)
     return;
   raft_become_follower (raft, m->term, m->from, now);
   raft->heard_at = now;
   raft_set_election_time (raft, now);
-  if (!members_readable (m))
+  if (!has_valid_members (m))
     return;
   reply = raft_send (raft, RAFT_APPEND_REPLY, m->from);
   reply->round = m->round;
-  reply->hold = raft->hold;
+  reply->paused = raft->paused;
   reply->index = m->index;
-  if (!matches (raft, m))
+  if (!previous_entry_matches (raft, m))
     {
-      reply->log_term = hint (raft, m);
+      reply->log_term = next_index_hint (raft, m);
       reply->last = raft_log_last (&raft->log);
       return;
     }
-  while (!raft->hold && taken < m->n_entries && take_entry (raft, &m->entries[taken]) == STATUS_OK)
-    taken++;
+  while (!raft->paused && n_appended < m->n_entries
+         && append_entry (raft, &m->entries[n_appended]) == STATUS_OK)
+    n_appended++;
   reply->ok = true;
-  reply->index = m->index + taken;
+  reply->index = m->index + n_appended;
   reply->last = raft_log_last (&raft->log);
   if (m->commit > raft->commit && reply->index > raft->commit)
     raft->commit = m->commit < reply->index ? m->commit : reply->index;
@@ -104,5 +105,5 @@
 raft_on_lost (struct raft *raft, const struct raft_message *m)
 {
   if (m->from == raft->leader && m->index > raft_log_last (&raft->log))
-    raft->lost = true;
+    raft->lost_entries = true;
 }
--- a/src/raft_log.c
+++ b/src/raft_log.c
@@ -3,7 +3,7 @@
 #include <string.h>
 #include <talloc.h>
 
-#define FIRST_CAPACITY 64
+#define INITIAL_CAPACITY 64
 
 void
 raft_log_init (struct raft_log *log, uint64_t base_index, uint64_t base_term)
@@ -56,7 +56,7 @@
 
   if (log->count == log->capacity)
     {
-      uint32_t capacity = log->capacity == 0 ? FIRST_CAPACITY : log->capacity * 2;
+      uint32_t capacity = log->capacity == 0 ? INITIAL_CAPACITY : log->capacity * 2;
       struct raft_entry *entries =
           talloc_realloc (parent, log->entries, struct raft_entry, capacity);
 
@@ -82,7 +82,7 @@
 
 /* Free the data of the entries at positions from..to-1. */
 static void
-drop (struct raft_log *log, uint32_t from, uint32_t to)
+free_entries (struct raft_log *log, uint32_t from, uint32_t to)
 {
   for (uint32_t i = from; i < to; i++)
     {
@@ -100,7 +100,7 @@
     return;
   INVARIANT (from > log->base_index);
   keep = (uint32_t) (from - log->base_index - 1);
-  drop (log, keep, log->count);
+  free_entries (log, keep, log->count);
   log->count = keep;
   if (log->stored >= from)
     log->stored = from - 1;
@@ -115,7 +115,7 @@
   if (index <= log->base_index || !raft_log_term (log, index, &term))
     return;
   n = (uint32_t) (index - log->base_index);
-  drop (log, 0, n);
+  free_entries (log, 0, n);
   log->count -= n;
   memmove (log->entries, log->entries + n, log->count * sizeof log->entries[0]);
   log->base_index = index;
@@ -125,7 +125,7 @@
 void
 raft_log_reset (struct raft_log *log, uint64_t base_index, uint64_t base_term)
 {
-  drop (log, 0, log->count);
+  free_entries (log, 0, log->count);
   log->count = 0;
   log->base_index = base_index;
   log->base_term = base_term;
--- a/src/raft_message.c
+++ b/src/raft_message.c
@@ -90,7 +90,7 @@
   if (has & HAS_LAST)
     pack_uint (out, m->last);
   if (has & HAS_FLAGS)
-    pack_uint (out, (m->ok ? 1u : 0) | (m->hold ? 2u : 0) | (m->transfer ? 4u : 0));
+    pack_uint (out, (m->ok ? 1u : 0) | (m->paused ? 2u : 0) | (m->transfer ? 4u : 0));
   if (has & HAS_OFFSET)
     {
       pack_uint (out, m->offset);
@@ -161,7 +161,7 @@
   if (has & HAS_FLAGS)
     flags = pack_read_uint (in, UINT64_MAX);
   m->ok = (flags & 1u) != 0;
-  m->hold = (flags & 2u) != 0;
+  m->paused = (flags & 2u) != 0;
   m->transfer = (flags & 4u) != 0;
   if (has & HAS_OFFSET)
     {
--- a/src/raft_message.h
+++ b/src/raft_message.h
@@ -72,7 +72,7 @@
   uint64_t round;  /* heartbeat round of the leader, echoed in replies */
   uint64_t last;   /* append-reply: last entry in the follower's log */
   bool ok;         /* replies: vote granted, log matched, or snapshot accepted */
-  bool hold;       /* append-reply, snapshot-reply: disk full, the leader should wait */
+  bool paused;     /* append-reply, snapshot-reply: disk full, the leader should wait */
   bool transfer;   /* vote: part of a leadership transfer, so no lease forbids it */
   uint64_t offset; /* snapshot: offset of the chunk; snapshot-reply: bytes received */
   uint64_t total;  /* snapshot: total length */
--- a/src/raft_private.h
+++ b/src/raft_private.h
@@ -30,14 +30,14 @@
   uint32_t in_flight_first;
   uint32_t n_in_flight;
   uint64_t commit_sent;
-  uint64_t round;    /* highest round echoed */
-  int64_t heard_at;  /* last message received; 0: none since the election */
-  bool probing;      /* a probe is unanswered */
-  bool heartbeat;    /* send a message in the next ready, even without entries */
-  bool hold;         /* its disk is full: send no entries until the next heartbeat */
-  uint64_t offset;   /* of the snapshot chunk to send */
-  uint64_t snapshot; /* index of the snapshot being sent */
-  bool chunk_out;
+  uint64_t round;          /* highest round echoed */
+  int64_t heard_at;        /* last message received; 0: none since the election */
+  bool probe_in_flight;    /* a probe is unanswered */
+  bool heartbeat_due;      /* send a message in the next ready, even without entries */
+  bool paused;             /* its disk is full: send no entries until the next heartbeat */
+  uint64_t offset;         /* of the snapshot chunk to send */
+  uint64_t snapshot_index; /* index of the snapshot being sent */
+  bool chunk_in_flight;
 };
 
 struct raft_round
@@ -47,20 +47,20 @@
 };
 
 /* The members of the group from `index` on. */
-struct raft_members_from
+struct raft_config_entry
 {
   uint64_t index;
   struct raft_members members;
 };
 
-struct raft_read_wait
+struct raft_pending_read
 {
   uint64_t token;
   uint64_t index;
   uint64_t round; /* confirmed once a quorum echoed this round */
 };
 
-struct raft_incoming
+struct raft_incoming_snapshot
 {
   uint64_t index;
   uint64_t term;
@@ -83,10 +83,10 @@
   uint64_t commit;
   uint64_t applied;
   struct raft_snapshot snapshot; /* last stored snapshot */
-  struct raft_members_from configs[RAFT_CONFIGS_MAX];
+  struct raft_config_entry configs[RAFT_CONFIGS_MAX];
   uint32_t n_configs;
-  bool hold;
-  bool lost;
+  bool paused;
+  bool lost_entries;
 
   int64_t heard_at;    /* last message from a leader; no vote before heard_at + election_min */
   int64_t election_at; /* start of the next election, unless a leader is heard first */
@@ -102,44 +102,44 @@
   uint64_t round;
   struct raft_round rounds[RAFT_ROUNDS];
   int64_t heartbeat_at;
-  int64_t quorum_at;     /* send time of quorum_round */
-  uint64_t quorum_round; /* latest round echoed by a quorum */
+  int64_t quorum_sent_at; /* send time of quorum_round */
+  uint64_t quorum_round;  /* latest round echoed by a quorum */
   int64_t elected_at;
   uint64_t first_index; /* no-op of this term: reads and changes wait for its commit */
-  bool lease_given_up;  /* a transfer was started in this term */
+  bool lease_released;  /* a transfer was started in this term */
   uint64_t transfer_to;
   int64_t transfer_until;
   bool transfer_sent;
 
-  struct raft_read_wait *reads;
+  struct raft_pending_read *reads;
   uint32_t n_reads;
   struct raft_read *reads_done;
   uint32_t n_reads_done;
   uint32_t reads_taken;
-  bool reads_new; /* some reads wait for a round that was not sent yet */
+  bool reads_need_round; /* some reads wait for a round that was not sent yet */
 
-  struct raft_incoming incoming;
+  struct raft_incoming_snapshot incoming;
   struct raft_install install; /* the complete snapshot, to be stored */
   bool install_ready;
 
   /* the ready returned by raft_poll() */
-  bool ready_out;
+  bool ready_pending;
   uint64_t ready_last;
   uint64_t ready_term;
   struct raft_message **out; /* replies and votes, sent after the sync */
   uint32_t n_out;
   struct raft_message **early; /* the leader's messages to its followers, sent before the sync */
   uint32_t n_early;
-  struct raft_message *spare; /* stands in for a message when out of memory; never sent */
+  struct raft_message *unsent; /* stands in for a message when out of memory; never sent */
 };
 
 /* raft.c */
 struct raft_message *raft_send (struct raft *raft, enum raft_message_kind kind, uint64_t to);
 struct raft_message *raft_send_early (struct raft *raft, enum raft_message_kind kind, uint64_t to);
-enum status raft_append_own (struct raft *raft,
-                             enum raft_entry_kind kind,
-                             const void *data,
-                             uint32_t length);
+enum status raft_append_local (struct raft *raft,
+                               enum raft_entry_kind kind,
+                               const void *data,
+                               uint32_t length);
 
 /* raft_election.c */
 void raft_become_follower (struct raft *raft, uint64_t term, uint64_t leader, int64_t now);
@@ -150,19 +150,22 @@
 void raft_on_vote_reply (struct raft *raft, const struct raft_message *m, int64_t now);
 void raft_on_timeout_now (struct raft *raft, const struct raft_message *m, int64_t now);
 void raft_count_own_vote (struct raft *raft, int64_t now);
-bool raft_votes_refused (const struct raft *raft, const struct raft_message *m, int64_t now);
+bool raft_refuses_vote (const struct raft *raft, const struct raft_message *m, int64_t now);
 
 /* raft_replicate.c: leader */
-void raft_lead (struct raft *raft, int64_t now);
+void raft_become_leader (struct raft *raft, int64_t now);
 void raft_tick_leader (struct raft *raft, int64_t now);
 void raft_on_append_reply (struct raft *raft, const struct raft_message *m, int64_t now);
 void raft_generate_appends (struct raft *raft, int64_t now);
 void raft_advance_commit (struct raft *raft);
-void raft_sync_peers (struct raft *raft);
+void raft_rebuild_peers (struct raft *raft);
 struct raft_peer *raft_peer_find (struct raft *raft, uint64_t id);
-void raft_peer_heard (struct raft *raft, struct raft_peer *peer, uint64_t round, int64_t now);
+void raft_peer_record_reply (struct raft *raft,
+                             struct raft_peer *peer,
+                             uint64_t round,
+                             int64_t now);
 void raft_new_round (struct raft *raft, int64_t now);
-void raft_drive_transfer (struct raft *raft);
+void raft_advance_transfer (struct raft *raft);
 
 /* raft_follow.c: follower */
 void raft_on_append (struct raft *raft, const struct raft_message *m, int64_t now);
@@ -174,7 +177,7 @@
 void raft_on_snapshot (struct raft *raft, const struct raft_message *m, int64_t now);
 void raft_on_snapshot_reply (struct raft *raft, const struct raft_message *m, int64_t now);
 void raft_finish_install (struct raft *raft);
-bool raft_log_holds (const struct raft *raft, const struct raft_snapshot *snapshot);
+bool raft_log_matches_snapshot (const struct raft *raft, const struct raft_snapshot *snapshot);
 
 /* raft_read.c */
 void raft_confirm_reads (struct raft *raft);
--- a/src/raft_read.c
+++ b/src/raft_read.c
@@ -11,15 +11,15 @@
 {
   int64_t span = raft->options.election_min;
 
-  if (raft->role != RAFT_LEADER || !raft->options.lease_reads || raft->lease_given_up
+  if (raft->role != RAFT_LEADER || !raft->options.lease_reads || raft->lease_released
       || raft->quorum_round == 0)
     return false;
   span -= 2 * span * raft->options.drift_ppm / 1000000;
-  return now < raft->quorum_at + span;
+  return now < raft->quorum_sent_at + span;
 }
 
 static enum status
-add_done (struct raft *raft, uint64_t token, uint64_t index, bool ok)
+add_finished_read (struct raft *raft, uint64_t token, uint64_t index, bool ok)
 {
   struct raft_read *grown =
       talloc_realloc (raft, raft->reads_done, struct raft_read, raft->n_reads_done + 1);
@@ -35,16 +35,16 @@
 enum status
 raft_read_request (struct raft *raft, uint64_t token, int64_t now)
 {
-  struct raft_read_wait *grown;
+  struct raft_pending_read *grown;
   uint64_t index;
 
   if (raft->role != RAFT_LEADER)
     return status_fail (STATUS_NOT_LEADER, "not the leader");
   if (raft_lease_valid (raft, now) && raft->commit >= raft->first_index)
-    return add_done (raft, token, raft->commit, true);
+    return add_finished_read (raft, token, raft->commit, true);
   if (raft->n_reads == RAFT_READS_MAX)
     return status_fail (STATUS_LIMIT, "%u reads wait", RAFT_READS_MAX);
-  grown = talloc_realloc (raft, raft->reads, struct raft_read_wait, raft->n_reads + 1);
+  grown = talloc_realloc (raft, raft->reads, struct raft_pending_read, raft->n_reads + 1);
   if (grown == NULL)
     return status_fail (STATUS_NO_MEMORY, "read");
   /* Entries committed by earlier leaders are known to be committed only once the first entry of
@@ -52,8 +52,8 @@
   index = raft->commit > raft->first_index ? raft->commit : raft->first_index;
   raft->reads = grown;
   raft->reads[raft->n_reads++] =
-      (struct raft_read_wait){ .token = token, .index = index, .round = raft->round + 1 };
-  raft->reads_new = true;
+      (struct raft_pending_read){ .token = token, .index = index, .round = raft->round + 1 };
+  raft->reads_need_round = true;
   return STATUS_OK;
 }
 
@@ -64,7 +64,7 @@
   uint32_t n = 0;
 
   while (n < raft->n_reads && raft->reads[n].round <= raft->quorum_round
-         && add_done (raft, raft->reads[n].token, raft->reads[n].index, true) == STATUS_OK)
+         && add_finished_read (raft, raft->reads[n].token, raft->reads[n].index, true) == STATUS_OK)
     n++;
   if (n == 0)
     return;
@@ -76,13 +76,13 @@
 raft_fail_reads (struct raft *raft)
 {
   for (uint32_t i = 0; i < raft->n_reads; i++)
-    add_done (raft, raft->reads[i].token, 0, false);
+    add_finished_read (raft, raft->reads[i].token, 0, false);
   raft->n_reads = 0;
-  raft->reads_new = false;
+  raft->reads_need_round = false;
 }
 
 bool
-raft_take_read (struct raft *raft, struct raft_read *out)
+raft_pop_read (struct raft *raft, struct raft_read *out)
 {
   if (raft->reads_taken < raft->n_reads_done)
     {
--- a/src/raft_replicate.c
+++ b/src/raft_replicate.c
@@ -14,7 +14,7 @@
 
 /* Rebuild the peer records from the current members; members that stay keep their state. */
 void
-raft_sync_peers (struct raft *raft)
+raft_rebuild_peers (struct raft *raft)
 {
   const struct raft_members *members = raft_current_members (raft);
   struct raft_peer peers[RAFT_MEMBERS_MAX];
@@ -32,7 +32,7 @@
         peers[n++] = (struct raft_peer){
           .id = members->members[i].id,
           .next = raft_log_last (&raft->log) + 1,
-          .heartbeat = true,
+          .heartbeat_due = true,
         };
     }
   memcpy (raft->peers, peers, n * sizeof peers[0]);
@@ -40,20 +40,20 @@
 }
 
 void
-raft_lead (struct raft *raft, int64_t now)
+raft_become_leader (struct raft *raft, int64_t now)
 {
   raft->role = RAFT_LEADER;
   raft->leader = raft->options.id;
   raft->elected_at = now;
-  raft->quorum_at = 0;
+  raft->quorum_sent_at = 0;
   raft->quorum_round = 0;
   raft->round = 0;
   memset (raft->rounds, 0, sizeof raft->rounds);
-  raft->lease_given_up = false;
+  raft->lease_released = false;
   raft->transfer_to = 0;
   raft->n_peers = 0;
-  raft_sync_peers (raft);
-  if (raft_append_own (raft, RAFT_ENTRY_NOOP, NULL, 0) != STATUS_OK)
+  raft_rebuild_peers (raft);
+  if (raft_append_local (raft, RAFT_ENTRY_NOOP, NULL, 0) != STATUS_OK)
     {
       raft_become_follower (raft, raft->state.term, 0, now);
       return;
@@ -122,7 +122,7 @@
     return;
   raft->quorum_round = round;
   if (raft->rounds[round % RAFT_ROUNDS].round == round)
-    raft->quorum_at = raft->rounds[round % RAFT_ROUNDS].sent_at;
+    raft->quorum_sent_at = raft->rounds[round % RAFT_ROUNDS].sent_at;
   raft_confirm_reads (raft);
 }
 
@@ -134,15 +134,15 @@
   raft->round++;
   raft->rounds[raft->round % RAFT_ROUNDS] =
       (struct raft_round){ .round = raft->round, .sent_at = now };
-  raft->reads_new = false;
+  raft->reads_need_round = false;
   raft->heartbeat_at = now + raft->options.heartbeat;
   for (uint32_t i = 0; i < raft->n_peers; i++)
-    raft->peers[i].heartbeat = true;
+    raft->peers[i].heartbeat_due = true;
   advance_quorum_round (raft);
 }
 
 void
-raft_peer_heard (struct raft *raft, struct raft_peer *peer, uint64_t round, int64_t now)
+raft_peer_record_reply (struct raft *raft, struct raft_peer *peer, uint64_t round, int64_t now)
 {
   peer->heard_at = now;
   if (round > raft->round || round <= peer->round)
@@ -157,7 +157,8 @@
 void
 raft_tick_leader (struct raft *raft, int64_t now)
 {
-  int64_t confirmed = raft->quorum_at > raft->elected_at ? raft->quorum_at : raft->elected_at;
+  int64_t confirmed =
+      raft->quorum_sent_at > raft->elected_at ? raft->quorum_sent_at : raft->elected_at;
 
   if (now - confirmed > raft->options.election_max)
     {
@@ -210,7 +211,7 @@
   m->commit = raft->commit;
   m->round = raft->round;
   peer->commit_sent = raft->commit;
-  peer->heartbeat = false;
+  peer->heartbeat_due = false;
   if (entries)
     fill_entries (raft, peer, m);
   if (peer->state == PEER_REPLICATE && m->n_entries > 0)
@@ -224,7 +225,7 @@
 }
 
 static void
-stream (struct raft *raft, struct raft_peer *peer)
+stream_entries (struct raft *raft, struct raft_peer *peer)
 {
   bool sent = false;
 
@@ -235,7 +236,7 @@
         return;
       sent = true;
     }
-  if (!sent && (peer->heartbeat || peer->commit_sent < raft->commit))
+  if (!sent && (peer->heartbeat_due || peer->commit_sent < raft->commit))
     send_append (raft, peer, false);
 }
 
@@ -250,7 +251,7 @@
 /* Send a bare heartbeat to a silent member, whatever its state.  Entries or chunks would be sent
  * again with each heartbeat and fill up the queue of its connection until memory runs out. */
 static void
-send_sign_of_life (struct raft *raft, struct raft_peer *peer)
+send_bare_heartbeat (struct raft *raft, struct raft_peer *peer)
 {
   struct raft_message *m = raft_send_early (raft, RAFT_APPEND, peer->id);
 
@@ -258,57 +259,57 @@
   m->log_term = raft_log_last_term (&raft->log);
   m->commit = raft->commit;
   m->round = raft->round;
-  peer->heartbeat = false;
+  peer->heartbeat_due = false;
 }
 
 static void
-generate_for (struct raft *raft, struct raft_peer *peer, int64_t now)
+generate_message (struct raft *raft, struct raft_peer *peer, int64_t now)
 {
   if (is_silent (raft, peer, now))
     {
-      if (peer->heartbeat)
-        send_sign_of_life (raft, peer);
+      if (peer->heartbeat_due)
+        send_bare_heartbeat (raft, peer);
       return;
     }
   switch (peer->state)
     {
     case PEER_PROBE:
-      if (peer->probing && !peer->heartbeat)
+      if (peer->probe_in_flight && !peer->heartbeat_due)
         return;
-      peer->probing = true;
-      send_append (raft, peer, !peer->hold);
+      peer->probe_in_flight = true;
+      send_append (raft, peer, !peer->paused);
       break;
     case PEER_REPLICATE:
-      stream (raft, peer);
+      stream_entries (raft, peer);
       break;
     case PEER_SNAPSHOT:
       break;
     }
-  if (peer->state == PEER_SNAPSHOT && (!peer->chunk_out || peer->heartbeat))
+  if (peer->state == PEER_SNAPSHOT && (!peer->chunk_in_flight || peer->heartbeat_due))
     raft_generate_chunk (raft, peer);
 }
 
 void
 raft_generate_appends (struct raft *raft, int64_t now)
 {
-  if (raft->reads_new)
+  if (raft->reads_need_round)
     raft_new_round (raft, now);
-  raft_drive_transfer (raft);
+  raft_advance_transfer (raft);
   for (uint32_t i = 0; i < raft->n_peers; i++)
-    generate_for (raft, &raft->peers[i], now);
+    generate_message (raft, &raft->peers[i], now);
 }
 
 static void
-probe (struct raft_peer *peer, uint64_t next)
+start_probe (struct raft_peer *peer, uint64_t next)
 {
   peer->state = PEER_PROBE;
-  peer->probing = false;
+  peer->probe_in_flight = false;
   peer->next = next;
   peer->n_in_flight = 0;
 }
 
 static void
-matched (struct raft *raft, struct raft_peer *peer, uint64_t index)
+record_match (struct raft *raft, struct raft_peer *peer, uint64_t index)
 {
   while (peer->n_in_flight > 0 && peer->in_flight[peer->in_flight_first] <= index)
     {
@@ -326,7 +327,7 @@
   if (peer->state == PEER_PROBE)
     {
       peer->state = PEER_REPLICATE;
-      peer->probing = false;
+      peer->probe_in_flight = false;
       peer->n_in_flight = 0;
     }
 }
@@ -334,17 +335,17 @@
 /* The follower replies to a message sent after the leader knew that it held `match`, but now holds
  * less: it lost entries that it had reported as stored. */
 static bool
-entries_lost (const struct raft_peer *peer, const struct raft_message *m)
+has_lost_entries (const struct raft_peer *peer, const struct raft_message *m)
 {
   return m->round > peer->match_round && m->last < peer->match;
 }
 
 static void
-rejected (struct raft *raft, struct raft_peer *peer, const struct raft_message *m)
+handle_rejection (struct raft *raft, struct raft_peer *peer, const struct raft_message *m)
 {
   uint64_t next = m->log_term;
 
-  if (entries_lost (peer, m))
+  if (has_lost_entries (peer, m))
     {
       raft_send (raft, RAFT_LOST, peer->id)->index = peer->match;
       return;
@@ -353,7 +354,7 @@
     return;
   if (next > m->index)
     next = m->last + 1 < m->index ? m->last + 1 : m->index;
-  probe (peer, next > peer->match ? next : peer->match + 1);
+  start_probe (peer, next > peer->match ? next : peer->match + 1);
 }
 
 void
@@ -363,28 +364,28 @@
 
   if (raft->role != RAFT_LEADER || peer == NULL)
     return;
-  raft_peer_heard (raft, peer, m->round, now);
+  raft_peer_record_reply (raft, peer, m->round, now);
   if (!m->ok)
     {
-      rejected (raft, peer, m);
+      handle_rejection (raft, peer, m);
       return;
     }
   if (m->index > raft_log_last (&raft->log))
     return;
   if (peer->state != PEER_SNAPSHOT)
-    matched (raft, peer, m->index);
-  peer->hold = m->hold;
-  if (m->hold && peer->state != PEER_SNAPSHOT)
+    record_match (raft, peer, m->index);
+  peer->paused = m->paused;
+  if (m->paused && peer->state != PEER_SNAPSHOT)
     {
-      probe (peer, peer->match + 1);
-      peer->probing = true;
+      start_probe (peer, peer->match + 1);
+      peer->probe_in_flight = true;
     }
 }
 
 /* Send TimeoutNow once the receiver holds the whole log.  The lease is given up first, for the rest
  * of the term, since a delayed TimeoutNow could elect another leader at any later time. */
 void
-raft_drive_transfer (struct raft *raft)
+raft_advance_transfer (struct raft *raft)
 {
   const struct raft_peer *peer;
 
@@ -402,25 +403,25 @@
  * equal logs the one heard last is the most likely to be alive.  One with a full disk is the last
  * choice, since it could not store its first entry. */
 static bool
-takes_over_better (const struct raft_peer *peer, const struct raft_peer *best)
+is_better_successor (const struct raft_peer *peer, const struct raft_peer *best)
 {
   if (best == NULL)
     return true;
-  if (peer->hold != best->hold)
-    return best->hold;
+  if (peer->paused != best->paused)
+    return best->paused;
   if (peer->match != best->match)
     return peer->match > best->match;
   return peer->heard_at > best->heard_at;
 }
 
 static bool
-heard_lately (const struct raft *raft, const struct raft_peer *peer, int64_t now)
+was_heard_recently (const struct raft *raft, const struct raft_peer *peer, int64_t now)
 {
   return now - peer->heard_at <= raft->options.election_min;
 }
 
 bool
-raft_can_spare_leader (const struct raft *raft, int64_t now)
+raft_has_quorum_without_leader (const struct raft *raft, int64_t now)
 {
   const struct raft_members *members = raft_current_members (raft);
   uint32_t n = 0;
@@ -429,8 +430,8 @@
     {
       const struct raft_peer *peer = &raft->peers[i];
 
-      if (raft_members_is_voter (members, peer->id) && heard_lately (raft, peer, now)
-          && !peer->hold)
+      if (raft_members_is_voter (members, peer->id) && was_heard_recently (raft, peer, now)
+          && !peer->paused)
         n++;
     }
   return n >= raft_members_quorum (members);
@@ -452,14 +453,14 @@
 
       if (!raft_members_is_voter (members, peer->id) || (to != 0 && peer->id != to))
         continue;
-      if (!heard_lately (raft, peer, now))
+      if (!was_heard_recently (raft, peer, now))
         continue;
-      if (takes_over_better (peer, best))
+      if (is_better_successor (peer, best))
         best = peer;
     }
   if (best == NULL)
     return status_fail (STATUS_UNAVAILABLE, "no other voter was heard of late");
-  raft->lease_given_up = true;
+  raft->lease_released = true;
   raft->transfer_to = best->id;
   raft->transfer_sent = false;
   raft->transfer_until = now + raft->options.election_max;
--- a/src/raft_snapshot.c
+++ b/src/raft_snapshot.c
@@ -9,9 +9,9 @@
 {
   INVARIANT (raft->snapshot.index > 0);
   peer->state = PEER_SNAPSHOT;
-  peer->snapshot = raft->snapshot.index;
+  peer->snapshot_index = raft->snapshot.index;
   peer->offset = 0;
-  peer->chunk_out = false;
+  peer->chunk_in_flight = false;
   peer->n_in_flight = 0;
 }
 
@@ -30,12 +30,12 @@
   m->length = left < raft->options.chunk_bytes ? (uint32_t) left : raft->options.chunk_bytes;
   if (peer->offset == 0)
     m->members = raft->snapshot.members;
-  peer->chunk_out = true;
-  peer->heartbeat = false;
+  peer->chunk_in_flight = true;
+  peer->heartbeat_due = false;
 }
 
 bool
-raft_log_holds (const struct raft *raft, const struct raft_snapshot *snapshot)
+raft_log_matches_snapshot (const struct raft *raft, const struct raft_snapshot *snapshot)
 {
   uint64_t term;
 
@@ -43,7 +43,7 @@
 }
 
 static void
-reply_held (struct raft *raft, const struct raft_message *m, uint64_t held)
+reply_progress (struct raft *raft, const struct raft_message *m, uint64_t held)
 {
   struct raft_message *reply = raft_send (raft, RAFT_SNAPSHOT_REPLY, m->from);
 
@@ -51,13 +51,13 @@
   reply->log_term = m->log_term;
   reply->round = m->round;
   reply->ok = true;
-  reply->hold = raft->hold;
+  reply->paused = raft->paused;
   reply->offset = held;
   reply->total = m->total;
 }
 
 static bool
-continues (const struct raft_incoming *in, const struct raft_message *m)
+is_same_snapshot (const struct raft_incoming_snapshot *in, const struct raft_message *m)
 {
   return in->index == m->index && in->term == m->log_term && in->leader_term == m->term
          && in->total == m->total;
@@ -66,7 +66,7 @@
 void
 raft_on_snapshot (struct raft *raft, const struct raft_message *m, int64_t now)
 {
-  struct raft_incoming *in = &raft->incoming;
+  struct raft_incoming_snapshot *in = &raft->incoming;
 
   if (raft->role == RAFT_LEADER)
     return;
@@ -75,17 +75,17 @@
   raft_set_election_time (raft, now);
   if (m->index <= raft->commit)
     {
-      reply_held (raft, m, m->total);
+      reply_progress (raft, m, m->total);
       return;
     }
   if (raft->install_ready || m->total > SNAPSHOT_MAX)
     return;
-  if (raft->hold)
+  if (raft->paused)
     {
-      reply_held (raft, m, 0);
+      reply_progress (raft, m, 0);
       return;
     }
-  if (m->offset == 0 && !(continues (in, m) && in->data.length > 0))
+  if (m->offset == 0 && !(is_same_snapshot (in, m) && in->data.length > 0))
     {
       bytes_clear (&in->data);
       in->index = m->index;
@@ -94,9 +94,9 @@
       in->total = m->total;
       in->members = m->members;
     }
-  if (!continues (in, m))
+  if (!is_same_snapshot (in, m))
     {
-      reply_held (raft, m, 0);
+      reply_progress (raft, m, 0);
       return;
     }
   if (m->offset == in->data.length)
@@ -104,10 +104,10 @@
   if (bytes_failed (&in->data) || in->data.length > in->total)
     {
       bytes_clear (&in->data);
-      reply_held (raft, m, 0);
+      reply_progress (raft, m, 0);
     }
   else if (in->data.length < in->total)
-    reply_held (raft, m, in->data.length);
+    reply_progress (raft, m, in->data.length);
   else
     {
       raft->install.snapshot = (struct raft_snapshot){
@@ -161,11 +161,11 @@
 
   if (raft->role != RAFT_LEADER || peer == NULL)
     return;
-  raft_peer_heard (raft, peer, m->round, now);
-  if (peer->state != PEER_SNAPSHOT || m->index != peer->snapshot)
+  raft_peer_record_reply (raft, peer, m->round, now);
+  if (peer->state != PEER_SNAPSHOT || m->index != peer->snapshot_index)
     return;
-  peer->hold = m->hold;
-  peer->chunk_out = m->hold;
+  peer->paused = m->paused;
+  peer->chunk_in_flight = m->paused;
   if (m->offset < m->total || m->total != raft->snapshot.length)
     {
       peer->offset = m->offset < raft->snapshot.length ? m->offset : 0;
@@ -177,7 +177,7 @@
       peer->match_round = raft->round;
     }
   peer->state = PEER_PROBE;
-  peer->probing = false;
+  peer->probe_in_flight = false;
   peer->next = peer->match + 1;
   raft_advance_commit (raft);
 }
--- a/src/snapshot.c
+++ b/src/snapshot.c
@@ -126,7 +126,7 @@
   bytes_append (&file, payload, snapshot->length);
   snprintf (name, sizeof name, NAME_FORMAT, snapshot->index);
   status = bytes_failed (&file) ? status_fail (STATUS_NO_MEMORY, "snapshot")
-                                : disk_replace (disk, name, file.data, file.length);
+                                : disk_replace_file (disk, name, file.data, file.length);
   bytes_clear (&file);
   return status == STATUS_OK ? remove_older (disk, snapshot->index) : status;
 }
--- a/tests/unit_consensus.cc
+++ b/tests/unit_consensus.cc
@@ -236,7 +236,7 @@
   config.snapshot_entries = 50;
   config.entry_bytes = 4000;
   config.state_bytes = 100000;
-  for (int piled : { 20, 200 }) // in the log, and only in a snapshot
+  for (int backlog : { 20, 200 }) // in the log, and only in a snapshot
     {
       talloc_free (group);
       start (config);
@@ -249,7 +249,8 @@
           STATUS_OK);
       fake_group_run (group, second);
       leader = fake_group_await_leader (group, second);
-      EXPECT_EQ (propose (static_cast<uint32_t> (leader), piled), static_cast<uint64_t> (piled));
+      EXPECT_EQ (propose (static_cast<uint32_t> (leader), backlog),
+                 static_cast<uint64_t> (backlog));
       fake_group_run (group, 10 * second);
       fake_group_counts (group, &before);
       fake_group_run (group, 100 * second);
--- a/tests/unit_consensus_remote.cc
+++ b/tests/unit_consensus_remote.cc
@@ -14,7 +14,7 @@
 struct sent
 {
   std::string host;
-  struct client_ask ask;
+  struct client_request ask;
 };
 
 struct fake_port
@@ -29,11 +29,11 @@
     struct peer_port *port, const char *host, enum peer_channel, const void *data, size_t length)
 {
   struct sent sent = { .host = host, .ask = {} };
-  struct client_answer answer;
-  bool is_ask;
+  struct client_response answer;
+  bool is_request;
 
-  EXPECT_EQ (client_read_message (data, length, &is_ask, &sent.ask, &answer), STATUS_OK);
-  EXPECT_TRUE (is_ask);
+  EXPECT_EQ (client_read_message (data, length, &is_request, &sent.ask, &answer), STATUS_OK);
+  EXPECT_TRUE (is_request);
   reinterpret_cast<struct fake_port *> (port)->sent.push_back (sent);
   return STATUS_OK;
 }
@@ -105,7 +105,7 @@
   void
   answer (const std::string &from, enum status status, const char *leader, const char *result = "")
   {
-    struct client_answer answer = {};
+    struct client_response answer = {};
     struct bytes out;
 
     answer.number = port.sent.back ().ask.number;
@@ -115,7 +115,7 @@
     answer.length = strlen (result);
     snprintf (answer.leader, sizeof answer.leader, "%s", leader);
     bytes_init (&out, nullptr);
-    client_write_answer (&answer, &out);
+    client_write_response (&answer, &out);
     port.listener->ops->received (port.listener, from.c_str (), out.data, out.length, now);
     bytes_clear (&out);
   }
--- a/tests/unit_raft.cc
+++ b/tests/unit_raft.cc
@@ -266,9 +266,9 @@
   ASSERT_EQ (raft_read_request (raft, 7, now), STATUS_OK);
   flush (); // round 3 asks for the read
   acknowledge (2, 3, 2);
-  EXPECT_FALSE (raft_take_read (raft, &read));
+  EXPECT_FALSE (raft_pop_read (raft, &read));
   acknowledge (2, 3, 3);
-  ASSERT_TRUE (raft_take_read (raft, &read));
+  ASSERT_TRUE (raft_pop_read (raft, &read));
   EXPECT_EQ (read.token, 7u);
   EXPECT_EQ (read.index, 3u);
   EXPECT_TRUE (read.ok);
