--- a/bench/cmd_commit.c
+++ b/bench/cmd_commit.c
@@ -218,7 +218,7 @@
   void *parent = talloc_new (NULL);
   struct disk *disk = open_folder (parent, folder);
   struct raft_snapshot none = { 0 };
-  struct journal_found found;
+  struct journal_recovery found;
   char data[ENTRY_BYTES] = { 0 };
   enum status status;
   struct journal *journal =
@@ -251,7 +251,7 @@
               fprintf (stderr, "%s\n", status_message ());
               exit (1);
             }
-          journal_drop (journal, index);
+          journal_compact (journal, index);
           took = clock_now () - began;
           longest = took > longest ? took : longest;
           histogram_record (times, (double) took);
--- a/bench/cmd_store.c
+++ b/bench/cmd_store.c
@@ -145,7 +145,7 @@
   entry->holder.epoch = 1;
   entry->time_ms = 1000;
   memcpy (entry->key, &number, sizeof number);
-  entry->take_id = number;
+  entry->acquire_id = number;
   entry->retention_ms = RETENTION_MS;
   entry->code = 200;
   text_copy_cut (entry->outcome, sizeof entry->outcome, "whole");
@@ -190,7 +190,7 @@
   struct machine *machine = claim_machine_machine (claims);
   struct bytes saved;
   double before = allocated ();
-  double taken = apply_claims (claims, CLAIM_TAKE, count);
+  double taken = apply_claims (claims, CLAIM_ACQUIRE, count);
   double held = (allocated () - before) / count;
   double settled;
   double begin;
--- a/bench/fuzz_claim.c
+++ b/bench/fuzz_claim.c
@@ -17,7 +17,7 @@
     .host = "a",
     .time_ms = WALL_MS,
     .key = { 1, 2, 3 },
-    .take_id = 9,
+    .acquire_id = 9,
     .body_hash = { 4, 5, 6 },
     .retention_ms = DAY_MS,
   };
@@ -43,7 +43,7 @@
 static struct machine *
 filled_machine (void *parent)
 {
-  static const enum claim_op history[] = { CLAIM_STARTED, CLAIM_TAKE };
+  static const enum claim_op history[] = { CLAIM_HOLDER_STARTED, CLAIM_ACQUIRE };
   struct machine *machine = claim_machine_machine (
       claim_machine_new (parent, &(struct claim_machine_config){ .count_max = 64 }));
   struct bytes entry;
--- a/src/claim.h
+++ b/src/claim.h
@@ -78,11 +78,11 @@
 {
   /* answered() is called exactly once, after this call has returned, unless the waiter is
    * withdrawn first. */
-  enum status (*take) (struct claims *claims,
-                       const struct claim_request *request,
-                       struct claim_waiter *waiter,
-                       int64_t deadline,
-                       int64_t now);
+  enum status (*acquire) (struct claims *claims,
+                          const struct claim_request *request,
+                          struct claim_waiter *waiter,
+                          int64_t deadline,
+                          int64_t now);
 
   /* Store the outcome.  Retried internally until it is applied or the process ends.  answered() of
    * `waiter` is called once it is applied, after this call has returned; `waiter` may be NULL.
--- a/src/claim_entry.c
+++ b/src/claim_entry.c
@@ -15,7 +15,7 @@
   pack_text (out, entry->host);
   store_pack_time (out, entry->time_ms);
   pack_binary (out, entry->key, sizeof entry->key);
-  pack_uint (out, entry->take_id);
+  pack_uint (out, entry->acquire_id);
   pack_binary (out, entry->body_hash, sizeof entry->body_hash);
   store_pack_time (out, entry->issued_at_ms);
   store_pack_time (out, entry->retention_ms);
@@ -41,7 +41,7 @@
   pack_read_text (&in, entry->host, sizeof entry->host);
   entry->time_ms = store_read_time (&in);
   store_read_fixed (&in, entry->key, sizeof entry->key);
-  entry->take_id = pack_read_uint (&in, UINT64_MAX);
+  entry->acquire_id = pack_read_uint (&in, UINT64_MAX);
   store_read_fixed (&in, entry->body_hash, sizeof entry->body_hash);
   entry->issued_at_ms = store_read_time (&in);
   entry->retention_ms = store_read_time (&in);
--- a/src/claim_entry.h
+++ b/src/claim_entry.h
@@ -17,11 +17,11 @@
 /* Stored in log entries: never renumbered. */
 enum claim_op
 {
-  CLAIM_TAKE = 0,
+  CLAIM_ACQUIRE = 0,
   CLAIM_SETTLE = 1,
   CLAIM_RELEASE = 2,
-  CLAIM_STARTED = 3, /* a host's process started: its earlier epochs are over */
-  CLAIM_GONE = 4,    /* another host declares this epoch of the holder dead */
+  CLAIM_HOLDER_STARTED = 3, /* a host's process started: its earlier epochs are over */
+  CLAIM_HOLDER_DEAD = 4,    /* another host declares this epoch of the holder dead */
   CLAIM_OP_COUNT
 };
 
@@ -39,7 +39,7 @@
   char host[RESOURCE_NAME_SIZE]; /* of the proposer */
   int64_t time_ms;               /* wall clock of the proposer */
   uint8_t key[CLAIM_KEY_SIZE];
-  uint64_t take_id; /* unique to one acquire within the holder's epoch */
+  uint64_t acquire_id; /* unique to one acquire within the holder's epoch */
   uint8_t body_hash[CLAIM_HASH_SIZE];
   int64_t issued_at_ms; /* 0 when unknown */
   int64_t retention_ms;
--- a/src/claim_job.c
+++ b/src/claim_job.c
@@ -6,27 +6,28 @@
 #include <talloc.h>
 #include <utlist.h>
 
-#define TRY_WITHIN (USEC_PER_SEC)
-#define PAUSE_FIRST (USEC_PER_SEC / 20)
-#define PAUSE_MAX (USEC_PER_SEC)
-#define LOOK_MARGIN (USEC_PER_SEC / 10) /* in-flight is answered this long before the deadline */
-#define UNLISTED_GONE_AFTER (60 * USEC_PER_SEC)
+#define PROPOSE_TIMEOUT (USEC_PER_SEC)
+#define RETRY_DELAY_MIN (USEC_PER_SEC / 20)
+#define RETRY_DELAY_MAX (USEC_PER_SEC)
+#define IN_FLIGHT_MARGIN                                                                           \
+  (USEC_PER_SEC / 10) /* in-flight is answered this long before the deadline */
+#define UNLISTED_HOST_DEAD_AFTER (60 * USEC_PER_SEC)
 
 /* uthash's macros are long; the functions are not.
  * NOLINTBEGIN(readability-function-size) */
 static void
-list_granted (struct claim_job *job)
+add_granted (struct claim_job *job)
 {
   HASH_ADD (hh, job->log->granted, entry.key, CLAIM_KEY_SIZE, job);
-  job->listed = true;
+  job->in_granted_table = true;
 }
 
 void
-claim_job_unlist (struct claim_job *job)
+claim_job_remove_granted (struct claim_job *job)
 {
-  if (job->listed)
+  if (job->in_granted_table)
     HASH_DEL (job->log->granted, job);
-  job->listed = false;
+  job->in_granted_table = false;
 }
 
 struct claim_job *
@@ -44,7 +45,7 @@
 {
   job->log->pending += (step != JOB_HELD) - (job->step != JOB_HELD);
   job->step = step;
-  job->pause = PAUSE_FIRST;
+  job->retry_delay = RETRY_DELAY_MIN;
 }
 
 void
@@ -52,7 +53,7 @@
 {
   claim_job_set_step (job, JOB_HELD);
   timer_disarm (job->log->config.timers, &job->timer);
-  claim_job_unlist (job);
+  claim_job_remove_granted (job);
   DL_DELETE (job->log->jobs, job);
   talloc_free (job);
 }
@@ -60,9 +61,9 @@
 /* The requester has its answer.  A copy of a timed-out acquire may still be applied, and must not
  * be granted once the present holder has released the claim. */
 static void
-finish (struct claim_job *job, int64_t now)
+end_answered (struct claim_job *job, int64_t now)
 {
-  if (!job->uncertain)
+  if (!job->acquire_timed_out)
     {
       claim_job_end (job);
       return;
@@ -88,29 +89,29 @@
 void
 claim_job_release (struct claim_job *job, int64_t now)
 {
-  claim_job_unlist (job);
+  claim_job_remove_granted (job);
   claim_job_set_step (job, JOB_RELEASE);
   claim_job_propose (job, now);
 }
 
 /* The requester gets no more answers; release the claim if it may have been granted. */
 static void
-give_up (struct claim_job *job, int64_t now)
+abandon (struct claim_job *job, int64_t now)
 {
-  if (job->maybe_held || job->uncertain)
+  if (job->may_be_held || job->acquire_timed_out)
     claim_job_release (job, now);
   else
     claim_job_end (job);
 }
 
 static void
-end_unreached (struct claim_job *job, int64_t now)
+end_unreachable (struct claim_job *job, int64_t now)
 {
   const struct claim_answer unreached = { .verdict = CLAIM_UNREACHABLE };
 
   /* Propose the release before the answer: the answer can provoke a resend, which must not find the
    * claim held by a requester that has given up. */
-  if (job->maybe_held || job->uncertain)
+  if (job->may_be_held || job->acquire_timed_out)
     {
       struct claim_waiter *waiter = job->waiter;
 
@@ -128,12 +129,13 @@
 }
 
 static void
-pause_job (struct claim_job *job, int64_t now)
+schedule_retry (struct claim_job *job, int64_t now)
 {
-  int64_t due = now + job->pause;
+  int64_t due = now + job->retry_delay;
 
-  counter_add (job->log->repeats, 1);
-  job->pause = job->pause * 2 < PAUSE_MAX ? job->pause * 2 : PAUSE_MAX;
+  counter_add (job->log->retries, 1);
+  job->retry_delay =
+      job->retry_delay * 2 < RETRY_DELAY_MAX ? job->retry_delay * 2 : RETRY_DELAY_MAX;
   if (job->waiter != NULL && due > job->deadline)
     due = job->deadline;
   timer_arm (job->log->config.timers, &job->timer, due);
@@ -143,23 +145,24 @@
 pack_step (struct claim_job *job, struct bytes *out, int64_t now)
 {
   static const enum claim_op ops[] = {
-    [JOB_TAKE] = CLAIM_TAKE,       [JOB_GONE] = CLAIM_GONE,       [JOB_SETTLE] = CLAIM_SETTLE,
-    [JOB_RELEASE] = CLAIM_RELEASE, [JOB_REFRESH] = CLAIM_RELEASE, [JOB_STARTED] = CLAIM_STARTED,
+    [JOB_ACQUIRE] = CLAIM_ACQUIRE,     [JOB_DECLARE_DEAD] = CLAIM_HOLDER_DEAD,
+    [JOB_SETTLE] = CLAIM_SETTLE,       [JOB_RELEASE] = CLAIM_RELEASE,
+    [JOB_RENEW_EPOCH] = CLAIM_RELEASE, [JOB_ANNOUNCE_START] = CLAIM_HOLDER_STARTED,
   };
   struct claim_entry entry = job->entry;
 
   entry.op = ops[job->step];
   entry.time_ms = now / USEC_PER_MSEC + job->log->config.wall_offset_ms;
-  if (job->step == JOB_GONE)
-    entry.holder = job->gone;
-  store_group_begin (STORE_PART_CLAIMS, out);
+  if (job->step == JOB_DECLARE_DEAD)
+    entry.holder = job->dead_holder;
+  store_group_begin_entry (STORE_PART_CLAIMS, out);
   claim_entry_pack (&entry, out);
 }
 
 void
 claim_job_propose (struct claim_job *job, int64_t now)
 {
-  int64_t deadline = now + TRY_WITHIN;
+  int64_t deadline = now + PROPOSE_TIMEOUT;
   struct bytes entry;
 
   if (job->waiter != NULL && job->deadline < deadline)
@@ -171,10 +174,10 @@
                                                deadline, now)
                          == STATUS_OK;
   bytes_clear (&entry);
-  if (job->proposed && job->step == JOB_TAKE)
-    job->maybe_held = true;
+  if (job->proposed && job->step == JOB_ACQUIRE)
+    job->may_be_held = true;
   if (!job->proposed)
-    pause_job (job, now);
+    schedule_retry (job, now);
 }
 
 static void
@@ -183,20 +186,21 @@
   struct claim_job *job = CONTAINER_OF (timer, struct claim_job, timer);
 
   if (job->waiter != NULL && now >= job->deadline)
-    end_unreached (job, now);
+    end_unreachable (job, now);
   else
     claim_job_propose (job, now);
 }
 
 /* True when this epoch of the holder is known to be over.  A host that is not on the board counts
- * as dead only after UNLISTED_GONE_AFTER, when this process has had time to learn of all hosts. */
+ * as dead only after UNLISTED_HOST_DEAD_AFTER, when this process has had time to learn of all
+ * hosts. */
 static bool
-holder_gone (const struct claim_log *log, const struct claim_holder *holder, int64_t now)
+holder_is_dead (const struct claim_log *log, const struct claim_holder *holder, int64_t now)
 {
   const struct board_host *host = board_find_host (log->config.board, holder->host, NULL);
 
   if (host == NULL)
-    return now > log->started_at + UNLISTED_GONE_AFTER;
+    return now > log->started_at + UNLISTED_HOST_DEAD_AFTER;
   if (host->self)
     return holder->epoch >> CLAIM_EPOCH_SHIFT < log->config.incarnation;
   return host->state == HOST_DEAD || host->state == HOST_LEFT
@@ -204,23 +208,23 @@
 }
 
 static void
-in_flight (struct claim_job *job, const struct claim_result *result, int64_t now)
+handle_in_flight (struct claim_job *job, const struct claim_result *result, int64_t now)
 {
-  const struct claim_answer flying = { .verdict = CLAIM_IN_FLIGHT };
+  const struct claim_answer in_flight_answer = { .verdict = CLAIM_IN_FLIGHT };
 
-  job->maybe_held = false;
-  if (holder_gone (job->log, &result->holder, now))
+  job->may_be_held = false;
+  if (holder_is_dead (job->log, &result->holder, now))
     {
-      job->gone = result->holder;
-      claim_job_set_step (job, JOB_GONE);
+      job->dead_holder = result->holder;
+      claim_job_set_step (job, JOB_DECLARE_DEAD);
       claim_job_propose (job, now);
     }
-  else if (now + job->pause + LOOK_MARGIN < job->deadline)
-    pause_job (job, now);
+  else if (now + job->retry_delay + IN_FLIGHT_MARGIN < job->deadline)
+    schedule_retry (job, now);
   else
     {
-      answer (job, &flying, now);
-      finish (job, now);
+      answer (job, &in_flight_answer, now);
+      end_answered (job, now);
     }
 }
 
@@ -233,7 +237,7 @@
 
   if (job->entry.holder.epoch == log->epoch)
     log->epoch++;
-  claim_job_set_step (job, JOB_REFRESH);
+  claim_job_set_step (job, JOB_RENEW_EPOCH);
   claim_job_propose (job, now);
 }
 
@@ -259,52 +263,52 @@
 }
 
 static void
-taken (struct claim_job *job, const struct claim_result *result, int64_t now)
+handle_acquire_result (struct claim_job *job, const struct claim_result *result, int64_t now)
 {
   struct claim_answer other = { .verdict = result->verdict };
 
   if (result->fenced)
     fenced (job, now);
   else if (result->verdict == CLAIM_GRANTED && job->waiter == NULL)
-    give_up (job, now);
+    abandon (job, now);
   else if (result->verdict == CLAIM_GRANTED)
     {
       claim_job_set_step (job, JOB_HELD);
-      list_granted (job);
+      add_granted (job);
       answer (job, &other, now);
     }
   else if (job->waiter == NULL)
-    finish (job, now);
+    end_answered (job, now);
   else if (result->verdict == CLAIM_IN_FLIGHT)
-    in_flight (job, result, now);
+    handle_in_flight (job, result, now);
   else if (result->verdict == CLAIM_SETTLED)
     settled (job, result, now);
   else
     {
       answer (job, &other, now);
-      finish (job, now);
+      end_answered (job, now);
     }
 }
 
 static void
-take_anew (struct claim_job *job, int64_t now)
+acquire_again (struct claim_job *job, int64_t now)
 {
-  if (job->step == JOB_REFRESH)
+  if (job->step == JOB_RENEW_EPOCH)
     {
       job->entry.holder.epoch = job->log->epoch;
-      job->entry.take_id = ++job->log->last_take;
-      job->uncertain = false;
+      job->entry.acquire_id = ++job->log->last_acquire_id;
+      job->acquire_timed_out = false;
     }
-  job->maybe_held = false;
-  claim_job_set_step (job, JOB_TAKE);
+  job->may_be_held = false;
+  claim_job_set_step (job, JOB_ACQUIRE);
   if (job->waiter == NULL)
-    finish (job, now);
+    end_answered (job, now);
   else
     claim_job_propose (job, now);
 }
 
 static void
-end_settled (struct claim_job *job, enum claim_verdict verdict, int64_t now)
+end_settle (struct claim_job *job, enum claim_verdict verdict, int64_t now)
 {
   struct claim_waiter *waiter = job->settle_waiter;
   struct claim_answer stored = { .verdict = verdict, .outcome = "" };
@@ -317,24 +321,24 @@
 }
 
 static void
-applied (struct claim_job *job, const struct claim_result *result, int64_t now)
+handle_result (struct claim_job *job, const struct claim_result *result, int64_t now)
 {
   switch (job->step)
     {
-    case JOB_TAKE:
-      taken (job, result, now);
+    case JOB_ACQUIRE:
+      handle_acquire_result (job, result, now);
       break;
-    case JOB_GONE:
-    case JOB_REFRESH:
-      take_anew (job, now);
+    case JOB_DECLARE_DEAD:
+    case JOB_RENEW_EPOCH:
+      acquire_again (job, now);
       break;
     case JOB_SETTLE:
       counter_add (job->log->settled, result->verdict == CLAIM_SETTLED);
-      end_settled (job, result->verdict, now);
+      end_settle (job, result->verdict, now);
       break;
     case JOB_HELD:
     case JOB_RELEASE:
-    case JOB_STARTED:
+    case JOB_ANNOUNCE_START:
     default:
       claim_job_end (job);
       break;
@@ -348,18 +352,18 @@
   struct claim_result result;
 
   job->proposed = false;
-  if (status != STATUS_OK && job->step == JOB_TAKE)
-    job->uncertain = true;
+  if (status != STATUS_OK && job->step == JOB_ACQUIRE)
+    job->acquire_timed_out = true;
   if (status == STATUS_OK)
     status = claim_result_unpack (&result, data, length);
   if (status == STATUS_OK)
-    applied (job, &result, now);
+    handle_result (job, &result, now);
   else if (job->waiter != NULL && now >= job->deadline)
-    end_unreached (job, now);
-  else if (job->step == JOB_TAKE && job->waiter == NULL)
-    give_up (job, now);
+    end_unreachable (job, now);
+  else if (job->step == JOB_ACQUIRE && job->waiter == NULL)
+    abandon (job, now);
   else
-    pause_job (job, now);
+    schedule_retry (job, now);
 }
 
 static const struct proposal_ops proposal_ops = { .done = done };
--- a/src/claim_job.h
+++ b/src/claim_job.h
@@ -14,13 +14,13 @@
 /* The entry that a job proposes, or what it waits for. */
 enum job_step
 {
-  JOB_TAKE,    /* until answered or the deadline passes */
-  JOB_GONE,    /* declares the holder dead, then acquires again */
-  JOB_HELD,    /* granted: waits for settle() or release() */
-  JOB_SETTLE,  /* until applied */
-  JOB_RELEASE, /* until applied, then done */
-  JOB_REFRESH, /* releases under the fenced epoch, then acquires under a new one */
-  JOB_STARTED  /* announces the start of this process to a group */
+  JOB_ACQUIRE,       /* until answered or the deadline passes */
+  JOB_DECLARE_DEAD,  /* declares the holder dead, then acquires again */
+  JOB_HELD,          /* granted: waits for settle() or release() */
+  JOB_SETTLE,        /* until applied */
+  JOB_RELEASE,       /* until applied, then done */
+  JOB_RENEW_EPOCH,   /* releases under the fenced epoch, then acquires under a new one */
+  JOB_ANNOUNCE_START /* announces the start of this process to a group */
 };
 
 struct claim_job
@@ -35,14 +35,14 @@
   struct claim_waiter *settle_waiter; /* notified when the settle is applied; NULL for none */
   struct consensus *group;
   enum job_step step;
-  bool proposed;   /* done() is pending */
-  bool maybe_held; /* an acquire was proposed, so it may have been granted */
-  bool uncertain;  /* an acquire timed out: it may still be applied */
-  bool listed;     /* is in the hash table of granted claims */
+  bool proposed;          /* done() is pending */
+  bool may_be_held;       /* an acquire was proposed, so it may have been granted */
+  bool acquire_timed_out; /* an acquire timed out: it may still be applied */
+  bool in_granted_table;  /* is in the hash table of granted claims */
   int64_t deadline;
-  int64_t pause;
+  int64_t retry_delay;
   struct claim_entry entry; /* of the acquire; settle() and pack_step() fill in the rest */
-  struct claim_holder gone;
+  struct claim_holder dead_holder;
   char *body; /* of the settle; owned by the job */
 };
 
@@ -55,11 +55,11 @@
   struct claim_job *granted; /* by key */
   uint32_t pending;          /* jobs that are not JOB_HELD */
   uint64_t epoch;
-  uint64_t last_take;
+  uint64_t last_acquire_id;
   int64_t started_at;
   struct counter *verdicts[CLAIM_VERDICT_COUNT];
   struct counter *settled;
-  struct counter *repeats;
+  struct counter *retries;
 };
 
 struct claim_job *claim_job_add (struct claim_log *log,
@@ -77,7 +77,7 @@
 /* A granted claim of this host by its key; NULL when there is none. */
 struct claim_job *claim_job_find_granted (const struct claim_log *log,
                                           const uint8_t key[CLAIM_KEY_SIZE]);
-void claim_job_unlist (struct claim_job *job);
+void claim_job_remove_granted (struct claim_job *job);
 
 END_DECLS
 
--- a/src/claim_log.c
+++ b/src/claim_log.c
@@ -19,7 +19,7 @@
 }
 
 static struct consensus *
-group_of (const struct claim_log *log, const uint8_t key[CLAIM_KEY_SIZE])
+select_group (const struct claim_log *log, const uint8_t key[CLAIM_KEY_SIZE])
 {
   uint32_t word;
 
@@ -28,24 +28,24 @@
 }
 
 static enum status
-take (struct claims *claims,
-      const struct claim_request *request,
-      struct claim_waiter *waiter,
-      int64_t deadline,
-      int64_t now)
+acquire (struct claims *claims,
+         const struct claim_request *request,
+         struct claim_waiter *waiter,
+         int64_t deadline,
+         int64_t now)
 {
   struct claim_log *log = (struct claim_log *) claims;
   uint8_t key[CLAIM_KEY_SIZE];
   struct claim_job *job;
 
   hash_key (&request->key, key);
-  job = claim_job_add (log, JOB_TAKE, group_of (log, key));
+  job = claim_job_add (log, JOB_ACQUIRE, select_group (log, key));
   if (job == NULL)
     return status_fail (STATUS_NO_MEMORY, "no memory for a claim");
   memcpy (job->entry.key, key, sizeof key);
   memcpy (job->entry.body_hash, request->body_hash, sizeof job->entry.body_hash);
   job->entry.issued_at_ms = request->issued_at_ms;
-  job->entry.take_id = ++log->last_take;
+  job->entry.acquire_id = ++log->last_acquire_id;
   job->deadline = deadline;
   job->waiter = waiter;
   waiter->owner = job;
@@ -96,7 +96,7 @@
   job->settle_waiter = waiter;
   if (waiter != NULL)
     waiter->owner = job;
-  claim_job_unlist (job);
+  claim_job_remove_granted (job);
   claim_job_set_step (job, JOB_SETTLE);
   claim_job_propose (job, now);
   return STATUS_OK;
@@ -130,14 +130,14 @@
       return;
     }
   job->waiter = NULL;
-  if (!job->proposed && !job->maybe_held && !job->uncertain)
+  if (!job->proposed && !job->may_be_held && !job->acquire_timed_out)
     claim_job_end (job);
   else if (!job->proposed)
     claim_job_set_step (job, JOB_RELEASE); /* the armed retry timer proposes the release */
 }
 
 static const struct claims_ops claims_ops = {
-  .take = take,
+  .acquire = acquire,
   .settle = settle,
   .release = release,
   .withdraw = withdraw,
@@ -178,7 +178,7 @@
     }
   log->settled = counter_get (log->config.counters, "cherryarch_claims_settled_total",
                               "Claims settled here.", NULL);
-  log->repeats = counter_get (log->config.counters, "cherryarch_claim_repeats_total",
+  log->retries = counter_get (log->config.counters, "cherryarch_claim_repeats_total",
                               "Claim entries proposed again, and looks at claims in flight.", NULL);
 }
 
@@ -209,7 +209,7 @@
   talloc_set_destructor (log, log_destroy);
   for (i = 0; i < config->n_groups; i++)
     {
-      struct claim_job *job = claim_job_add (log, JOB_STARTED, config->groups[i]);
+      struct claim_job *job = claim_job_add (log, JOB_ANNOUNCE_START, config->groups[i]);
 
       if (job != NULL)
         timer_arm (config->timers, &job->timer, now);
--- a/src/claim_machine.c
+++ b/src/claim_machine.c
@@ -19,30 +19,30 @@
 
 /* An epoch is over once it was declared dead or a later one was seen; it cannot acquire. */
 static bool
-epoch_over (const struct claim_host *host, uint64_t epoch)
+epoch_is_over (const struct claim_host *host, uint64_t epoch)
 {
-  return epoch < host->epoch || epoch <= host->gone_upto;
+  return epoch < host->epoch || epoch <= host->dead_epoch_max;
 }
 
 static bool
-same_take (const struct claim_record *record,
-           const struct claim_host *host,
-           const struct claim_entry *entry)
+is_same_acquire (const struct claim_record *record,
+                 const struct claim_host *host,
+                 const struct claim_entry *entry)
 {
   return record->host == host && record->epoch == entry->holder.epoch
-         && record->take_id == entry->take_id;
+         && record->acquire_id == entry->acquire_id;
 }
 
 static void
-hold (struct claim_machine *machine,
-      struct claim_record *record,
-      struct claim_host *host,
-      const struct claim_entry *entry,
-      enum claim_state state)
+assign_record (struct claim_machine *machine,
+               struct claim_record *record,
+               struct claim_host *host,
+               const struct claim_entry *entry,
+               enum claim_state state)
 {
   claim_table_set_host (record, host);
   record->epoch = entry->holder.epoch;
-  record->take_id = entry->take_id;
+  record->acquire_id = entry->acquire_id;
   record->state = (uint8_t) state;
   memcpy (record->body_hash, entry->body_hash, sizeof record->body_hash);
   if (state == CLAIM_STATE_HELD)
@@ -65,7 +65,9 @@
 }
 
 static enum claim_verdict
-take_new (struct claim_machine *machine, struct claim_host *host, const struct claim_entry *entry)
+acquire_new (struct claim_machine *machine,
+             struct claim_host *host,
+             const struct claim_entry *entry)
 {
   struct claim_record *record;
 
@@ -74,12 +76,12 @@
   record = add_record (machine, host, entry);
   if (record == NULL)
     return CLAIM_FULL;
-  hold (machine, record, host, entry, CLAIM_STATE_HELD);
+  assign_record (machine, record, host, entry, CLAIM_STATE_HELD);
   return CLAIM_GRANTED;
 }
 
 static void
-tell_settled (const struct claim_record *record, struct claim_result *result)
+fill_settled (const struct claim_record *record, struct claim_result *result)
 {
   result->code = record->code;
   text_copy_cut (result->outcome, sizeof result->outcome, record->outcome);
@@ -89,14 +91,14 @@
 }
 
 static enum claim_verdict
-take_held (const struct claim_record *record,
-           const struct claim_host *host,
-           const struct claim_entry *entry,
-           struct claim_result *result)
+acquire_held (const struct claim_record *record,
+              const struct claim_host *host,
+              const struct claim_entry *entry,
+              struct claim_result *result)
 {
-  if (same_take (record, host, entry))
+  if (is_same_acquire (record, host, entry))
     return CLAIM_GRANTED; /* a retry whose first answer was lost */
-  if (epoch_over (record->host, record->epoch))
+  if (epoch_is_over (record->host, record->epoch))
     return CLAIM_UNKNOWN;
   text_copy_cut (result->holder.host, sizeof result->holder.host, record->host->name);
   result->holder.epoch = record->epoch;
@@ -104,51 +106,51 @@
 }
 
 static enum claim_verdict
-take_again (struct claim_machine *machine,
-            struct claim_record *record,
-            struct claim_host *host,
-            const struct claim_entry *entry,
-            struct claim_result *result)
+acquire_known (struct claim_machine *machine,
+               struct claim_record *record,
+               struct claim_host *host,
+               const struct claim_entry *entry,
+               struct claim_result *result)
 {
   if (record->state == CLAIM_STATE_EXPIRED)
     return CLAIM_EXPIRED;
-  if (record->state == CLAIM_STATE_RELEASED && same_take (record, host, entry))
+  if (record->state == CLAIM_STATE_RELEASED && is_same_acquire (record, host, entry))
     return CLAIM_UNREACHABLE; /* abandoned by its requester before this entry was applied */
   if (memcmp (record->body_hash, entry->body_hash, sizeof record->body_hash) != 0)
     return CLAIM_MISMATCH;
   if (record->state == CLAIM_STATE_HELD)
-    return take_held (record, host, entry, result);
+    return acquire_held (record, host, entry, result);
   if (record->state == CLAIM_STATE_SETTLED)
     {
-      tell_settled (record, result);
+      fill_settled (record, result);
       return CLAIM_SETTLED;
     }
   claim_table_renew (machine->table, record, machine->clock.now_ms + entry->retention_ms);
-  hold (machine, record, host, entry, CLAIM_STATE_HELD);
+  assign_record (machine, record, host, entry, CLAIM_STATE_HELD);
   return CLAIM_GRANTED;
 }
 
 static enum claim_verdict
-take (struct claim_machine *machine,
-      struct claim_host *host,
-      const struct claim_entry *entry,
-      struct claim_result *result)
+acquire (struct claim_machine *machine,
+         struct claim_host *host,
+         const struct claim_entry *entry,
+         struct claim_result *result)
 {
   struct claim_record *record = claim_table_find (machine->table, entry->key);
 
   /* A partitioned host is declared dead, and its acquire is applied late.  If it were granted, the
    * claim would read as unknown at once although its holder is running the request. */
-  if (epoch_over (host, entry->holder.epoch))
+  if (epoch_is_over (host, entry->holder.epoch))
     {
       result->fenced = true;
       return CLAIM_UNREACHABLE;
     }
-  if (claim_table_abandoned (host, entry->holder.epoch, entry->take_id))
+  if (claim_table_is_abandoned (host, entry->holder.epoch, entry->acquire_id))
     return CLAIM_UNREACHABLE;
   host->epoch = entry->holder.epoch;
   if (record == NULL)
-    return take_new (machine, host, entry);
-  return take_again (machine, record, host, entry, result);
+    return acquire_new (machine, host, entry);
+  return acquire_known (machine, record, host, entry, result);
 }
 
 /* Every verdict ends the retries of the settling host. */
@@ -157,7 +159,7 @@
 {
   struct claim_record *record = claim_table_find (machine->table, entry->key);
 
-  if (record == NULL || !same_take (record, host, entry) || record->state != CLAIM_STATE_HELD)
+  if (record == NULL || !is_same_acquire (record, host, entry) || record->state != CLAIM_STATE_HELD)
     return record != NULL && record->state == CLAIM_STATE_SETTLED ? CLAIM_SETTLED : CLAIM_EXPIRED;
   record->state = CLAIM_STATE_SETTLED;
   record->code = (uint16_t) entry->code;
@@ -176,15 +178,15 @@
 {
   struct claim_record *record = claim_table_find (machine->table, entry->key);
 
-  claim_table_abandon (machine->table, host, entry->holder.epoch, entry->take_id);
+  claim_table_add_abandoned (machine->table, host, entry->holder.epoch, entry->acquire_id);
   if (record == NULL)
     {
       record = add_record (machine, host, entry);
       if (record == NULL)
         return CLAIM_FULL;
-      hold (machine, record, host, entry, CLAIM_STATE_RELEASED);
+      assign_record (machine, record, host, entry, CLAIM_STATE_RELEASED);
     }
-  else if (record->state == CLAIM_STATE_HELD && same_take (record, host, entry))
+  else if (record->state == CLAIM_STATE_HELD && is_same_acquire (record, host, entry))
     record->state = CLAIM_STATE_RELEASED;
   return CLAIM_GRANTED;
 }
@@ -194,27 +196,27 @@
              const struct claim_entry *entry,
              struct claim_result *result)
 {
-  struct claim_host *host = claim_table_host (machine->table, entry->holder.host);
+  struct claim_host *host = claim_table_get_host (machine->table, entry->holder.host);
 
   if (host == NULL)
     return CLAIM_FULL;
   switch (entry->op)
     {
-    case CLAIM_TAKE:
-      return take (machine, host, entry, result);
+    case CLAIM_ACQUIRE:
+      return acquire (machine, host, entry, result);
     case CLAIM_SETTLE:
       return settle (machine, host, entry);
     case CLAIM_RELEASE:
       return release (machine, host, entry);
-    case CLAIM_STARTED:
+    case CLAIM_HOLDER_STARTED:
       if (entry->holder.epoch > host->epoch)
         host->epoch = entry->holder.epoch;
       return CLAIM_GRANTED;
-    case CLAIM_GONE:
+    case CLAIM_HOLDER_DEAD:
     case CLAIM_OP_COUNT:
     default:
-      if (entry->holder.epoch > host->gone_upto)
-        host->gone_upto = entry->holder.epoch;
+      if (entry->holder.epoch > host->dead_epoch_max)
+        host->dead_epoch_max = entry->holder.epoch;
       return CLAIM_GRANTED;
     }
 }
--- a/src/claim_table.c
+++ b/src/claim_table.c
@@ -46,12 +46,12 @@
 /* Drop the least recently used host that no claim refers to.  If that host returns, it is added
  * again. */
 static void
-make_room_for_host (struct claim_table *table)
+evict_host (struct claim_table *table)
 {
   struct claim_host *host;
 
   DL_FOREACH (table->hosts, host)
-    if (host->claims == 0)
+    if (host->n_claims == 0)
       break;
   if (host != NULL)
     drop_host (table, host);
@@ -65,7 +65,7 @@
 
   if (host == NULL)
     {
-      make_room_for_host (table);
+      evict_host (table);
       host = table_add (table->host_entries, &handle);
     }
   if (host == NULL)
@@ -87,7 +87,7 @@
 }
 
 struct claim_host *
-claim_table_host (struct claim_table *table, const char *name)
+claim_table_get_host (struct claim_table *table, const char *name)
 {
   struct claim_host *host = find_host (table, name);
 
@@ -99,28 +99,28 @@
 }
 
 void
-claim_table_abandon (struct claim_table *table,
-                     struct claim_host *host,
-                     uint64_t epoch,
-                     uint64_t take_id)
+claim_table_add_abandoned (struct claim_table *table,
+                           struct claim_host *host,
+                           uint64_t epoch,
+                           uint64_t acquire_id)
 {
   if (host->abandoned == NULL)
     host->abandoned = talloc_zero_array (table, struct claim_abandoned, CLAIM_ABANDONED_MAX);
   INVARIANT (host->abandoned != NULL);
   host->abandoned[host->next_abandoned] =
-      (struct claim_abandoned){ .epoch = epoch, .take_id = take_id };
+      (struct claim_abandoned){ .epoch = epoch, .acquire_id = acquire_id };
   host->next_abandoned = (host->next_abandoned + 1) % CLAIM_ABANDONED_MAX;
   if (host->n_abandoned < CLAIM_ABANDONED_MAX)
     host->n_abandoned++;
 }
 
 bool
-claim_table_abandoned (const struct claim_host *host, uint64_t epoch, uint64_t take_id)
+claim_table_is_abandoned (const struct claim_host *host, uint64_t epoch, uint64_t acquire_id)
 {
   uint32_t i;
 
   for (i = 0; i < host->n_abandoned; i++)
-    if (host->abandoned[i].take_id == take_id && host->abandoned[i].epoch == epoch)
+    if (host->abandoned[i].acquire_id == acquire_id && host->abandoned[i].epoch == epoch)
       return true;
   return false;
 }
@@ -146,7 +146,7 @@
     return NULL;
   record->handle = handle;
   record->host = host;
-  host->claims++;
+  host->n_claims++;
   memcpy (record->key, key, sizeof record->key);
   HASH_ADD (hh, table->by_key, key, CLAIM_KEY_SIZE, record);
   DL_APPEND (table->live, record);
@@ -161,7 +161,7 @@
   INVARIANT (table->by_key != NULL);
   HASH_DEL (table->by_key, record);
   claim_table_drop_body (table, record);
-  record->host->claims--;
+  record->host->n_claims--;
   table->count--;
   table_remove (table->record_entries, record->handle);
 }
@@ -170,9 +170,9 @@
 void
 claim_table_set_host (struct claim_record *record, struct claim_host *host)
 {
-  record->host->claims--;
+  record->host->n_claims--;
   record->host = host;
-  host->claims++;
+  host->n_claims++;
 }
 
 void
@@ -264,14 +264,14 @@
   pack_array (out, HOST_FIELDS);
   pack_text (out, host->name);
   pack_uint (out, host->epoch);
-  pack_uint (out, host->gone_upto);
+  pack_uint (out, host->dead_epoch_max);
   pack_array (out, host->n_abandoned * 2);
   for (i = 0; i < host->n_abandoned; i++)
     {
       const struct claim_abandoned *one = &host->abandoned[(first + i) % CLAIM_ABANDONED_MAX];
 
       pack_uint (out, one->epoch);
-      pack_uint (out, one->take_id);
+      pack_uint (out, one->acquire_id);
     }
 }
 
@@ -282,7 +282,7 @@
   pack_binary (out, record->key, sizeof record->key);
   pack_text (out, record->host->name);
   pack_uint (out, record->epoch);
-  pack_uint (out, record->take_id);
+  pack_uint (out, record->acquire_id);
   store_pack_time (out, record->expires_ms);
   store_pack_time (out, record->retention_ms);
   pack_uint (out, record->state);
@@ -320,21 +320,21 @@
   if (pack_read_array (in, HOST_FIELDS) != HOST_FIELDS)
     in->failed = true;
   pack_read_text (in, name, sizeof name);
-  host = in->failed ? NULL : claim_table_host (table, name);
+  host = in->failed ? NULL : claim_table_get_host (table, name);
   if (host == NULL)
     {
       in->failed = true;
       return;
     }
   host->epoch = pack_read_uint (in, UINT64_MAX);
-  host->gone_upto = pack_read_uint (in, UINT64_MAX);
+  host->dead_epoch_max = pack_read_uint (in, UINT64_MAX);
   for (count = pack_read_array (in, CLAIM_ABANDONED_MAX * 2) / 2; count > 0; count--)
     {
       uint64_t epoch = pack_read_uint (in, UINT64_MAX);
-      uint64_t take_id = pack_read_uint (in, UINT64_MAX);
+      uint64_t acquire_id = pack_read_uint (in, UINT64_MAX);
 
       if (!in->failed)
-        claim_table_abandon (table, host, epoch, take_id);
+        claim_table_add_abandoned (table, host, epoch, acquire_id);
     }
 }
 
@@ -372,7 +372,7 @@
       return;
     }
   record->epoch = pack_read_uint (in, UINT64_MAX);
-  record->take_id = pack_read_uint (in, UINT64_MAX);
+  record->acquire_id = pack_read_uint (in, UINT64_MAX);
   record->expires_ms = store_read_time (in);
   record->retention_ms = store_read_time (in);
   record->state = (uint8_t) pack_read_uint (in, CLAIM_STATE_COUNT - 1);
--- a/src/claim_table.h
+++ b/src/claim_table.h
@@ -24,7 +24,7 @@
 struct claim_abandoned
 {
   uint64_t epoch;
-  uint64_t take_id;
+  uint64_t acquire_id;
 };
 
 #define CLAIM_ABANDONED_MAX 128 /* the latest of each host; copies are late by seconds at most */
@@ -38,8 +38,8 @@
   struct handle handle;
   char name[RESOURCE_NAME_SIZE];
   uint64_t epoch;                    /* the latest seen; earlier ones are over */
-  uint64_t gone_upto;                /* epochs up to this one are declared dead */
-  uint32_t claims;                   /* number of records that refer to it */
+  uint64_t dead_epoch_max;           /* epochs up to this one are declared dead */
+  uint32_t n_claims;                 /* number of records that refer to it */
   struct claim_abandoned *abandoned; /* ring buffer; NULL while empty */
   uint32_t n_abandoned;
   uint32_t next_abandoned;
@@ -53,7 +53,7 @@
   struct claim_host *host;
   struct handle handle;
   uint64_t epoch;
-  uint64_t take_id;
+  uint64_t acquire_id;
   int64_t expires_ms;
   int64_t retention_ms;
   char *body;
@@ -84,13 +84,13 @@
 void claim_table_clear (struct claim_table *table);
 
 /* Find or add the host and mark it as used.  NULL when the table is full. */
-struct claim_host *claim_table_host (struct claim_table *table, const char *name);
+struct claim_host *claim_table_get_host (struct claim_table *table, const char *name);
 
-void claim_table_abandon (struct claim_table *table,
-                          struct claim_host *host,
-                          uint64_t epoch,
-                          uint64_t take_id);
-bool claim_table_abandoned (const struct claim_host *host, uint64_t epoch, uint64_t take_id);
+void claim_table_add_abandoned (struct claim_table *table,
+                                struct claim_host *host,
+                                uint64_t epoch,
+                                uint64_t acquire_id);
+bool claim_table_is_abandoned (const struct claim_host *host, uint64_t epoch, uint64_t acquire_id);
 
 struct claim_record *claim_table_find (const struct claim_table *table,
                                        const uint8_t key[CLAIM_KEY_SIZE]);
--- a/src/config.c
+++ b/src/config.c
@@ -48,7 +48,7 @@
 update_board (struct config *config, int64_t now)
 {
   struct board *board = config->config.board;
-  const struct store_history *changes = store_changes (config->config.store);
+  const struct store_history *changes = store_get_history (config->config.store);
   const struct store_event *event;
   uint64_t before = board->revision;
 
@@ -57,7 +57,7 @@
     return;
   while (!config->replaced)
     {
-      if (store_history_after (changes, board->revision, &event) != STATUS_OK)
+      if (store_history_next (changes, board->revision, &event) != STATUS_OK)
         config->replaced = true;
       else if (event == NULL)
         break;
@@ -169,7 +169,7 @@
 {
   timer_disarm (config->config.timers, &config->board_timer);
   timer_disarm (config->config.timers, &config->request_timer);
-  store_unlisten (config->config.store, &config->listener);
+  store_remove_listener (config->config.store, &config->listener);
   if (config->reading)
     config->config.consensus->ops->withdraw (config->config.consensus, &config->proposal);
   return 0;
@@ -199,7 +199,7 @@
                                "Changes of configuration brought into force here.", NULL);
   self->revision = gauge_get (config->counters, "cherryarch_config_revision",
                               "Revision of the configuration in force here.", NULL);
-  store_listen (config->store, &self->listener);
+  store_add_listener (config->store, &self->listener);
   if (config->dump != NULL)
     dump_add (config->dump, &self->source);
   if (config->consensus != NULL)
--- a/src/config_board.c
+++ b/src/config_board.c
@@ -263,9 +263,9 @@
   remove_missing (self, store);
   for (kind = 0; kind < RESOURCE_KIND_COUNT; kind++)
     {
-      const struct store_object *object = store_after (store, (enum resource_kind) kind, "");
+      const struct store_object *object = store_next (store, (enum resource_kind) kind, "");
 
-      for (; object != NULL; object = store_after (store, object->kind, object->name))
+      for (; object != NULL; object = store_next (store, object->kind, object->name))
         {
           if (set_object (self, object->kind, object->name, object->spec, object->revision)
               == STATUS_OK)
--- a/src/config_feed.c
+++ b/src/config_feed.c
@@ -109,8 +109,8 @@
   bytes_init (&events, feed);
   for (kind = 0; kind < RESOURCE_KIND_COUNT; kind++)
     {
-      object = store_after (feed->config.store, (enum resource_kind) kind, "");
-      for (; object != NULL; object = store_after (feed->config.store, object->kind, object->name))
+      object = store_next (feed->config.store, (enum resource_kind) kind, "");
+      for (; object != NULL; object = store_next (feed->config.store, object->kind, object->name))
         {
           struct store_event event = { .revision = object->revision,
                                        .kind = object->kind,
@@ -137,7 +137,7 @@
 static void
 push (struct config_feed *feed, struct feed_follower *follower, int64_t now)
 {
-  const struct store_history *changes = store_changes (feed->config.store);
+  const struct store_history *changes = store_get_history (feed->config.store);
   const struct store_event *event = NULL;
   struct bytes events;
   struct bytes message;
@@ -148,7 +148,7 @@
       bytes_init (&events, feed);
       for (count = 0; events.length < MESSAGE_BYTES; count++)
         {
-          if (store_history_after (changes, follower->sent_revision, &event) != STATUS_OK)
+          if (store_history_next (changes, follower->sent_revision, &event) != STATUS_OK)
             {
               bytes_clear (&events);
               if (follower->snapshot_at != 0 && now < follower->snapshot_at + SNAPSHOT_INTERVAL_MIN)
@@ -320,7 +320,7 @@
 destroy (struct config_feed *feed)
 {
   timer_disarm (feed->config.timers, &feed->push);
-  store_unlisten (feed->config.store, &feed->listener);
+  store_remove_listener (feed->config.store, &feed->listener);
   if (feed->reading)
     feed->config.consensus->ops->withdraw (feed->config.consensus, &feed->proposal);
   return 0;
@@ -342,7 +342,7 @@
   feed->source.name = "config_feed";
   feed->snapshots = counter_get (config->counters, "cherryarch_config_copies_sent_total",
                                  "Whole copies of the configuration sent to followers.", NULL);
-  store_listen (config->store, &feed->listener);
+  store_add_listener (config->store, &feed->listener);
   config_link_set_handler (config->link, CONFIG_REQUEST, &feed->handler);
   if (config->dump != NULL)
     dump_add (config->dump, &feed->source);
--- a/src/config_follow.c
+++ b/src/config_follow.c
@@ -92,7 +92,7 @@
       enum status status = store_event_unpack (&event, body, scratch);
 
       if (status == STATUS_OK && event.revision > store_revision (follow->config.store))
-        status = store_follow (follow->config.store, &event);
+        status = store_apply_event (follow->config.store, &event);
       talloc_free (scratch);
       if (status == STATUS_OK)
         continue;
--- a/src/consensus_flush.c
+++ b/src/consensus_flush.c
@@ -261,7 +261,7 @@
   raft_compact_log (self->raft, &snapshot, keep_from);
   if (self->snapshots != NULL)
     counter_add (self->snapshots, 1);
-  return journal_drop (self->journal, keep_from);
+  return journal_compact (self->journal, keep_from);
 }
 
 /* Not before the log has grown to the size of the last snapshot, so that snapshots at most double
--- a/src/consensus_open.c
+++ b/src/consensus_open.c
@@ -79,7 +79,7 @@
 static enum status
 restore_raft (struct consensus_voter *self,
               const struct raft_snapshot *snapshot,
-              struct journal_found *found,
+              struct journal_recovery *found,
               int64_t now)
 {
   struct raft_options options;
@@ -101,7 +101,7 @@
 voter_restore (struct consensus_voter *self, int64_t now)
 {
   struct raft_snapshot snapshot;
-  struct journal_found found;
+  struct journal_recovery found;
   struct bytes payload;
   enum status status = open_identity (self);
 
--- a/src/flow_claim.c
+++ b/src/flow_claim.c
@@ -117,7 +117,7 @@
     return flow_end_with_reason (request, FLOW_REASON_CLAIMS_OFF, 0, now);
   memcpy (ask.body_hash, request->body_hash, CLAIM_HASH_SIZE);
   request->waiter.ops = &waiter_ops;
-  if (claims->ops->take (claims, &ask, &request->waiter, claim_deadline (request, now), now)
+  if (claims->ops->acquire (claims, &ask, &request->waiter, claim_deadline (request, now), now)
       != STATUS_OK)
     return flow_end_with_reason (request, FLOW_REASON_CLAIMS_UNREACHABLE, FLOW_RETRY_AFTER_DEFAULT,
                                  now);
--- a/src/host_trust.c
+++ b/src/host_trust.c
@@ -104,7 +104,7 @@
       revoke (trust, host->name);
       table_remove (trust->declared, handle);
     }
-  while ((object = store_after (trust->store, RESOURCE_HOST, after)) != NULL)
+  while ((object = store_next (trust->store, RESOURCE_HOST, after)) != NULL)
     {
       trust_declared_key (trust, object->name, object->spec);
       after = object->name;
@@ -116,7 +116,7 @@
 static int
 free_trust (struct host_trust *trust)
 {
-  store_unlisten (trust->store, &trust->listener);
+  store_remove_listener (trust->store, &trust->listener);
   return 0;
 }
 
@@ -137,7 +137,7 @@
       talloc_free (trust);
       return NULL;
     }
-  store_listen (store, &trust->listener);
+  store_add_listener (store, &trust->listener);
   talloc_set_destructor (trust, free_trust);
   return trust;
 }
--- a/src/journal.c
+++ b/src/journal.c
@@ -20,7 +20,7 @@
               uint64_t id,
               uint32_t segment_bytes,
               const struct raft_snapshot *snapshot,
-              struct journal_found *found,
+              struct journal_recovery *found,
               enum status *status)
 {
   struct journal *journal = talloc_zero (parent, struct journal);
@@ -169,7 +169,7 @@
 }
 
 static enum status
-fail_for_good (struct journal *journal, enum status status)
+fail_permanently (struct journal *journal, enum status status)
 {
   journal->failed = true;
   return status == STATUS_DISK_FULL ? STATUS_IO : status;
@@ -177,13 +177,13 @@
 
 /* Truncate a write that did not fit on the disk; no part of it was synced or acknowledged. */
 static enum status
-take_back (struct journal *journal, uint64_t length)
+undo_write (struct journal *journal, uint64_t length)
 {
   enum status status = journal->disk->ops->truncate (journal->disk, journal->file, length);
 
   bytes_clear (&journal->batch);
   if (status != STATUS_OK)
-    return fail_for_good (journal, status);
+    return fail_permanently (journal, status);
   return status_fail (STATUS_DISK_FULL, "no space left in the data folder");
 }
 
@@ -197,16 +197,17 @@
   if (journal->failed)
     return status_fail (STATUS_IO, "an earlier write to the journal failed");
   if (bytes_failed (&journal->batch))
-    return fail_for_good (journal, status_fail (STATUS_NO_MEMORY, "no memory for a journal batch"));
+    return fail_permanently (journal,
+                             status_fail (STATUS_NO_MEMORY, "no memory for a journal batch"));
   if (journal->batch.length == 0)
     return STATUS_OK;
   status = disk->ops->append (disk, journal->file, journal->batch.data, journal->batch.length);
   if (status == STATUS_DISK_FULL)
-    return take_back (journal, segment->bytes);
+    return undo_write (journal, segment->bytes);
   if (status == STATUS_OK)
     status = disk->ops->sync (disk, journal->file);
   if (status != STATUS_OK)
-    return fail_for_good (journal, status);
+    return fail_permanently (journal, status);
   segment->bytes += journal->batch.length;
   journal->state = journal->batch_state;
   journal->last_index = journal->batch_index;
@@ -217,7 +218,7 @@
   /* On a full disk the current segment keeps growing. */
   status = journal_begin_segment (journal, 0);
   if (status != STATUS_OK && status != STATUS_DISK_FULL)
-    return fail_for_good (journal, status);
+    return fail_permanently (journal, status);
   return STATUS_OK;
 }
 
@@ -270,7 +271,7 @@
 
 /* Removes the oldest first, so that a crash leaves a contiguous sequence of segments. */
 enum status
-journal_drop (struct journal *journal, uint64_t index)
+journal_compact (struct journal *journal, uint64_t index)
 {
   uint32_t n = 0;
 
--- a/src/journal.h
+++ b/src/journal.h
@@ -27,7 +27,7 @@
 struct journal;
 
 /* State recovered when the journal is opened. */
-struct journal_found
+struct journal_recovery
 {
   struct raft_state state;
   struct raft_log log; /* its entries are allocated under the parent given */
@@ -42,7 +42,7 @@
                               uint64_t id,
                               uint32_t segment_bytes,
                               const struct raft_snapshot *snapshot,
-                              struct journal_found *found,
+                              struct journal_recovery *found,
                               enum status *status);
 
 /* Add to the batch that journal_commit() writes. */
@@ -59,7 +59,7 @@
 enum status journal_reset (struct journal *journal, uint64_t index, uint64_t term);
 
 /* Remove the segments that hold no entry after `index`. */
-enum status journal_drop (struct journal *journal, uint64_t index);
+enum status journal_compact (struct journal *journal, uint64_t index);
 
 bool journal_failed (const struct journal *journal);
 uint64_t journal_bytes (const struct journal *journal);
--- a/src/journal_identity.c
+++ b/src/journal_identity.c
@@ -5,7 +5,7 @@
 #include <talloc.h>
 
 #define IDENTITY_NAME "identity"
-#define IDENTITY_MAX 4096
+#define IDENTITY_BYTES_MAX 4096
 #define IDENTITY_VERSION 1
 #define IDENTITY_FIELDS 5
 #define CHECKSUM_SIZE 8
@@ -44,7 +44,7 @@
 
   memset (out, 0, sizeof *out);
   bytes_init (&file, NULL);
-  status = disk->ops->read (disk, IDENTITY_NAME, 0, IDENTITY_MAX, &file);
+  status = disk->ops->read (disk, IDENTITY_NAME, 0, IDENTITY_BYTES_MAX, &file);
   if (status == STATUS_OK)
     status = decode (&file, out);
   bytes_clear (&file);
--- a/src/journal_private.h
+++ b/src/journal_private.h
@@ -31,7 +31,7 @@
 
 enum status journal_replay (struct journal *journal,
                             const struct raft_snapshot *snapshot,
-                            struct journal_found *found);
+                            struct journal_recovery *found);
 enum status journal_begin_segment (struct journal *journal, uint32_t flags);
 struct journal_segment *journal_push_segment (struct journal *journal,
                                               uint64_t number,
--- a/src/journal_replay.c
+++ b/src/journal_replay.c
@@ -5,7 +5,7 @@
 #include <stdlib.h>
 #include <talloc.h>
 
-#define SEGMENT_FILE_MAX (256u << 20)
+#define SEGMENT_FILE_BYTES_MAX (256u << 20)
 
 struct numbers
 {
@@ -16,7 +16,7 @@
 };
 
 static void
-collect (void *context, const char *name)
+collect_segment_number (void *context, const char *name)
 {
   struct numbers *numbers = context;
   uint64_t *grown;
@@ -55,7 +55,7 @@
 
 /* The size of the complete record with a valid checksum at `offset`; 0 when there is none. */
 static size_t
-valid_record (const struct journal *journal, const struct bytes *file, uint64_t offset)
+valid_record_size (const struct journal *journal, const struct bytes *file, uint64_t offset)
 {
   const char *record = file->data + offset;
   size_t left = file->length - offset;
@@ -78,18 +78,18 @@
 was_synced (const struct journal *journal, const struct bytes *file, uint64_t bad)
 {
   for (uint64_t at = bad + JOURNAL_ALIGN; at < file->length; at += JOURNAL_ALIGN)
-    if (valid_record (journal, file, at) > 0
+    if (valid_record_size (journal, file, at) > 0
         && format_get (file->data + at + RECORD_SYNCED * 8) > bad)
       return true;
   return false;
 }
 
 static enum status
-take_header (struct journal *journal,
-             uint64_t number,
-             const struct bytes *file,
-             bool first,
-             struct journal_found *found)
+replay_header (struct journal *journal,
+               uint64_t number,
+               const struct bytes *file,
+               bool first,
+               struct journal_recovery *found)
 {
   const char *words = file->data + JOURNAL_MAGIC_SIZE + 8;
   uint64_t prev_index;
@@ -122,10 +122,10 @@
 }
 
 static enum status
-take_entry (struct journal *journal,
-            const char *record,
-            uint32_t length,
-            struct journal_found *found)
+replay_entry (struct journal *journal,
+              const char *record,
+              uint32_t length,
+              struct journal_recovery *found)
 {
   uint64_t index = format_get (record + RECORD_INDEX * 8);
   uint64_t entry_kind = format_get (record + RECORD_LENGTH * 8) >> 48;
@@ -146,7 +146,7 @@
 }
 
 static enum status
-take_record (struct journal *journal, const char *record, struct journal_found *found)
+replay_record (struct journal *journal, const char *record, struct journal_recovery *found)
 {
   uint64_t word = format_get (record + RECORD_LENGTH * 8);
 
@@ -157,18 +157,18 @@
       found->state.vote = format_get (record + RECORD_INDEX * 8);
       return STATUS_OK;
     case RECORD_ENTRY:
-      return take_entry (journal, record, (uint32_t) word, found);
+      return replay_entry (journal, record, (uint32_t) word, found);
     default:
       return status_fail (STATUS_CORRUPT, "unknown kind of journal record");
     }
 }
 
 static enum status
-take_records (struct journal *journal,
-              uint64_t number,
-              const struct bytes *file,
-              bool last,
-              struct journal_found *found)
+replay_records (struct journal *journal,
+                uint64_t number,
+                const struct bytes *file,
+                bool last,
+                struct journal_recovery *found)
 {
   struct journal_segment *segment = &journal->segments[journal->n_segments - 1];
   uint64_t offset = SEGMENT_HEADER_SIZE;
@@ -176,11 +176,11 @@
 
   while (status == STATUS_OK && offset < file->length)
     {
-      size_t size = valid_record (journal, file, offset);
+      size_t size = valid_record_size (journal, file, offset);
 
       if (size == 0)
         break;
-      status = take_record (journal, file->data + offset, found);
+      status = replay_record (journal, file->data + offset, found);
       offset += size;
     }
   segment->bytes = offset;
@@ -194,7 +194,7 @@
 
 static enum status
 replay_segment (
-    struct journal *journal, uint64_t number, bool first, bool last, struct journal_found *found)
+    struct journal *journal, uint64_t number, bool first, bool last, struct journal_recovery *found)
 {
   char name[DISK_NAME_SIZE];
   struct bytes file;
@@ -202,18 +202,18 @@
 
   snprintf (name, sizeof name, JOURNAL_NAME_FORMAT, number);
   bytes_init (&file, journal);
-  status = journal->disk->ops->read (journal->disk, name, 0, SEGMENT_FILE_MAX, &file);
+  status = journal->disk->ops->read (journal->disk, name, 0, SEGMENT_FILE_BYTES_MAX, &file);
   if (status == STATUS_OK)
-    status = take_header (journal, number, &file, first, found);
+    status = replay_header (journal, number, &file, first, found);
   if (status == STATUS_OK)
-    status = take_records (journal, number, &file, last, found);
+    status = replay_records (journal, number, &file, last, found);
   bytes_clear (&file);
   return status;
 }
 
 /* Open the last segment for writing and truncate an unfinished write. */
 static enum status
-continue_last (struct journal *journal, uint64_t torn_bytes)
+reopen_last_segment (struct journal *journal, uint64_t torn_bytes)
 {
   struct journal_segment *segment = &journal->segments[journal->n_segments - 1];
   struct disk *disk = journal->disk;
@@ -239,9 +239,9 @@
 /* The log must contain the snapshot's last entry.  When it ends before it, or has another entry at
  * that index, a crash came between storing a leader's snapshot and resetting the journal. */
 static enum status
-join_snapshot (struct journal *journal,
-               const struct raft_snapshot *snapshot,
-               struct journal_found *found)
+reconcile_snapshot (struct journal *journal,
+                    const struct raft_snapshot *snapshot,
+                    struct journal_recovery *found)
 {
   uint64_t term;
 
@@ -258,14 +258,14 @@
 enum status
 journal_replay (struct journal *journal,
                 const struct raft_snapshot *snapshot,
-                struct journal_found *found)
+                struct journal_recovery *found)
 {
   struct numbers numbers = { .parent = journal };
   enum status status;
 
   memset (found, 0, sizeof *found);
   raft_log_init (&found->log, 0, 0);
-  status = journal->disk->ops->list (journal->disk, collect, &numbers);
+  status = journal->disk->ops->list (journal->disk, collect_segment_number, &numbers);
   if (status == STATUS_OK && numbers.failed)
     status = status_fail (STATUS_CORRUPT, "journal segment name is not \"" JOURNAL_NAME_PREFIX
                                           "\" and a hexadecimal number");
@@ -287,8 +287,8 @@
   journal->state = found->state;
   journal->last_index = raft_log_last (&found->log);
   journal->last_term = raft_log_last_term (&found->log);
-  status = continue_last (journal, found->torn_bytes);
+  status = reopen_last_segment (journal, found->torn_bytes);
   if (status == STATUS_OK)
-    status = join_snapshot (journal, snapshot, found);
+    status = reconcile_snapshot (journal, snapshot, found);
   return status;
 }
--- a/src/operator_change.c
+++ b/src/operator_change.c
@@ -214,7 +214,7 @@
 {
   char message[256];
 
-  if (answer->verdict == STORE_CONFLICT && pending->change.again)
+  if (answer->verdict == STORE_CONFLICT && pending->change.retry_on_conflict)
     {
       patch_conflict (pending, answer, now);
       return;
@@ -286,7 +286,7 @@
   enum status status;
 
   bytes_init (&entry, pending);
-  store_group_begin (STORE_PART_RESOURCES, &entry);
+  store_group_begin_entry (STORE_PART_RESOURCES, &entry);
   store_change_pack (&pending->change, &entry);
   status = bytes_failed (&entry) ? status_fail (STATUS_NO_MEMORY, "no memory for an entry")
                                  : consensus->ops->propose (consensus, entry.data, entry.length,
@@ -354,7 +354,7 @@
   pending->patch = json_incref (body->spec);
   pending->pinned = body->has_version;
   pending->version = body->version;
-  pending->change.again = true;
+  pending->change.retry_on_conflict = true;
   pending->change.has_version = true;
   if (object == NULL || (body->has_version && body->version != object->revision))
     {
--- a/src/operator_list.c
+++ b/src/operator_list.c
@@ -90,7 +90,7 @@
             struct bytes *out)
 {
   const struct store *store = request->api->config.store;
-  const struct store_object *object = store_after (store, request->kind, from->after);
+  const struct store_object *object = store_next (store, request->kind, from->after);
   uint32_t left = list_limit (request->exchange);
   const char *last = NULL;
 
@@ -101,7 +101,7 @@
         bytes_append_text (out, ",");
       store_object_write (object, out);
       last = object->name;
-      object = store_after (store, request->kind, object->name);
+      object = store_next (store, request->kind, object->name);
     }
   bytes_append_format (out, "],\"metadata\":{\"resourceVersion\":%llu",
                        (unsigned long long) from->revision);
@@ -125,7 +125,7 @@
       http_reply_error (request->exchange, 400, "continue", "not a token that a list gave");
       return;
     }
-  if (token.revision < store_history_oldest (store_changes (api->config.store))
+  if (token.revision < store_history_oldest (store_get_history (api->config.store))
       && token.after[0] != '\0')
     {
       http_reply_error (request->exchange, 410, "continue", "the list is too old: list again");
--- a/src/operator_watch.c
+++ b/src/operator_watch.c
@@ -118,14 +118,14 @@
 static void
 pump (struct operator_one_watch *watch)
 {
-  const struct store_history *changes = store_changes (watch->watches->api->config.store);
+  const struct store_history *changes = store_get_history (watch->watches->api->config.store);
   const struct store_event *event;
   struct bytes object;
   bool sent = true;
 
   while (sent && watch->exchange->ops->unsent (watch->exchange) < WATCH_UNSENT_MAX)
     {
-      if (store_history_after (changes, watch->revision, &event) != STATUS_OK)
+      if (store_history_next (changes, watch->revision, &event) != STATUS_OK)
         {
           end_too_old (watch);
           return;
@@ -216,12 +216,12 @@
 static bool
 send_all (struct operator_one_watch *watch, const struct store *store)
 {
-  const struct store_object *object = store_after (store, watch->kind, "");
+  const struct store_object *object = store_next (store, watch->kind, "");
   enum resource_kind kind = watch->kind;
   struct bytes text;
   bool sent = true;
 
-  for (; sent && object != NULL; object = store_after (store, kind, object->name))
+  for (; sent && object != NULL; object = store_next (store, kind, object->name))
     {
       bytes_init (&text, watch->watches);
       store_object_write (object, &text);
@@ -271,7 +271,7 @@
     revision = strtoull (text, &end, 10);
   if (text[0] != '\0' && (end == text || *end != '\0'))
     http_reply_error (exchange, 400, "resourceVersion", "expected a whole number");
-  else if (store_history_after (store_changes (store), revision, &event) != STATUS_OK)
+  else if (store_history_next (store_get_history (store), revision, &event) != STATUS_OK)
     http_reply_error (exchange, 410, "resourceVersion", status_message ());
   else if (watches->count >= WATCHES_MAX)
     http_reply_error (exchange, 503, NULL, "too many watches on this host: use another");
@@ -302,7 +302,7 @@
 
   timer_disarm (watches->api->config.timers, &watches->pump);
   timer_disarm (watches->api->config.timers, &watches->period);
-  store_unlisten (watches->api->config.store, &watches->listener);
+  store_remove_listener (watches->api->config.store, &watches->listener);
   DL_FOREACH (watches->list, watch)
     watch->exchange->watcher = NULL;
   return 0;
@@ -321,7 +321,7 @@
   watches->period.ops = &period_ops;
   watches->gauge =
       gauge_get (api->config.counters, "cherryarch_operator_watches", "Open watches.", NULL);
-  store_listen (api->config.store, &watches->listener);
+  store_add_listener (api->config.store, &watches->listener);
   talloc_set_destructor (watches, destroy);
   return watches;
 }
--- a/src/order.c
+++ b/src/order.c
@@ -35,7 +35,7 @@
 read_assignments (struct orders *orders)
 {
   const struct store *store = orders->config.store;
-  const struct store_object *object = store_after (store, RESOURCE_ASSIGNMENT, "");
+  const struct store_object *object = store_next (store, RESOURCE_ASSIGNMENT, "");
   uint32_t count = store_count (store, RESOURCE_ASSIGNMENT);
 
   talloc_free (orders->assignments);
@@ -43,7 +43,7 @@
   orders->assignments = talloc_zero_array (orders, struct assignment_spec, count + 1);
   if (orders->assignments == NULL)
     return; /* `stale` stays set, so the next pass tries again */
-  for (; object != NULL; object = store_after (store, RESOURCE_ASSIGNMENT, object->name))
+  for (; object != NULL; object = store_next (store, RESOURCE_ASSIGNMENT, object->name))
     {
       union resource_spec spec;
       struct resource_problem problem;
@@ -151,7 +151,7 @@
   orders->fence_proposed_at = now;
   text_copy_cut (change.host, sizeof change.host, orders->config.host);
   bytes_init (&entry, orders);
-  store_group_begin (STORE_PART_RESOURCES, &entry);
+  store_group_begin_entry (STORE_PART_RESOURCES, &entry);
   store_change_pack (&change, &entry);
   orders->fence_proposed =
       !bytes_failed (&entry)
@@ -279,7 +279,7 @@
 
   drop_all (orders);
   timer_disarm (orders->config.timers, &orders->timer);
-  store_unlisten (orders->config.store, &orders->listener);
+  store_remove_listener (orders->config.store, &orders->listener);
   if (orders->fence_proposed)
     consensus->ops->withdraw (consensus, &orders->fence_proposal);
   if (orders->status_proposed)
@@ -314,7 +314,7 @@
                               "Targets brought to what their assignment wants.", NULL);
   orders->refused = counter_get (config->counters, "cherryarch_orders_refused_total",
                                  "Orders that targets refused.", NULL);
-  store_listen (config->store, &orders->listener);
+  store_add_listener (config->store, &orders->listener);
   if (config->dump != NULL)
     dump_add (config->dump, &orders->source);
   timer_arm (config->timers, &orders->timer, now);
--- a/src/order_status.c
+++ b/src/order_status.c
@@ -65,7 +65,7 @@
   text_copy_cut (change.name, sizeof change.name, object->name);
   text_copy_cut (change.host, sizeof change.host, orders->config.host);
   bytes_init (&entry, orders);
-  store_group_begin (STORE_PART_RESOURCES, &entry);
+  store_group_begin_entry (STORE_PART_RESOURCES, &entry);
   store_change_pack (&change, &entry);
   orders->status_proposed =
       !bytes_failed (&entry)
@@ -80,9 +80,8 @@
 order_status_write (struct orders *orders, int64_t now)
 {
   const struct store *store = orders->config.store;
-  const struct store_object *object = store_after (store, RESOURCE_ASSIGNMENT, "");
-  const struct store_object *first =
-      store_after (store, RESOURCE_ASSIGNMENT, orders->status_cursor);
+  const struct store_object *object = store_next (store, RESOURCE_ASSIGNMENT, "");
+  const struct store_object *first = store_next (store, RESOURCE_ASSIGNMENT, orders->status_cursor);
   uint32_t left = store_count (store, RESOURCE_ASSIGNMENT);
 
   if (orders->status_proposed || now < orders->status_proposed_at + STATUS_PERIOD)
@@ -101,8 +100,8 @@
       free (text);
       if (differs)
         return;
-      object = store_after (store, RESOURCE_ASSIGNMENT, object->name);
+      object = store_next (store, RESOURCE_ASSIGNMENT, object->name);
       if (object == NULL)
-        object = store_after (store, RESOURCE_ASSIGNMENT, "");
+        object = store_next (store, RESOURCE_ASSIGNMENT, "");
     }
 }
--- a/src/snapshot.c
+++ b/src/snapshot.c
@@ -11,8 +11,8 @@
 #define NAME_PREFIX "snapshot-"
 #define NAME_FORMAT NAME_PREFIX "%016" PRIx64
 #define CHECKSUM_SIZE 8
-#define FILE_MAX (512u << 20)
-#define STALE_MAX 8
+#define FILE_BYTES_MAX (512u << 20)
+#define SNAPSHOT_LIST_MAX 8
 
 /* Words after the magic, the version (4 bytes) and the length of the members (4 bytes). */
 enum header_word
@@ -76,39 +76,39 @@
   format_put (out->data + HEADER_SIZE - 8, header_checksum (out->data, members_length));
 }
 
-struct stale
+struct snapshot_list
 {
   uint64_t newest;
-  uint64_t indices[STALE_MAX];
+  uint64_t indices[SNAPSHOT_LIST_MAX];
   uint32_t n;
 };
 
 static void
-collect (void *context, const char *name)
+collect_index (void *context, const char *name)
 {
-  struct stale *stale = context;
+  struct snapshot_list *snapshot_list = context;
   uint64_t index;
 
   if (strncmp (name, NAME_PREFIX, strlen (NAME_PREFIX)) != 0)
     return;
   index = strtoull (name + strlen (NAME_PREFIX), NULL, 16);
-  if (stale->n < STALE_MAX)
-    stale->indices[stale->n++] = index;
-  if (index > stale->newest)
-    stale->newest = index;
+  if (snapshot_list->n < SNAPSHOT_LIST_MAX)
+    snapshot_list->indices[snapshot_list->n++] = index;
+  if (index > snapshot_list->newest)
+    snapshot_list->newest = index;
 }
 
 static enum status
 remove_older (struct disk *disk, uint64_t index)
 {
-  struct stale stale = { 0 };
+  struct snapshot_list snapshot_list = { 0 };
   char name[DISK_NAME_SIZE];
-  enum status status = disk->ops->list (disk, collect, &stale);
+  enum status status = disk->ops->list (disk, collect_index, &snapshot_list);
 
-  for (uint32_t i = 0; status == STATUS_OK && i < stale.n; i++)
-    if (stale.indices[i] < index)
+  for (uint32_t i = 0; status == STATUS_OK && i < snapshot_list.n; i++)
+    if (snapshot_list.indices[i] < index)
       {
-        snprintf (name, sizeof name, NAME_FORMAT, stale.indices[i]);
+        snprintf (name, sizeof name, NAME_FORMAT, snapshot_list.indices[i]);
         status = disk->ops->remove (disk, name);
       }
   return status;
@@ -165,17 +165,17 @@
 enum status
 snapshot_load (struct disk *disk, struct raft_snapshot *out, struct bytes *payload)
 {
-  struct stale stale = { 0 };
+  struct snapshot_list snapshot_list = { 0 };
   char name[DISK_NAME_SIZE];
-  enum status status = disk->ops->list (disk, collect, &stale);
+  enum status status = disk->ops->list (disk, collect_index, &snapshot_list);
 
   memset (out, 0, sizeof *out);
-  if (status == STATUS_OK && stale.n == 0)
+  if (status == STATUS_OK && snapshot_list.n == 0)
     return STATUS_NOT_FOUND;
   if (status == STATUS_OK)
     {
-      snprintf (name, sizeof name, NAME_FORMAT, stale.newest);
-      status = disk->ops->read (disk, name, 0, FILE_MAX, payload);
+      snprintf (name, sizeof name, NAME_FORMAT, snapshot_list.newest);
+      status = disk->ops->read (disk, name, 0, FILE_BYTES_MAX, payload);
     }
   if (status == STATUS_OK)
     status = decode (payload, out);
--- a/src/store.c
+++ b/src/store.c
@@ -17,7 +17,7 @@
 };
 
 static bool
-kind_full (const struct store *store, enum resource_kind kind)
+kind_is_full (const struct store *store, enum resource_kind kind)
 {
   uint32_t count = store->objects.kinds[kind].count;
 
@@ -49,7 +49,7 @@
 }
 
 void
-store_publish_all (struct store *store)
+store_publish_replaced (struct store *store)
 {
   struct store_listener *listener;
   struct store_listener *following;
@@ -61,7 +61,7 @@
 
 /* A service and a pipeline with the same name would be the same entry of the board. */
 static bool
-name_taken (const struct store *store, const struct store_change *change)
+name_is_taken (const struct store *store, const struct store_change *change)
 {
   if (change->kind == RESOURCE_PIPELINE)
     return store_objects_find (&store->objects, RESOURCE_SERVICE, change->name) != NULL;
@@ -84,10 +84,10 @@
 }
 
 static enum store_verdict
-check (const struct store *store,
-       const struct store_change *change,
-       const struct store_object *object,
-       const char **other)
+check_change (const struct store *store,
+              const struct store_change *change,
+              const struct store_object *object,
+              const char **other)
 {
   const struct store_object *referrer;
 
@@ -97,15 +97,15 @@
     return STORE_NOT_FOUND;
   if (change->op == STORE_DELETE)
     {
-      referrer = store_objects_referrer (&store->objects, change->kind, change->name);
+      referrer = store_objects_find_referrer (&store->objects, change->kind, change->name);
       *other = referrer == NULL ? NULL : referrer->name;
       return referrer == NULL ? STORE_DELETED : STORE_REFERENCED;
     }
   if (change->op == STORE_STATUS)
     return STORE_CHANGED;
-  if (object == NULL && name_taken (store, change))
+  if (object == NULL && name_is_taken (store, change))
     return STORE_TAKEN;
-  if (object == NULL && kind_full (store, change->kind))
+  if (object == NULL && kind_is_full (store, change->kind))
     return STORE_FULL;
   *other = missing_reference (store, change);
   if (*other != NULL)
@@ -138,10 +138,10 @@
 
 /* Apply a change that check() has accepted. */
 static struct store_object *
-carry_out (struct store *store,
-           const struct store_change *change,
-           struct store_object *object,
-           enum store_verdict *verdict)
+apply_checked (struct store *store,
+               const struct store_change *change,
+               struct store_object *object,
+               enum store_verdict *verdict)
 {
   bool changed;
 
@@ -180,12 +180,12 @@
 {
   struct store_object *object = store_objects_find (&store->objects, change->kind, change->name);
   const char *other = NULL;
-  struct store_answer answer = { .verdict = check (store, change, object, &other) };
+  struct store_answer answer = { .verdict = check_change (store, change, object, &other) };
   struct bytes text;
 
   bytes_init (&text, store);
   if (answer.verdict <= STORE_DELETED)
-    object = carry_out (store, change, object, &answer.verdict);
+    object = apply_checked (store, change, object, &answer.verdict);
   if (answer.verdict <= STORE_CONFLICT && object != NULL)
     store_object_write (object, &text);
   else if (other != NULL)
@@ -222,10 +222,10 @@
 
 /* Answer to a known change id: its first answer, or a refusal when the body differs. */
 static void
-answer_again (const struct store *store,
-              const struct bytes *first,
-              bool same_body,
-              struct bytes *result)
+answer_resent (const struct store *store,
+               const struct bytes *first,
+               bool same_body,
+               struct bytes *result)
 {
   struct store_answer answer;
 
@@ -261,10 +261,10 @@
   if (change.change_id[0] != '\0')
     {
       first = store_ids_find (store->ids, change.change_id, change.body_hash, &same_body);
-      if (first != NULL || store_ids_full (store->ids))
+      if (first != NULL || store_ids_is_full (store->ids))
         {
           if (first != NULL)
-            answer_again (store, first, same_body, result);
+            answer_resent (store, first, same_body, result);
           else
             answer_only (store, STORE_FULL, result);
           return;
@@ -277,7 +277,7 @@
     }
   verdict = apply_change (store, &change, result);
   if (change.change_id[0] != '\0' && verdict != STORE_FULL
-      && !(verdict == STORE_CONFLICT && change.again))
+      && !(verdict == STORE_CONFLICT && change.retry_on_conflict))
     store_ids_add (store->ids, change.change_id, change.body_hash, store->clock.now_ms,
                    result->data + begin, result->length - begin);
 }
@@ -319,7 +319,7 @@
   store_objects_clear (&store->objects);
   store->objects = objects;
   status = store_read_end (&in);
-  store_publish_all (store);
+  store_publish_replaced (store);
   return status;
 }
 
@@ -339,8 +339,8 @@
     own->change_ids_max = STORE_CHANGE_IDS_MAX;
   if (own->change_id_bytes_max == 0)
     own->change_id_bytes_max = STORE_CHANGE_ID_BYTES_MAX;
-  if (own->change_id_keep_ms == 0)
-    own->change_id_keep_ms = STORE_CHANGE_ID_KEEP_MS;
+  if (own->change_id_retention_ms == 0)
+    own->change_id_retention_ms = STORE_CHANGE_ID_RETENTION_MS;
   if (own->history_events_max == 0)
     own->history_events_max = STORE_HISTORY_EVENTS_MAX;
   if (own->history_bytes_max == 0)
@@ -351,7 +351,7 @@
   store->ids = store_ids_new (store, &(struct store_ids_config){
                                          .count_max = own->change_ids_max,
                                          .bytes_max = own->change_id_bytes_max,
-                                         .keep_ms = own->change_id_keep_ms,
+                                         .retention_ms = own->change_id_retention_ms,
                                      });
   store->history = store_history_new (store, own->history_events_max, own->history_bytes_max);
   if (store->ids == NULL || store->history == NULL)
@@ -381,9 +381,9 @@
 }
 
 const struct store_object *
-store_after (const struct store *store, enum resource_kind kind, const char *name)
+store_next (const struct store *store, enum resource_kind kind, const char *name)
 {
-  return store_objects_after (&store->objects, kind, name);
+  return store_objects_next (&store->objects, kind, name);
 }
 
 uint32_t
@@ -393,19 +393,19 @@
 }
 
 const struct store_history *
-store_changes (const struct store *store)
+store_get_history (const struct store *store)
 {
   return store->history;
 }
 
 void
-store_listen (struct store *store, struct store_listener *listener)
+store_add_listener (struct store *store, struct store_listener *listener)
 {
   LL_PREPEND (store->listeners, listener);
 }
 
 void
-store_unlisten (struct store *store, struct store_listener *listener)
+store_remove_listener (struct store *store, struct store_listener *listener)
 {
   LL_DELETE (store->listeners, listener);
 }
--- a/src/store.h
+++ b/src/store.h
@@ -15,7 +15,7 @@
 
 #define STORE_CHANGE_IDS_MAX 8192
 #define STORE_CHANGE_ID_BYTES_MAX (8u << 20)
-#define STORE_CHANGE_ID_KEEP_MS (3600 * INT64_C (1000))
+#define STORE_CHANGE_ID_RETENTION_MS (3600 * INT64_C (1000))
 #define STORE_HISTORY_EVENTS_MAX 4096
 #define STORE_HISTORY_BYTES_MAX (4u << 20)
 
@@ -24,7 +24,7 @@
 {
   uint32_t change_ids_max;
   size_t change_id_bytes_max;
-  int64_t change_id_keep_ms;
+  int64_t change_id_retention_ms;
   uint32_t history_events_max; /* this and the next may differ between hosts */
   size_t history_bytes_max;
 };
@@ -59,17 +59,17 @@
                                        const char *name);
 
 /* The first object whose name sorts after `name`; "" gives the first of all. */
-const struct store_object *store_after (const struct store *store,
-                                        enum resource_kind kind,
-                                        const char *name);
+const struct store_object *store_next (const struct store *store,
+                                       enum resource_kind kind,
+                                       const char *name);
 uint32_t store_count (const struct store *store, enum resource_kind kind);
-const struct store_history *store_changes (const struct store *store);
-void store_listen (struct store *store, struct store_listener *listener);
-void store_unlisten (struct store *store, struct store_listener *listener);
+const struct store_history *store_get_history (const struct store *store);
+void store_add_listener (struct store *store, struct store_listener *listener);
+void store_remove_listener (struct store *store, struct store_listener *listener);
 
 /* Follower: apply the next change.  STATUS_CONFLICT when it is not the revision after the current
  * one. */
-enum status store_follow (struct store *store, const struct store_event *event);
+enum status store_apply_event (struct store *store, const struct store_event *event);
 
 /* Follower: replace all objects, added in any order, each as an event of its last revision.
  * store_replace_end() returns STATUS_CONFLICT, and changes nothing, when `revision` is older than
--- a/src/store_clock.c
+++ b/src/store_clock.c
@@ -3,7 +3,7 @@
 #include "text.h"
 
 static void
-drop_silent (struct store_clock *clock)
+drop_silent_hosts (struct store_clock *clock)
 {
   uint32_t kept = 0;
   uint32_t i;
@@ -16,7 +16,7 @@
 
 /* The host's slot, a free one, or that of the host whose last entry is the oldest. */
 static uint32_t
-slot_of (struct store_clock *clock, const char *host)
+find_slot (struct store_clock *clock, const char *host)
 {
   uint32_t oldest = 0;
   uint32_t i;
@@ -40,8 +40,8 @@
   uint32_t i;
 
   clock->entries++;
-  drop_silent (clock);
-  slot = slot_of (clock, host);
+  drop_silent_hosts (clock);
+  slot = find_slot (clock, host);
   text_copy_cut (clock->seen[slot].host, sizeof clock->seen[slot].host, host);
   clock->seen[slot].time_ms = time_ms;
   clock->seen[slot].entry = clock->entries;
--- a/src/store_entry.c
+++ b/src/store_entry.c
@@ -48,7 +48,7 @@
     }
   pack_uint (out, change->has_version);
   pack_uint (out, change->version);
-  pack_uint (out, change->again);
+  pack_uint (out, change->retry_on_conflict);
   pack_text (out, change->change_id);
   pack_binary (out, change->body_hash, sizeof change->body_hash);
   pack_text (out, change->host);
@@ -78,7 +78,7 @@
     }
   change->has_version = pack_read_uint (&in, 1) != 0;
   change->version = pack_read_uint (&in, UINT64_MAX);
-  change->again = pack_read_uint (&in, 1) != 0;
+  change->retry_on_conflict = pack_read_uint (&in, 1) != 0;
   pack_read_text (&in, change->change_id, sizeof change->change_id);
   store_read_fixed (&in, change->body_hash, sizeof change->body_hash);
   pack_read_text (&in, change->host, sizeof change->host);
--- a/src/store_entry.h
+++ b/src/store_entry.h
@@ -35,8 +35,8 @@
   struct resource_reference references[RESOURCE_REFERENCES_MAX];
   uint32_t n_references;
   bool has_version;
-  uint64_t version; /* required revision of the object; 0: it must not exist */
-  bool again;       /* the proposer retries after a conflict: do not store that answer */
+  uint64_t version;       /* required revision of the object; 0: it must not exist */
+  bool retry_on_conflict; /* the proposer retries after a conflict: do not store that answer */
   char change_id[STORE_CHANGE_ID_SIZE]; /* "" for none */
   uint8_t body_hash[STORE_BODY_HASH_SIZE];
   char host[RESOURCE_NAME_SIZE]; /* of the proposer */
--- a/src/store_group.c
+++ b/src/store_group.c
@@ -14,7 +14,7 @@
 };
 
 void
-store_group_begin (enum store_part part, struct bytes *entry)
+store_group_begin_entry (enum store_part part, struct bytes *entry)
 {
   char byte = (char) part;
 
--- a/src/store_group.h
+++ b/src/store_group.h
@@ -26,7 +26,7 @@
 struct machine *store_group_machine (struct store_group *group);
 
 /* Write the prefix of an entry of that part; the state machine's own entry follows. */
-void store_group_begin (enum store_part part, struct bytes *entry);
+void store_group_begin_entry (enum store_part part, struct bytes *entry);
 
 END_DECLS
 
--- a/src/store_history.c
+++ b/src/store_history.c
@@ -14,7 +14,7 @@
   uint32_t count;
   size_t bytes_max;
   size_t bytes;
-  uint64_t before; /* the revision just before the oldest event */
+  uint64_t base_revision; /* the revision just before the oldest event */
 };
 
 static const char *const event_texts[] = {
@@ -100,19 +100,19 @@
 }
 
 static size_t
-size_of (const struct store_event *event)
+event_size (const struct store_event *event)
 {
   return sizeof *event + strlen (event->spec) + 1
          + (event->status == NULL ? 0 : strlen (event->status) + 1);
 }
 
 static void
-drop_first (struct store_history *history)
+drop_oldest (struct store_history *history)
 {
   struct store_event *event = history->ring[history->first];
 
-  history->before = event->revision;
-  history->bytes -= size_of (event);
+  history->base_revision = event->revision;
+  history->bytes -= event_size (event);
   history->ring[history->first] = NULL;
   talloc_free (event);
   history->first = (history->first + 1) % history->events_max;
@@ -150,33 +150,33 @@
     }
   while (history->count > 0
          && (history->count == history->events_max
-             || history->bytes + size_of (copy) > history->bytes_max))
-    drop_first (history);
+             || history->bytes + event_size (copy) > history->bytes_max))
+    drop_oldest (history);
   history->ring[(history->first + history->count) % history->events_max] = copy;
   history->count++;
-  history->bytes += size_of (copy);
+  history->bytes += event_size (copy);
 }
 
 void
 store_history_reset (struct store_history *history, uint64_t revision)
 {
   while (history->count > 0)
-    drop_first (history);
-  history->before = revision;
+    drop_oldest (history);
+  history->base_revision = revision;
 }
 
 enum status
-store_history_after (const struct store_history *history,
-                     uint64_t revision,
-                     const struct store_event **out)
+store_history_next (const struct store_history *history,
+                    uint64_t revision,
+                    const struct store_event **out)
 {
   uint64_t offset;
 
   *out = NULL;
-  if (revision < history->before)
+  if (revision < history->base_revision)
     return status_fail (STATUS_EXPIRED, "revision %llu is too old: list again",
                         (unsigned long long) revision);
-  offset = revision - history->before;
+  offset = revision - history->base_revision;
   if (offset < history->count)
     *out = history->ring[(history->first + offset) % history->events_max];
   return STATUS_OK;
@@ -185,5 +185,5 @@
 uint64_t
 store_history_oldest (const struct store_history *history)
 {
-  return history->before;
+  return history->base_revision;
 }
--- a/src/store_history.h
+++ b/src/store_history.h
@@ -61,9 +61,9 @@
 
 /* The change after `revision`; NULL when there is none yet.  STATUS_EXPIRED when it was already
  * dropped. */
-enum status store_history_after (const struct store_history *history,
-                                 uint64_t revision,
-                                 const struct store_event **out);
+enum status store_history_next (const struct store_history *history,
+                                uint64_t revision,
+                                const struct store_event **out);
 
 /* The oldest revision that a watch can resume from. */
 uint64_t store_history_oldest (const struct store_history *history);
--- a/src/store_ids.c
+++ b/src/store_ids.c
@@ -12,7 +12,7 @@
   UT_hash_handle hh;
   struct store_id *prev;
   struct store_id *next;
-  int64_t since_ms;
+  int64_t added_ms;
   uint8_t body_hash[STORE_BODY_HASH_SIZE];
   struct bytes answer;
   char change_id[]; /* including the NUL */
@@ -63,7 +63,7 @@
 void
 store_ids_expire (struct store_ids *ids, int64_t now_ms)
 {
-  while (ids->oldest != NULL && ids->oldest->since_ms + ids->config.keep_ms <= now_ms)
+  while (ids->oldest != NULL && ids->oldest->added_ms + ids->config.retention_ms <= now_ms)
     drop_oldest (ids);
 }
 
@@ -85,7 +85,7 @@
 }
 
 bool
-store_ids_full (const struct store_ids *ids)
+store_ids_is_full (const struct store_ids *ids)
 {
   return ids->count >= ids->config.count_max || ids->bytes >= ids->config.bytes_max;
 }
@@ -105,7 +105,7 @@
   INVARIANT (id != NULL);
   memcpy (id->change_id, change_id, id_size);
   memcpy (id->body_hash, body_hash, sizeof id->body_hash);
-  id->since_ms = now_ms;
+  id->added_ms = now_ms;
   bytes_init (&id->answer, id);
   bytes_append (&id->answer, answer, length);
   INVARIANT (!bytes_failed (&id->answer));
@@ -140,7 +140,7 @@
       pack_array (out, ID_FIELDS);
       pack_text (out, id->change_id);
       pack_binary (out, id->body_hash, sizeof id->body_hash);
-      store_pack_time (out, id->since_ms);
+      store_pack_time (out, id->added_ms);
       pack_binary (out, id->answer.data, id->answer.length);
     }
 }
@@ -155,7 +155,7 @@
     {
       char change_id[STORE_CHANGE_ID_SIZE];
       uint8_t body_hash[STORE_BODY_HASH_SIZE];
-      int64_t since_ms;
+      int64_t added_ms;
       const void *answer;
       size_t length;
 
@@ -163,9 +163,9 @@
         in->failed = true;
       pack_read_text (in, change_id, sizeof change_id);
       store_read_fixed (in, body_hash, sizeof body_hash);
-      since_ms = store_read_time (in);
+      added_ms = store_read_time (in);
       answer = store_read_data (in, &length);
       if (!in->failed)
-        store_ids_add (ids, change_id, body_hash, since_ms, answer, length);
+        store_ids_add (ids, change_id, body_hash, added_ms, answer, length);
     }
 }
--- a/src/store_ids.h
+++ b/src/store_ids.h
@@ -19,7 +19,7 @@
 {
   uint32_t count_max;
   size_t bytes_max; /* of all stored answers */
-  int64_t keep_ms;
+  int64_t retention_ms;
 };
 
 struct store_ids *store_ids_new (void *parent, const struct store_ids_config *config);
@@ -33,7 +33,7 @@
                                     const uint8_t body_hash[STORE_BODY_HASH_SIZE],
                                     bool *same_body);
 
-bool store_ids_full (const struct store_ids *ids);
+bool store_ids_is_full (const struct store_ids *ids);
 
 void store_ids_add (struct store_ids *ids,
                     const char *change_id,
--- a/src/store_object.c
+++ b/src/store_object.c
@@ -30,7 +30,7 @@
 
 /* The position of the first object whose name does not sort before `name`. */
 static uint32_t
-position_of (const struct store_objects *objects, enum resource_kind kind, const char *name)
+find_position (const struct store_objects *objects, enum resource_kind kind, const char *name)
 {
   uint32_t low = 0;
   uint32_t high = objects->kinds[kind].count;
@@ -56,15 +56,15 @@
 struct store_object *
 store_objects_find (const struct store_objects *objects, enum resource_kind kind, const char *name)
 {
-  struct store_object *object = object_at (objects, kind, position_of (objects, kind, name));
+  struct store_object *object = object_at (objects, kind, find_position (objects, kind, name));
 
   return object != NULL && strcmp (object->name, name) == 0 ? object : NULL;
 }
 
 struct store_object *
-store_objects_after (const struct store_objects *objects, enum resource_kind kind, const char *name)
+store_objects_next (const struct store_objects *objects, enum resource_kind kind, const char *name)
 {
-  uint32_t position = position_of (objects, kind, name);
+  uint32_t position = find_position (objects, kind, name);
   struct store_object *object = object_at (objects, kind, position);
 
   if (object != NULL && strcmp (object->name, name) == 0)
@@ -75,7 +75,7 @@
 struct store_object *
 store_objects_add (struct store_objects *objects, enum resource_kind kind, const char *name)
 {
-  uint32_t position = position_of (objects, kind, name);
+  uint32_t position = find_position (objects, kind, name);
   uint32_t count = objects->kinds[kind].count;
   struct store_object **sorted = objects->kinds[kind].sorted;
   struct store_object *object;
@@ -105,7 +105,7 @@
 store_objects_remove (struct store_objects *objects, struct store_object *object)
 {
   enum resource_kind kind = object->kind;
-  uint32_t position = position_of (objects, kind, object->name);
+  uint32_t position = find_position (objects, kind, object->name);
   struct store_object **sorted = objects->kinds[kind].sorted;
   uint32_t after = objects->kinds[kind].count - position - 1;
 
@@ -126,9 +126,9 @@
 }
 
 const struct store_object *
-store_objects_referrer (const struct store_objects *objects,
-                        enum resource_kind kind,
-                        const char *name)
+store_objects_find_referrer (const struct store_objects *objects,
+                             enum resource_kind kind,
+                             const char *name)
 {
   int other;
   uint32_t i;
--- a/src/store_object.h
+++ b/src/store_object.h
@@ -42,9 +42,9 @@
                                          const char *name);
 
 /* The first object whose name sorts after `name`, which need not exist; "" gives the first. */
-struct store_object *store_objects_after (const struct store_objects *objects,
-                                          enum resource_kind kind,
-                                          const char *name);
+struct store_object *store_objects_next (const struct store_objects *objects,
+                                         enum resource_kind kind,
+                                         const char *name);
 
 /* Add an object that has only a name, which must not exist yet. */
 struct store_object *store_objects_add (struct store_objects *objects,
@@ -53,9 +53,9 @@
 void store_objects_remove (struct store_objects *objects, struct store_object *object);
 
 /* An object that refers to the one named; NULL when none does. */
-const struct store_object *store_objects_referrer (const struct store_objects *objects,
-                                                   enum resource_kind kind,
-                                                   const char *name);
+const struct store_object *store_objects_find_referrer (const struct store_objects *objects,
+                                                        enum resource_kind kind,
+                                                        const char *name);
 
 /* The fields of a resource shown to operators, current or as of a change.  The texts belong to the
  * caller. */
--- a/src/store_private.h
+++ b/src/store_private.h
@@ -26,6 +26,6 @@
                     enum store_event_type type);
 
 /* Reset the history and notify the listeners that any object may have changed. */
-void store_publish_all (struct store *store);
+void store_publish_replaced (struct store *store);
 
 #endif
--- a/src/store_replica.c
+++ b/src/store_replica.c
@@ -4,7 +4,7 @@
 
 /* Set one object of `objects` to the state of the event. */
 static struct store_object *
-take_event (struct store_objects *objects, const struct store_event *event)
+apply_event (struct store_objects *objects, const struct store_event *event)
 {
   struct store_object *object = store_objects_find (objects, event->kind, event->name);
 
@@ -21,7 +21,7 @@
 }
 
 enum status
-store_follow (struct store *store, const struct store_event *event)
+store_apply_event (struct store *store, const struct store_event *event)
 {
   struct store_object *object;
 
@@ -29,7 +29,7 @@
     return status_fail (STATUS_CONFLICT, "revision %llu does not follow the local revision %llu",
                         (unsigned long long) event->revision, (unsigned long long) store->revision);
   store->revision = event->revision;
-  object = take_event (&store->objects, event);
+  object = apply_event (&store->objects, event);
   store_publish (store, object, event->type);
   if (event->type == STORE_EVENT_DELETED)
     store_objects_remove (&store->objects, object);
@@ -45,7 +45,7 @@
 void
 store_replace_add (struct store *store, const struct store_event *event)
 {
-  take_event (&store->incoming, event);
+  apply_event (&store->incoming, event);
 }
 
 enum status
@@ -62,6 +62,6 @@
   store->objects = store->incoming;
   store_objects_init (&store->incoming, store);
   store->revision = revision;
-  store_publish_all (store);
+  store_publish_replaced (store);
   return STATUS_OK;
 }
--- a/tests/flow_fakes.h
+++ b/tests/flow_fakes.h
@@ -253,7 +253,7 @@
 }
 
 inline const struct claims_ops claims_ops = {
-  .take = take_claim,
+  .acquire = take_claim,
   .settle = settle_claim,
   .release = release_claim,
   .withdraw = withdraw_claim,
--- a/tests/unit_claim.cc
+++ b/tests/unit_claim.cc
@@ -14,10 +14,10 @@
 
 struct entry
 {
-  enum claim_op op = CLAIM_TAKE;
+  enum claim_op op = CLAIM_ACQUIRE;
   std::string host = "a";
   uint64_t epoch = 1;
-  uint64_t take = 1;
+  uint64_t acquire = 1;
   std::string key = "k";
   std::string body_hash = "h";
   int64_t time_ms = MINUTE_MS;
@@ -57,7 +57,7 @@
     snprintf (entry.holder.host, sizeof entry.holder.host, "%s", wanted.host.c_str ());
     snprintf (entry.host, sizeof entry.host, "%s", wanted.host.c_str ());
     entry.holder.epoch = wanted.epoch;
-    entry.take_id = wanted.take;
+    entry.acquire_id = wanted.acquire;
     entry.time_ms = wanted.time_ms;
     entry.issued_at_ms = wanted.issued_ms;
     entry.retention_ms = MINUTE_MS;
@@ -101,7 +101,7 @@
   pass_time (struct claim_machine *on, int64_t time_ms)
   {
     for (const char *host : { "a", "b" })
-      apply_to (on, pack ({ .op = CLAIM_STARTED, .host = host, .time_ms = time_ms }));
+      apply_to (on, pack ({ .op = CLAIM_HOLDER_STARTED, .host = host, .time_ms = time_ms }));
   }
 
   struct result
@@ -119,7 +119,7 @@
   struct result second = apply ({ .host = "b" });
   EXPECT_EQ (second.verdict, CLAIM_IN_FLIGHT);
   EXPECT_EQ (second.holder, "a");
-  EXPECT_EQ (apply ({ .take = 2 }).verdict, CLAIM_IN_FLIGHT);
+  EXPECT_EQ (apply ({ .acquire = 2 }).verdict, CLAIM_IN_FLIGHT);
 }
 
 // The answer to a grant is lost and the same acquire is proposed again.  It must be granted again,
@@ -155,9 +155,9 @@
 TEST_F (ClaimMachine, ClaimOfADeadHolderIsUnknown)
 {
   apply ({});
-  apply ({ .op = CLAIM_GONE, .epoch = 1 });
+  apply ({ .op = CLAIM_HOLDER_DEAD, .epoch = 1 });
   EXPECT_EQ (apply ({ .host = "b" }).verdict, CLAIM_UNKNOWN);
-  EXPECT_EQ (apply ({ .host = "b", .take = 9 }).verdict, CLAIM_UNKNOWN);
+  EXPECT_EQ (apply ({ .host = "b", .acquire = 9 }).verdict, CLAIM_UNKNOWN);
 }
 
 // As above, but the host's process has restarted and announced it, or has acquired another claim.
@@ -165,7 +165,7 @@
 {
   apply ({});
   apply ({ .key = "l" });
-  apply ({ .op = CLAIM_STARTED, .epoch = 2 });
+  apply ({ .op = CLAIM_HOLDER_STARTED, .epoch = 2 });
   EXPECT_EQ (apply ({ .epoch = 2 }).verdict, CLAIM_UNKNOWN);
   EXPECT_EQ (apply ({ .host = "b", .key = "l" }).verdict, CLAIM_UNKNOWN);
 }
@@ -175,14 +175,14 @@
 TEST_F (ClaimMachine, LateSettleOfAHolderDeclaredDeadIsStored)
 {
   apply ({});
-  apply ({ .op = CLAIM_GONE });
+  apply ({ .op = CLAIM_HOLDER_DEAD });
   apply ({ .op = CLAIM_SETTLE, .body = "done" });
   EXPECT_EQ (apply ({ .host = "b" }).verdict, CLAIM_SETTLED);
 }
 
 TEST_F (ClaimMachine, AcquireUnderAnEpochDeclaredDeadIsFenced)
 {
-  apply ({ .op = CLAIM_GONE, .epoch = 5 });
+  apply ({ .op = CLAIM_HOLDER_DEAD, .epoch = 5 });
   struct result late = apply ({ .epoch = 5 });
   EXPECT_EQ (late.verdict, CLAIM_UNREACHABLE);
   EXPECT_TRUE (late.fenced);
@@ -204,8 +204,8 @@
 // permanently.
 TEST_F (ClaimMachine, AcquireAppliedAfterItsReleaseIsRefused)
 {
-  apply ({ .op = CLAIM_RELEASE, .take = 7 });
-  EXPECT_EQ (apply ({ .take = 7 }).verdict, CLAIM_UNREACHABLE);
+  apply ({ .op = CLAIM_RELEASE, .acquire = 7 });
+  EXPECT_EQ (apply ({ .acquire = 7 }).verdict, CLAIM_UNREACHABLE);
   EXPECT_EQ (apply ({ .host = "b" }).verdict, CLAIM_GRANTED);
 }
 
@@ -216,11 +216,11 @@
 TEST_F (ClaimMachine, CopyOfAnAbandonedAcquireIsRefusedAfterAnotherHostsRelease)
 {
   apply ({ .host = "b" });
-  EXPECT_EQ (apply ({ .take = 7 }).verdict, CLAIM_IN_FLIGHT);
-  apply ({ .op = CLAIM_RELEASE, .take = 7 });
+  EXPECT_EQ (apply ({ .acquire = 7 }).verdict, CLAIM_IN_FLIGHT);
+  apply ({ .op = CLAIM_RELEASE, .acquire = 7 });
   EXPECT_EQ (apply ({ .host = "c" }).verdict, CLAIM_IN_FLIGHT);
   apply ({ .op = CLAIM_RELEASE, .host = "b" });
-  EXPECT_EQ (apply ({ .take = 7 }).verdict, CLAIM_UNREACHABLE);
+  EXPECT_EQ (apply ({ .acquire = 7 }).verdict, CLAIM_UNREACHABLE);
   EXPECT_EQ (apply ({ .host = "c" }).verdict, CLAIM_GRANTED);
 }
 
@@ -283,10 +283,10 @@
   for (uint64_t i = 0; i < 200; i++)
     {
       struct entry entry = { .host = i % 3 ? "a" : "b",
-                             .take = i,
+                             .acquire = i,
                              .key = "k" + std::to_string (i % 40),
                              .time_ms = MINUTE_MS + static_cast<int64_t> (i) * 1000 };
-      entry.op = i % 5 == 4 ? CLAIM_SETTLE : i % 7 == 6 ? CLAIM_RELEASE : CLAIM_TAKE;
+      entry.op = i % 5 == 4 ? CLAIM_SETTLE : i % 7 == 6 ? CLAIM_RELEASE : CLAIM_ACQUIRE;
       entry.body = "body";
       apply (entry);
     }
@@ -295,7 +295,7 @@
   EXPECT_EQ (save_machine (machine), saved);
   for (uint64_t i = 0; i < 40; i++)
     {
-      struct entry entry = { .host = "c", .take = i, .key = "k" + std::to_string (i) };
+      struct entry entry = { .host = "c", .acquire = i, .key = "k" + std::to_string (i) };
       entry.time_ms = 5 * MINUTE_MS;
       EXPECT_EQ (apply (entry).verdict, apply_to (other, pack (entry)).verdict);
     }
@@ -305,7 +305,7 @@
   talloc_free (other);
 }
 
-struct taker
+struct acquire_waiter
 {
   struct claim_waiter waiter = {};
   int answers = 0;
@@ -316,7 +316,7 @@
   static void
   answered (struct claim_waiter *waiter, const struct claim_answer *answer, int64_t)
   {
-    struct taker *self = reinterpret_cast<struct taker *> (waiter);
+    struct acquire_waiter *self = reinterpret_cast<struct acquire_waiter *> (waiter);
 
     self->answers++;
     self->verdict = answer->verdict;
@@ -326,7 +326,7 @@
       self->body.assign (static_cast<const char *> (answer->body), answer->body_length);
   }
 
-  taker ()
+  acquire_waiter ()
   {
     static const struct claim_waiter_ops ops = { answered };
     waiter.ops = &ops;
@@ -402,18 +402,19 @@
   }
 
   void
-  take (struct entry_host &host,
-        struct taker &taker,
-        int64_t within = 4 * SEC,
-        const char *id = "r1")
+  acquire (struct entry_host &host,
+           struct acquire_waiter &acquire_waiter,
+           int64_t within = 4 * SEC,
+           const char *id = "r1")
   {
     struct claim_request request = {};
     struct claims *claims = claim_log_claims (host.claims);
 
     request.key = { "org", id };
-    ASSERT_EQ (claims->ops->take (claims, &request, &taker.waiter, clock.now + within, clock.now),
+    ASSERT_EQ (claims->ops->acquire (claims, &request, &acquire_waiter.waiter, clock.now + within,
+                                     clock.now),
                STATUS_OK);
-    EXPECT_EQ (taker.answers, 0);
+    EXPECT_EQ (acquire_waiter.answers, 0);
   }
 
   enum status
@@ -440,13 +441,13 @@
 // The second host polls until the first has settled, and returns the first run's answer.
 TEST_F (ClaimLog, AResendWhileInFlightGetsTheFirstRunsAnswer)
 {
-  struct taker first;
-  struct taker second;
+  struct acquire_waiter first;
+  struct acquire_waiter second;
 
-  take (a, first);
+  acquire (a, first);
   clock.run (SEC / 10);
   ASSERT_EQ (first.verdict, CLAIM_GRANTED);
-  take (b, second);
+  acquire (b, second);
   clock.run (SEC);
   EXPECT_EQ (second.answers, 0);
   EXPECT_EQ (settle (a, "letter 1"), STATUS_OK);
@@ -459,11 +460,11 @@
 
 TEST_F (ClaimLog, ResendIsAnsweredInFlightAtItsDeadline)
 {
-  struct taker first;
-  struct taker second;
+  struct acquire_waiter first;
+  struct acquire_waiter second;
 
-  take (a, first);
-  take (b, second, 2 * SEC);
+  acquire (a, first);
+  acquire (b, second, 2 * SEC);
   clock.run (3 * SEC);
   EXPECT_EQ (second.answers, 1);
   EXPECT_EQ (second.verdict, CLAIM_IN_FLIGHT);
@@ -472,16 +473,16 @@
 // The answer to the acquire is lost three times; the request must still be granted, once.
 TEST_F (ClaimLog, AcquireIsRetriedUntilItIsAnswered)
 {
-  struct taker taker;
+  struct acquire_waiter acquire_waiter;
 
-  a.log->fate = fate::ANSWER_LOST;
-  take (a, taker);
+  a.log->delivery_mode = delivery_mode::ANSWER_LOST;
+  acquire (a, acquire_waiter);
   clock.run (SEC * 5 / 2);
-  EXPECT_EQ (taker.answers, 0);
-  a.log->fate = fate::APPLIED;
+  EXPECT_EQ (acquire_waiter.answers, 0);
+  a.log->delivery_mode = delivery_mode::APPLIED;
   clock.run (SEC);
-  EXPECT_EQ (taker.answers, 1);
-  EXPECT_EQ (taker.verdict, CLAIM_GRANTED);
+  EXPECT_EQ (acquire_waiter.answers, 1);
+  EXPECT_EQ (acquire_waiter.verdict, CLAIM_GRANTED);
 }
 
 // The acquire times out: the caller is told that the request was not run, and resends it to another
@@ -489,16 +490,16 @@
 // flight".
 TEST_F (ClaimLog, TimedOutAcquireDoesNotBlockTheResend)
 {
-  struct taker lost;
-  struct taker resend;
+  struct acquire_waiter lost;
+  struct acquire_waiter resend;
 
-  a.log->fate = fate::ANSWER_LOST;
-  take (a, lost, 2 * SEC);
+  a.log->delivery_mode = delivery_mode::ANSWER_LOST;
+  acquire (a, lost, 2 * SEC);
   clock.run (SEC * 5 / 2);
   EXPECT_EQ (lost.verdict, CLAIM_UNREACHABLE);
-  a.log->fate = fate::APPLIED;
+  a.log->delivery_mode = delivery_mode::APPLIED;
   clock.run (2 * SEC);
-  take (b, resend);
+  acquire (b, resend);
   clock.run (SEC);
   EXPECT_EQ (resend.verdict, CLAIM_GRANTED);
   EXPECT_EQ (lost.answers, 1);
@@ -507,17 +508,17 @@
 // As above, but the acquire is applied only after the release.
 TEST_F (ClaimLog, AcquireAppliedAfterItsTimeoutDoesNotBlockTheResend)
 {
-  struct taker lost;
-  struct taker resend;
+  struct acquire_waiter lost;
+  struct acquire_waiter resend;
 
-  a.log->fate = fate::LATE;
-  take (a, lost, SEC);
+  a.log->delivery_mode = delivery_mode::LATE;
+  acquire (a, lost, SEC);
   clock.run (SEC * 3 / 2);
   EXPECT_EQ (lost.verdict, CLAIM_UNREACHABLE);
-  a.log->fate = fate::APPLIED;
+  a.log->delivery_mode = delivery_mode::APPLIED;
   clock.run (2 * SEC);
   a.log->deliver_late ();
-  take (b, resend);
+  acquire (b, resend);
   clock.run (SEC);
   EXPECT_EQ (resend.verdict, CLAIM_GRANTED);
 }
@@ -526,19 +527,19 @@
 // applied, so that a resend minutes later gets the answer.
 TEST_F (ClaimLog, SettleIsRetriedUntilItIsApplied)
 {
-  struct taker first;
-  struct taker second;
+  struct acquire_waiter first;
+  struct acquire_waiter second;
 
-  take (a, first);
+  acquire (a, first);
   clock.run (SEC);
-  a.log->fate = fate::REFUSED;
+  a.log->delivery_mode = delivery_mode::REFUSED;
   EXPECT_EQ (settle (a, "x"), STATUS_OK);
   clock.run (120 * SEC);
   EXPECT_EQ (claim_log_pending (a.claims), 1u);
-  a.log->fate = fate::APPLIED;
+  a.log->delivery_mode = delivery_mode::APPLIED;
   clock.run (2 * SEC);
   EXPECT_EQ (claim_log_pending (a.claims), 0u);
-  take (b, second);
+  acquire (b, second);
   clock.run (SEC);
   EXPECT_EQ (second.verdict, CLAIM_SETTLED);
 }
@@ -547,13 +548,13 @@
 // The resend must be answered "unknown" at once and not at its deadline.
 TEST_F (ClaimLog, AClaimOfAHostKnownDeadIsUnknownAtOnce)
 {
-  struct taker first;
-  struct taker second;
+  struct acquire_waiter first;
+  struct acquire_waiter second;
 
-  take (a, first);
+  acquire (a, first);
   clock.run (SEC);
   board_find_host (b.board, "a", nullptr)->state = HOST_DEAD;
-  take (b, second);
+  acquire (b, second);
   clock.run (SEC / 10);
   EXPECT_EQ (second.verdict, CLAIM_UNKNOWN);
 }
@@ -561,15 +562,15 @@
 // The entry host's process dies and restarts at once, with a new incarnation.
 TEST_F (ClaimLog, AClaimOfARestartedHostIsUnknown)
 {
-  struct taker first;
-  struct taker second;
+  struct acquire_waiter first;
+  struct acquire_waiter second;
 
-  take (a, first);
+  acquire (a, first);
   clock.run (SEC);
   talloc_free (a.claims);
   start (a, "a", 2);
   clock.run (SEC);
-  take (b, second);
+  acquire (b, second);
   clock.run (SEC / 10);
   EXPECT_EQ (second.verdict, CLAIM_UNKNOWN);
 }
@@ -578,16 +579,16 @@
 // to acquire claims without a restart.
 TEST_F (ClaimLog, LiveHostDeclaredDeadClaimsUnderANewEpoch)
 {
-  struct taker first;
-  struct taker second;
-  struct taker third;
+  struct acquire_waiter first;
+  struct acquire_waiter second;
+  struct acquire_waiter third;
 
-  take (a, first);
+  acquire (a, first);
   clock.run (SEC);
   board_find_host (b.board, "a", nullptr)->state = HOST_DEAD;
-  take (b, second);
+  acquire (b, second);
   clock.run (SEC);
-  take (a, third, 4 * SEC, "r2");
+  acquire (a, third, 4 * SEC, "r2");
   clock.run (SEC);
   EXPECT_EQ (third.verdict, CLAIM_GRANTED);
   EXPECT_EQ (settle (a, "y", "r2"), STATUS_OK);
@@ -595,15 +596,15 @@
 
 TEST_F (ClaimLog, ReleasedClaimIsGrantedToTheNextRequest)
 {
-  struct taker first;
-  struct taker second;
+  struct acquire_waiter first;
+  struct acquire_waiter second;
 
-  take (a, first);
+  acquire (a, first);
   clock.run (SEC);
   EXPECT_EQ (release (a), STATUS_OK);
   EXPECT_EQ (release (a), STATUS_NOT_FOUND);
   clock.run (SEC);
-  take (b, second);
+  acquire (b, second);
   clock.run (SEC);
   EXPECT_EQ (second.verdict, CLAIM_GRANTED);
 }
@@ -611,15 +612,15 @@
 // The caller disconnects between the acquire and its answer; the grant must be released.
 TEST_F (ClaimLog, WithdrawnAcquireIsReleased)
 {
-  struct taker gone;
-  struct taker next;
+  struct acquire_waiter gone;
+  struct acquire_waiter next;
   struct claims *claims = claim_log_claims (a.claims);
 
-  take (a, gone);
+  acquire (a, gone);
   claims->ops->withdraw (claims, &gone.waiter);
   clock.run (SEC);
   EXPECT_EQ (gone.answers, 0);
-  take (b, next);
+  acquire (b, next);
   clock.run (SEC);
   EXPECT_EQ (next.verdict, CLAIM_GRANTED);
   EXPECT_EQ (claim_log_pending (a.claims), 0u);
@@ -629,14 +630,14 @@
 // never get a truncated or empty answer as if it were complete.
 TEST_F (ClaimLog, AnswerTooLargeToStoreIsReported)
 {
-  struct taker first;
-  struct taker second;
+  struct acquire_waiter first;
+  struct acquire_waiter second;
 
-  take (a, first);
+  acquire (a, first);
   clock.run (SEC);
   settle (a, std::string (101, 'x'));
   clock.run (SEC);
-  take (b, second);
+  acquire (b, second);
   clock.run (SEC);
   EXPECT_EQ (second.verdict, CLAIM_SETTLED);
   EXPECT_EQ (second.outcome, "failed");
--- a/tests/unit_claim_random.cc
+++ b/tests/unit_claim_random.cc
@@ -19,29 +19,29 @@
 constexpr int IDS = 6;
 constexpr int STEPS = 400;
 
-struct world;
+struct simulation;
 
 struct caller
 {
   struct claim_waiter waiter = {};
-  struct world *world = nullptr;
+  struct simulation *simulation = nullptr;
   int host = 0;
   int id = 0;
-  uint64_t life = 0; // incarnation of the host at the time of the acquire
+  uint64_t incarnation = 0; // incarnation of the host at the time of the acquire
   bool answered = false;
   enum claim_verdict verdict = CLAIM_VERDICT_COUNT;
 };
 
-struct explored_host
+struct simulated_host
 {
   std::unique_ptr<struct test_log> log;
   struct claim_log *claims = nullptr;
   struct board *board = nullptr;
-  uint64_t life = 0;
+  uint64_t incarnation = 0;
   std::vector<int> running = {}; // ids that were sent and are not settled
 };
 
-struct world
+struct simulation
 {
   struct test_clock clock;
   void *memory = talloc_new (nullptr);
@@ -50,12 +50,12 @@
   struct claim_machine *machine = claim_machine_new (memory, &machine_config);
   struct counters *counters = counters_new (memory);
   struct rng rng;
-  struct explored_host hosts[HOSTS];
+  struct simulated_host hosts[HOSTS];
   std::list<struct caller> callers = {};
   int sent[IDS] = {};
-  bool calm = false; // no more random releases
+  bool faults_ended = false; // no more random releases
 
-  explicit world (uint64_t seed)
+  explicit simulation (uint64_t seed)
   {
     rng_init (&rng, seed);
     store_group_add (group, STORE_PART_CLAIMS, claim_machine_machine (machine));
@@ -68,7 +68,7 @@
       }
   }
 
-  ~world ()
+  ~simulation ()
   {
     for (auto &host : hosts)
       talloc_free (host.claims);
@@ -95,14 +95,14 @@
   void
   start (int which)
   {
-    struct explored_host &host = hosts[which];
+    struct simulated_host &host = hosts[which];
     struct claim_log_config config = {};
     std::string name = name_of (which);
     std::list<std::string> late;
 
     if (host.log != nullptr)
       late = host.log->late;
-    host.life++;
+    host.incarnation++;
     host.running.clear ();
     host.log = std::make_unique<struct test_log> (store_group_machine (group), clock.timers);
     host.log->late = late; // entries sent by the dead process may still be applied
@@ -112,7 +112,7 @@
     config.timers = clock.timers;
     config.counters = counters;
     config.host = name.c_str ();
-    config.incarnation = host.life;
+    config.incarnation = host.incarnation;
     config.wall_offset_ms = 1000000;
     config.retention = 36000 * SEC;
     config.answer_bytes = 100;
@@ -144,7 +144,7 @@
     caller->answered = true;
     caller->verdict = answer->verdict;
     if (answer->verdict == CLAIM_GRANTED)
-      caller->world->granted (caller);
+      caller->simulation->granted (caller);
   }
 
   // The request path: mostly sends the request; sometimes finds no target and releases the claim.
@@ -155,7 +155,7 @@
     std::string text;
     struct claim_key name = key (caller->id, text);
 
-    if (!calm && rng_below (&rng, 4) == 0)
+    if (!faults_ended && rng_below (&rng, 4) == 0)
       {
         EXPECT_EQ (claims->ops->release (claims, &name, clock.now), STATUS_OK);
         return;
@@ -165,7 +165,7 @@
   }
 
   struct caller &
-  take (int host, int id, int64_t within)
+  acquire (int host, int id, int64_t within)
   {
     static const struct claim_waiter_ops ops = { answered };
     struct claims *claims = claim_log_claims (hosts[host].claims);
@@ -175,19 +175,20 @@
     callers.emplace_back ();
     struct caller &caller = callers.back ();
     caller.waiter.ops = &ops;
-    caller.world = this;
+    caller.simulation = this;
     caller.host = host;
     caller.id = id;
     request.key = key (id, text);
-    EXPECT_EQ (claims->ops->take (claims, &request, &caller.waiter, clock.now + within, clock.now),
-               STATUS_OK);
+    EXPECT_EQ (
+        claims->ops->acquire (claims, &request, &caller.waiter, clock.now + within, clock.now),
+        STATUS_OK);
     return caller;
   }
 
   void
   settle_one (int which)
   {
-    struct explored_host &host = hosts[which];
+    struct simulated_host &host = hosts[which];
     struct claims *claims = claim_log_claims (host.claims);
     std::string text;
 
@@ -202,25 +203,27 @@
   void
   step ()
   {
-    static const enum fate fates[] = { fate::APPLIED, fate::APPLIED,    fate::ANSWER_LOST,
-                                       fate::LATE,    fate::ENTRY_LOST, fate::REFUSED };
+    static const enum delivery_mode modes[] = {
+      delivery_mode::APPLIED, delivery_mode::APPLIED,    delivery_mode::ANSWER_LOST,
+      delivery_mode::LATE,    delivery_mode::ENTRY_LOST, delivery_mode::REFUSED
+    };
     int which = static_cast<int> (rng_below (&rng, HOSTS));
-    struct explored_host &host = hosts[which];
+    struct simulated_host &host = hosts[which];
 
     switch (rng_below (&rng, 10))
       {
       case 0:
       case 1:
       case 2:
-        take (which, static_cast<int> (rng_below (&rng, IDS)),
-              static_cast<int64_t> (rng_below (&rng, 4 * SEC)) + 1);
+        acquire (which, static_cast<int> (rng_below (&rng, IDS)),
+                 static_cast<int64_t> (rng_below (&rng, 4 * SEC)) + 1);
         break;
       case 3:
         settle_one (which);
         break;
       case 4:
       case 5:
-        host.log->fate = fates[rng_below (&rng, 6)];
+        host.log->delivery_mode = modes[rng_below (&rng, 6)];
         break;
       case 6:
         host.log->deliver_late ();
@@ -241,18 +244,18 @@
   }
 
   void
-  heal ()
+  end_faults ()
   {
-    calm = true;
+    faults_ended = true;
     for (auto &host : hosts)
       {
-        host.log->fate = fate::APPLIED;
+        host.log->delivery_mode = delivery_mode::APPLIED;
         host.log->deliver_late ();
         for (int i = 0; i < HOSTS; i++)
           {
             struct board_host *entry = board_find_host (host.board, name_of (i).c_str (), nullptr);
             entry->state = HOST_ALIVE;
-            entry->incarnation = hosts[i].life;
+            entry->incarnation = hosts[i].incarnation;
           }
       }
     clock.run (30 * SEC);
@@ -269,26 +272,26 @@
 
 TEST_P (ClaimExplorer, ARequestIsSentAtMostOnceAndNoIdIsLeftHeld)
 {
-  struct world world (GetParam ());
+  struct simulation simulation (GetParam ());
 
   for (int i = 0; i < STEPS; i++)
     {
-      world.step ();
+      simulation.step ();
       for (int id = 0; id < IDS; id++)
-        ASSERT_LE (world.sent[id], 1) << "id " << id << " step " << i;
+        ASSERT_LE (simulation.sent[id], 1) << "id " << id << " step " << i;
     }
-  world.heal ();
+  simulation.end_faults ();
   for (int id = 0; id < IDS; id++)
     {
-      struct caller &last = world.take (id % HOSTS, id, 5 * SEC);
+      struct caller &last = simulation.acquire (id % HOSTS, id, 5 * SEC);
 
-      world.clock.run (10 * SEC);
+      simulation.clock.run (10 * SEC);
       EXPECT_TRUE (last.answered);
       EXPECT_NE (last.verdict, CLAIM_IN_FLIGHT) << "id " << id;
       EXPECT_NE (last.verdict, CLAIM_UNREACHABLE) << "id " << id;
-      EXPECT_LE (world.sent[id], 1);
+      EXPECT_LE (simulation.sent[id], 1);
     }
-  for (auto &host : world.hosts)
+  for (auto &host : simulation.hosts)
     EXPECT_EQ (claim_log_pending (host.claims), 0u);
 }
 
--- a/tests/unit_config_operator.cc
+++ b/tests/unit_config_operator.cc
@@ -308,11 +308,11 @@
   struct exchange without ("PUT", "/v1/pools/b", POOL);
 
   clock.run (SEC);
-  log->fate = fate::ANSWER_LOST;
+  log->delivery_mode = delivery_mode::ANSWER_LOST;
   send (with);
   send (without);
   clock.run (SEC);
-  log->fate = fate::APPLIED;
+  log->delivery_mode = delivery_mode::APPLIED;
   int before = log->proposals;
   clock.run (4 * SEC);
   EXPECT_EQ (with.code, 201);
@@ -326,7 +326,7 @@
   struct exchange put ("PUT", "/v1/pools/gen", POOL);
 
   clock.run (SEC);
-  log->fate = fate::REFUSED;
+  log->delivery_mode = delivery_mode::REFUSED;
   send (put);
   clock.run (20 * SEC);
   EXPECT_EQ (put.code, 503);
--- a/tests/unit_journal.cc
+++ b/tests/unit_journal.cc
@@ -57,7 +57,7 @@
   void *parent = nullptr;
   struct disk *disk = nullptr;
   struct journal *journal = nullptr;
-  struct journal_found found = {};
+  struct journal_recovery found = {};
 };
 
 TEST_F (Journal, ReadsBackWhatWasStoredOverSegments)
@@ -101,10 +101,10 @@
   uint64_t good = journal_bytes (journal);
   ASSERT_EQ (append (6, 1), STATUS_OK);
   full = journal_bytes (journal);
-  struct disk_fake *kept = disk_fake_of (disk);
+  struct disk_fake *original = disk_fake_of (disk);
   for (uint64_t length = good; length < full; length++)
     {
-      disk = disk_fake_copy (parent, kept);
+      disk = disk_fake_copy (parent, original);
       disk_fake_cut (disk_fake_of (disk), first_segment, length);
       ASSERT_EQ (open (), STATUS_OK) << length;
       EXPECT_EQ (raft_log_last (&found.log), 5u);
@@ -124,10 +124,10 @@
     ASSERT_EQ (append (i, 1), STATUS_OK);
   uint64_t good = journal_bytes (journal);
   ASSERT_EQ (append (10, 1), STATUS_OK);
-  struct disk_fake *kept = disk_fake_of (disk);
+  struct disk_fake *original = disk_fake_of (disk);
   for (uint64_t offset = 0; offset < good; offset++)
     {
-      disk = disk_fake_copy (parent, kept);
+      disk = disk_fake_copy (parent, original);
       disk_fake_flip (disk_fake_of (disk), first_segment, offset);
       enum status status = open ();
       // A flip in the version field reads as a newer format.
@@ -174,14 +174,14 @@
   ASSERT_EQ (open (), STATUS_OK);
   for (uint64_t i = 1; i <= 60; i++)
     ASSERT_EQ (append (i, 1), STATUS_OK);
-  struct disk_fake *kept = disk_fake_of (disk);
-  disk = disk_fake_copy (parent, kept);
+  struct disk_fake *original = disk_fake_of (disk);
+  disk = disk_fake_copy (parent, original);
   ASSERT_EQ (disk->ops->remove (disk, "journal-0000000000000002"), STATUS_OK);
   EXPECT_EQ (open (), STATUS_CORRUPT);
-  disk = disk_fake_copy (parent, kept);
+  disk = disk_fake_copy (parent, original);
   ASSERT_EQ (disk->ops->remove (disk, first_segment), STATUS_OK);
   EXPECT_EQ (open (), STATUS_CORRUPT);
-  disk = disk_fake_copy (parent, kept);
+  disk = disk_fake_copy (parent, original);
   struct raft_snapshot none = {};
   enum status status;
   talloc_free (journal);
@@ -253,10 +253,10 @@
   EXPECT_EQ (back.index, 5u);
   EXPECT_EQ (std::string (read.data, read.length), std::string (payload.data, payload.length));
   ASSERT_EQ (disk->ops->size (disk, name, &size), STATUS_OK);
-  struct disk_fake *kept = disk_fake_of (disk);
+  struct disk_fake *original = disk_fake_of (disk);
   for (uint64_t offset = 0; offset < size; offset++)
     {
-      struct disk *copy = disk_fake_copy (parent, kept);
+      struct disk *copy = disk_fake_copy (parent, original);
 
       disk_fake_flip (disk_fake_of (copy), name, offset);
       bytes_clear (&read);
@@ -328,7 +328,7 @@
   enum status status;
   struct disk *disk = disk_posix_new (parent, path, &status);
   struct raft_snapshot none = {};
-  struct journal_found found;
+  struct journal_recovery found;
   struct journal *journal = journal_open (parent, disk, id, 1 << 20, &none, &found, &status);
 
   ASSERT_EQ (status, STATUS_OK) << status_message ();
--- a/tests/unit_store.cc
+++ b/tests/unit_store.cc
@@ -109,7 +109,7 @@
 TEST_F (Store, FullChangeIdTableRefusesNewIds)
 {
   config.change_ids_max = 2;
-  config.change_id_keep_ms = 1000;
+  config.change_id_retention_ms = 1000;
   struct store *small = store_new (nullptr, &config);
 
   apply_change (small, { .name = "a", .id = "1", .time_ms = 5000 });
@@ -205,11 +205,11 @@
   struct store *small = store_new (nullptr, &config);
   for (int i = 0; i < 5; i++)
     apply_change (small, { .name = "p" + std::to_string (i) });
-  EXPECT_EQ (store_history_after (store_changes (small), 1, &event), STATUS_EXPIRED);
-  ASSERT_EQ (store_history_after (store_changes (small), 2, &event), STATUS_OK);
+  EXPECT_EQ (store_history_next (store_get_history (small), 1, &event), STATUS_EXPIRED);
+  ASSERT_EQ (store_history_next (store_get_history (small), 2, &event), STATUS_OK);
   EXPECT_EQ (event->revision, 3u);
   EXPECT_STREQ (event->name, "p2");
-  ASSERT_EQ (store_history_after (store_changes (small), 5, &event), STATUS_OK);
+  ASSERT_EQ (store_history_next (store_get_history (small), 5, &event), STATUS_OK);
   EXPECT_EQ (event, nullptr);
   talloc_free (small);
 }
@@ -223,10 +223,10 @@
   snprintf (event.name, sizeof event.name, "p");
   event.generation = 1;
   event.spec = "{}";
-  EXPECT_EQ (store_follow (store, &event), STATUS_OK);
-  EXPECT_EQ (store_follow (store, &event), STATUS_CONFLICT);
+  EXPECT_EQ (store_apply_event (store, &event), STATUS_OK);
+  EXPECT_EQ (store_apply_event (store, &event), STATUS_CONFLICT);
   event.revision = 3;
-  EXPECT_EQ (store_follow (store, &event), STATUS_CONFLICT);
+  EXPECT_EQ (store_apply_event (store, &event), STATUS_CONFLICT);
   store_replace_begin (store);
   store_replace_add (store, &event);
   EXPECT_EQ (store_replace_end (store, 9), STATUS_OK);
--- a/tests/unit_store_fake.h
+++ b/tests/unit_store_fake.h
@@ -49,7 +49,7 @@
     }
   change.has_version = wanted.version >= 0;
   change.version = wanted.version >= 0 ? static_cast<uint64_t> (wanted.version) : 0;
-  change.again = wanted.again;
+  change.retry_on_conflict = wanted.again;
   snprintf (change.change_id, sizeof change.change_id, "%s", wanted.id.c_str ());
   crypto_generichash (change.body_hash, sizeof change.body_hash,
                       reinterpret_cast<const unsigned char *> (wanted.spec.data ()),
--- a/tests/unit_store_log.h
+++ b/tests/unit_store_log.h
@@ -7,7 +7,7 @@
 #include <list>
 
 // What happens to the next proposals of a host.
-enum class fate
+enum class delivery_mode
 {
   APPLIED,
   ANSWER_LOST, // applied; its proposer sees a timeout
@@ -21,7 +21,7 @@
   struct consensus consensus = {}; // first member
   struct machine *machine = nullptr;
   struct timer_service *timers = nullptr;
-  enum fate fate = fate::APPLIED;
+  enum delivery_mode delivery_mode = delivery_mode::APPLIED;
   bool leads = true;
   bool quorum = true; // reads are confirmed
   int proposals = 0;
@@ -107,13 +107,14 @@
     std::string result;
 
     log->proposals++;
-    if (log->fate == fate::REFUSED)
+    if (log->delivery_mode == delivery_mode::REFUSED)
       return status_fail (STATUS_UNAVAILABLE, "no leader");
-    if (log->fate == fate::LATE)
+    if (log->delivery_mode == delivery_mode::LATE)
       log->late.push_back (text);
-    if (log->fate == fate::APPLIED || log->fate == fate::ANSWER_LOST)
+    if (log->delivery_mode == delivery_mode::APPLIED
+        || log->delivery_mode == delivery_mode::ANSWER_LOST)
       result = log->apply (text);
-    if (log->fate == fate::APPLIED)
+    if (log->delivery_mode == delivery_mode::APPLIED)
       log->answer_at (proposal, STATUS_OK, result, now);
     else
       log->answer_at (proposal, STATUS_TIMEOUT, "", deadline);
