--- a/src/batch.h
+++ b/src/batch.h
@@ -122,8 +122,7 @@
   uint32_t stage;
   char pool[ROUTING_NAME_SIZE];
   char domain[ROUTING_NAME_SIZE];           /* only targets in this failure domain; "" for any */
-  char preferred_domain[ROUTING_NAME_SIZE]; /* preferred failure domain; "" until the first piece is
-                                               taken */
+  char preferred_domain[ROUTING_NAME_SIZE]; /* failure domain; "" until a piece is taken */
   uint64_t result_size;
   char key[DIALECT_ID_SIZE];
   char *inputs; /* talloc child; NULL with a key */
@@ -138,9 +137,9 @@
   bool late_on_submit; /* could not be in time when it was submitted */
   uint32_t *pending;   /* pieces neither in a call nor done */
   uint32_t n_pending;
-  uint8_t *attempts;                                     /* attempts, of each piece */
-  uint64_t broken_incarnations[BATCH_ENDED_TARGETS_MAX]; /* the newest incarnations on which calls
-                                                            with its pieces broke */
+  uint8_t *attempts; /* of each piece */
+  /* The newest incarnations on which calls with its pieces broke. */
+  uint64_t broken_incarnations[BATCH_ENDED_TARGETS_MAX];
   uint32_t n_broken_incarnations;
   int64_t not_before; /* earliest retry after a break */
   uint32_t n_done;
@@ -177,9 +176,8 @@
 /* Why a result is released. */
 enum batch_release
 {
-  BATCH_RELEASE_EVICTABLE, /* all its readers have fetched it: it may be evicted where room is short
-                            */
-  BATCH_RELEASE_FREE,      /* it is no longer needed */
+  BATCH_RELEASE_EVICTABLE, /* all readers have fetched it: evict where room is short */
+  BATCH_RELEASE_FREE,      /* no longer needed */
 };
 
 void batch_release_result (struct batch *batch,
--- a/src/batch_private.h
+++ b/src/batch_private.h
@@ -14,7 +14,7 @@
   uint64_t serial;
   uint32_t index;
   uint64_t result_size;
-  uint64_t content_hash; /* hash that identifies what is to be made; set when it is put in a call */
+  uint64_t content_hash; /* of what is to be made; set when it is put in a call */
 };
 
 /* A result stored at its target. */
@@ -54,8 +54,8 @@
   struct batch_order *queue;      /* orders with pending pieces, by rank */
   struct batch_booking *bookings; /* orders that will be submitted later */
   uint32_t n_pending;             /* pending pieces of the orders in the queue */
-  double smoothed_wait;    /* smoothed wait beyond the expected time, of orders submitted in time */
-  uint64_t reserved_bytes; /* bytes that the pending pieces of begun orders will take */
+  double smoothed_wait;           /* beyond the expected time, of orders submitted in time */
+  uint64_t reserved_bytes;        /* bytes that the pending pieces of begun orders will take */
   struct batch_target *targets;
   struct timer timer; /* dispatches while orders wait, and frees results */
 };
--- a/src/work.c
+++ b/src/work.c
@@ -342,8 +342,8 @@
   enum piece_end end;
   char pool[ROUTING_NAME_SIZE];
   char domain[ROUTING_NAME_SIZE];
-  int64_t wait;          /* of the owner's queue */
-  int64_t smoothed_wait; /* its smoothed wait */
+  int64_t wait; /* of the owner's queue */
+  int64_t smoothed_wait;
   uint32_t n;
   struct stage_result results[DIALECT_PIECES_MAX];
 };
--- a/src/work.h
+++ b/src/work.h
@@ -95,7 +95,7 @@
   char pool[ROUTING_NAME_SIZE];
   char domain[ROUTING_NAME_SIZE]; /* private: where the pieces are made; "" for anywhere */
   char preferred_domain[ROUTING_NAME_SIZE]; /* failure domain of most of its data; "" for any */
-  char home_domain[ROUTING_NAME_SIZE];      /* the request's failure domain; used if `near` is "" */
+  char home_domain[ROUTING_NAME_SIZE];      /* the request's; wanted if there is no preferred one */
   char booked_domain[ROUTING_NAME_SIZE];    /* the shard where it was booked; "" if it was not */
   char booked_owner[ROUTING_NAME_SIZE];     /* the owner of that shard at the time */
   struct work_shard_list refused_shards;    /* shards that could not make it in time */
--- a/src/work_private.h
+++ b/src/work_private.h
@@ -37,8 +37,8 @@
   char pool[ROUTING_NAME_SIZE];
   char domain[ROUTING_NAME_SIZE];
   int64_t wait;
-  int64_t smoothed_wait; /* smoothed, beyond the expected time of an order */
-  int64_t reported_at;   /* time of the report */
+  int64_t smoothed_wait; /* beyond the expected time of an order */
+  int64_t reported_at;
 };
 
 struct work
