--- a/src/engine_broadcast.c
+++ b/src/engine_broadcast.c
@@ -39,7 +39,7 @@
   struct bytes ends; /* beginnings and ends */
   uint32_t n_ends;
   struct timer relay_timer;
-  struct bytes relayed; /* starts of hosts of other domains, to relay in this host's domain */
+  struct bytes relayed; /* starts of other domains' hosts, to be sent in this host's domain */
   uint32_t n_relayed;
   struct counter *sent;
 };
--- a/src/engine_cache.c
+++ b/src/engine_cache.c
@@ -26,7 +26,7 @@
 struct engine_caches
 {
   struct engine_part_holders *part_holders;
-  uint64_t capacity_tokens; /* for shared parts in one engine, in tokens; 0 when not known */
+  uint64_t capacity_tokens; /* for shared parts in one engine, 0 when not known */
 };
 
 struct engine_cache
--- a/src/engine_load.c
+++ b/src/engine_load.c
@@ -9,7 +9,7 @@
 /* The time from a request's arrival at an idle engine to its first byte, without the reading. */
 #define FIRST_BYTE_OVERHEAD (4 * USEC_PER_MSEC)
 
-/* The reading rate is sampled from prompts of at least this length with nothing before them. */
+/* Only prompts of at least this many tokens, with nothing before them, are samples of the rate. */
 #define RATE_SAMPLE_TOKENS_MIN 1000
 #define RATE_SMOOTHING 0.1
 
@@ -61,9 +61,8 @@
 {
   struct engine_target *targets;
   struct engine_caches *caches;
-  double tokens_per_ms;                /* tokens per millisecond */
-  uint64_t ended_keys[ENDED_KEYS_MAX]; /* keys of ended requests, each at the index key %
-                                          ENDED_KEYS_MAX */
+  double tokens_per_ms;                /* the reading rate */
+  uint64_t ended_keys[ENDED_KEYS_MAX]; /* ended requests, each at index key % ENDED_KEYS_MAX */
 };
 
 static int
@@ -282,7 +281,7 @@
 }
 
 /* Whether a start is known already: it was relayed twice, or sent again.  The copy may still bring
- * that the beginning will be reported, so `told` is merged. */
+ * that the beginning will be reported, so `expects_begin` is merged. */
 static bool
 is_known (const struct engine_load *load,
           const struct engine_target *target,
--- a/src/engine_load.h
+++ b/src/engine_load.h
@@ -37,7 +37,7 @@
 /* `cache_tokens`: the size of one engine's cache, 0 when not known. */
 void engine_load_set_cache_tokens (struct engine_load *load, uint64_t cache_tokens);
 
-/* A host sent a prompt, its answer began, it ended.  `told`: this host will be told of the
+/* A host sent a prompt, its answer began, it ended.  `expects_begin`: this host will be told of the
  * beginning; otherwise the answer is assumed to begin when expected.  Idempotent by target and
  * request number: a prompt that is sent to the same target again has another number. */
 void engine_load_started (struct engine_load *load,
--- a/src/order_target.c
+++ b/src/order_target.c
@@ -6,12 +6,10 @@
 #include <string.h>
 #include <utlist.h>
 
-#define STATE_READ_PERIOD (15 * USEC_PER_SEC) /* between reads of the state of a target as wanted  \
-                                               */
+#define STATE_READ_PERIOD (15 * USEC_PER_SEC) /* of a target that is as wanted */
 #define BACKOFF_MIN (USEC_PER_SEC)
 #define BACKOFF_MAX (15 * USEC_PER_SEC)
-#define ORDER_RESEND_AFTER (60 * USEC_PER_SEC) /* until an order that has no effect is sent again  \
-                                                */
+#define ORDER_RESEND_AFTER (60 * USEC_PER_SEC) /* if the state does not show the order */
 #define IN_FLIGHT_MAX 64
 #define STATE_BYTES_MAX (64u << 10)
 
