--- a/src/forward.c
+++ b/src/forward.c
@@ -19,7 +19,7 @@
 #define SWEEP_REQUESTS 32
 
 /* Retry-After, in seconds.  NOT_READY: the time that a start of the whole system takes, as a client
- * that retries too soon may not try a third time.  LEAVING: retry at once, at another host. */
+ * that retries too soon may not try a third time.  SHUTTING_DOWN: at once, at another host. */
 #define NOT_READY_RETRY_AFTER_SEC 2.0
 #define SHUTTING_DOWN_RETRY_AFTER_SEC 0.0
 
--- a/src/forward_quarantine.c
+++ b/src/forward_quarantine.c
@@ -6,8 +6,8 @@
  * kernel: its target may have ended at any time since it was last heard. */
 #define TIMEOUT_RESET_SILENCE (2500 * USEC_PER_MSEC)
 
-/* Retry-After, in seconds.  HELD: the request may have been cleared by then.  SUSPECTED: the run
- * that is under way may have ended. */
+/* Retry-After, in seconds.  QUARANTINED: the request may have been cleared by then.  SUSPECTED:
+ * the run that is under way may have ended. */
 #define QUARANTINED_RETRY_AFTER_SEC 60.0
 #define SUSPECTED_RETRY_AFTER_SEC 1.0
 
