--- a/src/balance.h
+++ b/src/balance.h
@@ -45,7 +45,7 @@
   char address[ROUTING_NAME_SIZE];
   char id[ROUTING_NAME_SIZE];
   uint64_t started; /* incarnation that the fields below describe */
-  uint64_t id_hash; /* of id and incarnation: loads told of an earlier one do not count */
+  uint64_t id_hash; /* of id and incarnation: excludes loads of an earlier one */
   bool usable;      /* registered, ready, and renewed recently */
   bool excluded;    /* not ready: must get no new requests */
   bool leaving;     /* this incarnation has announced that it leaves */
@@ -55,7 +55,7 @@
   double latency_us;   /* mean time to the first byte, in microseconds; 0: no sample */
   int64_t latency_at;  /* of the last sample */
   int64_t ejected_until;
-  int64_t ejection_time;
+  int64_t ejection_time; /* duration of the last ejection, microseconds; 0: none */
   struct balance_target *next;
 };
 
@@ -81,8 +81,7 @@
 {
   bool present;
   struct engine_prompt prompt;
-  struct balance_result_location
-      locations[BALANCE_LOCATIONS_MAX]; /* locations of its stage results */
+  struct balance_result_location locations[BALANCE_LOCATIONS_MAX]; /* its stage results */
   uint32_t n_locations;
 };
 
--- a/src/decide_admit.c
+++ b/src/decide_admit.c
@@ -3,8 +3,7 @@
 #include "decide_state.h"
 #include <math.h>
 
-#define FAIR_SHARE_WAIT                                                                            \
-  0.7 /* share of the spare time spent queueing, from which fair shares are enforced */
+#define FAIR_SHARE_WAIT 0.7 /* of the spare time spent queueing: fair shares apply above */
 #define RETRY_AFTER_MIN (100 * USEC_PER_MSEC)
 
 static double
--- a/src/decide_dump.c
+++ b/src/decide_dump.c
@@ -52,7 +52,7 @@
 describe_pool (const struct decide *decide, const struct decide_pool *pool, int64_t now)
 {
   json_t *targets = json_array ();
-  json_t *classes = json_array ();
+  json_t *models = json_array ();
   uint32_t i;
 
   for (i = 0; i < pool->n_targets; i++)
@@ -63,11 +63,11 @@
         json_array_append_new (targets, target);
     }
   for (i = 0; i < pool->n_models; i++)
-    json_array_append_new (classes, describe_model (&pool->models[i]));
+    json_array_append_new (models, describe_model (&pool->models[i]));
   return json_pack ("{s:s,s:f,s:f,s:i,s:i,s:f,s:f,s:o,s:o}", "name", pool->name, "admitted_work",
                     admitted_work (pool), "slots", pool->slots, "running", (int) pool->running,
                     "ejected", (int) pool->n_ejected, "reported", pool->reported, "report_trust",
-                    pool->report_confidence, "targets", targets, "models", classes);
+                    pool->report_confidence, "targets", targets, "models", models);
 }
 
 static json_t *
--- a/src/decide_pool.c
+++ b/src/decide_pool.c
@@ -41,7 +41,7 @@
   for (i = 0; i < pool->n_models; i++)
     if (strcmp (pool->models[i].model, model) == 0)
       return &pool->models[i];
-  /* Models beyond DECIDE_MODELS_MAX share the last class. */
+  /* Models beyond DECIDE_MODELS_MAX share the last entry. */
   if (pool->n_models == DECIDE_MODELS_MAX)
     return &pool->models[DECIDE_MODELS_MAX - 1];
   entry = &pool->models[pool->n_models++];
--- a/src/decide_prefix.c
+++ b/src/decide_prefix.c
@@ -3,9 +3,8 @@
 #include "decide_state.h"
 #include <math.h>
 
-#define SAMPLE_WEIGHT 0.05 /* of a new sample */
-#define HASHED_SHARE_MIN                                                                           \
-  0.5 /* of the hashed blocks; samples with less of them cached are ignored */
+#define SAMPLE_WEIGHT 0.05   /* of a new sample */
+#define HASHED_SHARE_MIN 0.5 /* of the hashed blocks; with less of them cached, no sample */
 
 static bool
 has_prefix (const struct decide *decide, const struct decide_request *request)
--- a/src/decide_state.h
+++ b/src/decide_state.h
@@ -59,14 +59,13 @@
   int64_t drift_at;
   double recent_timeouts; /* recent, decayed; a target counts once until it answers */
   int64_t timeouts_at;
-  double log_slowness; /* sum over its targets */
-  double
-      unhashed_cached_share; /* learned cached share of the tokens after a prompt's hashed blocks */
-  uint32_t running;          /* attempts of this host */
-  double slots;              /* of its usable targets, when last refreshed */
-  uint32_t n_usable;         /* when last refreshed */
-  double reported;           /* calls of all hosts running or queued there, by recent reports */
-  double report_confidence;  /* confidence in `reported`, 0 to 1 */
+  double log_slowness;          /* sum over its targets */
+  double unhashed_cached_share; /* of a prompt's tokens after its hashed blocks, learned */
+  uint32_t running;             /* attempts of this host */
+  double slots;                 /* of its usable targets, when last refreshed */
+  uint32_t n_usable;            /* when last refreshed */
+  double reported;              /* calls of all hosts running or queued there, by recent reports */
+  double report_confidence;     /* confidence in `reported`, 0 to 1 */
   int64_t refreshed_at;
   UT_hash_handle hh;
 };
--- a/src/decide_target.c
+++ b/src/decide_target.c
@@ -20,8 +20,7 @@
 #define LOAD_BOUND 1.5
 #define LOAD_BOUND_EXTRA 2
 #define TIMEOUT_FACTOR 3.0     /* of the expected high time: an attempt's timeout */
-#define TIMEOUT_FACTOR_MIN 1.5 /* of the same: no timeout when less time is left for the attempt   \
-                                */
+#define TIMEOUT_FACTOR_MIN 1.5 /* of the same: no timeout when less time is left */
 #define TIMEOUT_MIN (250.0 * USEC_PER_MSEC)
 
 struct candidate
--- a/src/decide_time.c
+++ b/src/decide_time.c
@@ -9,11 +9,10 @@
 #define SLOWNESS_DEAD_BAND 0.2 /* log ratio within random variation */
 #define SLOWNESS_HALF_LIFE (20.0 * USEC_PER_SEC)
 #define TIMEOUTS_HALF_LIFE (10.0 * USEC_PER_SEC)
-#define SLOW_POOL_TIMEOUT_SHARE                                                                    \
-  0.25                             /* of the targets timing out, from which timeouts are extended */
-#define SLOW_POOL_TIMEOUT_FACTOR 4 /* factor on the timeouts then */
-#define DRIFT_WEIGHT 0.1           /* of a new sample */
-#define DRIFT_DEAD_BAND 0.4        /* log ratio within random variation */
+#define SLOW_POOL_TIMEOUT_SHARE 0.25 /* of the targets timing out: from there, longer timeouts */
+#define SLOW_POOL_TIMEOUT_FACTOR 4   /* factor on the timeouts */
+#define DRIFT_WEIGHT 0.1             /* of a new sample */
+#define DRIFT_DEAD_BAND 0.4          /* log ratio within random variation */
 #define DRIFT_HALF_LIFE (5.0 * USEC_PER_SEC)
 #define LOG_DRIFT_MAX 2.5
 #define TOKEN_SIZE 1 /* the time per token does not depend on their number */
@@ -110,7 +109,7 @@
                        const struct board_pipeline *pipeline,
                        uint32_t stage)
 {
-  struct decide_remaining rest = { .known = true };
+  struct decide_remaining remaining = { .known = true };
 
   for (; stage < pipeline->spec.n_stages; stage++)
     {
@@ -123,11 +122,12 @@
 
       if (cached > 0)
         low = work.tokens.low;
-      rest.low += low;
-      rest.expected += decide_work_at (&work, pool == NULL ? 0 : decide_pool_fill (decide, pool));
-      rest.known = rest.known && work.known;
+      remaining.low += low;
+      remaining.expected +=
+          decide_work_at (&work, pool == NULL ? 0 : decide_pool_fill (decide, pool));
+      remaining.known = remaining.known && work.known;
     }
-  return rest;
+  return remaining;
 }
 
 static void
@@ -210,10 +210,10 @@
 static void
 learn_drift (struct decide_pool *pool, double ratio, int64_t now)
 {
-  double rest = fmin (fmax (log (ratio), -LOG_RESIDUAL_MAX), LOG_RESIDUAL_MAX);
+  double residual = fmin (fmax (log (ratio), -LOG_RESIDUAL_MAX), LOG_RESIDUAL_MAX);
 
   decide_drift_update (pool, now);
-  pool->log_drift += DRIFT_WEIGHT * rest;
+  pool->log_drift += DRIFT_WEIGHT * residual;
   pool->log_drift = fmin (fmax (pool->log_drift, -LOG_DRIFT_MAX), LOG_DRIFT_MAX);
   pool->drift = exp (apply_dead_band (pool->log_drift, DRIFT_DEAD_BAND));
 }
@@ -259,10 +259,10 @@
 
   if (expected_alone > 0 && span > 0)
     {
-      double rest = log (span / (expected_alone * factor));
+      double residual = log (span / (expected_alone * factor));
 
-      rest = fmin (fmax (rest, -LOG_RESIDUAL_MAX), LOG_RESIDUAL_MAX);
-      slope->slope += SLOPE_RATE * rest * (fill - slope->mean_fill);
+      residual = fmin (fmax (residual, -LOG_RESIDUAL_MAX), LOG_RESIDUAL_MAX);
+      slope->slope += SLOPE_RATE * residual * (fill - slope->mean_fill);
       slope->slope = fmin (fmax (slope->slope, 0), SLOPE_MAX);
       slope->mean_fill += SLOPE_MEAN_WEIGHT * (fill - slope->mean_fill);
     }
