--- a/bench/quarantine_fleet.c
+++ b/bench/quarantine_fleet.c
@@ -8,7 +8,7 @@
 
 #define START (100 * USEC_PER_SEC)
 
-/* Delay in microseconds until a host learns that a broken connection was the end of the target. */
+/* Delay in microseconds until a host learns that a broken connection was a crash of the target. */
 #define PROBE_DELAY_MIN_USEC 200
 #define PROBE_DELAY_SPREAD (10 * USEC_PER_MSEC)
 
@@ -45,7 +45,7 @@
   run->target->n_runs--;
 }
 
-/* All runs on the target break; each host learns of the end after a probe delay. */
+/* All runs on the target break; each host learns of the crash after a probe delay. */
 static void
 crash_target (struct fleet_target *target, int64_t now)
 {
--- a/bench/quarantine_fleet.h
+++ b/bench/quarantine_fleet.h
@@ -1,5 +1,5 @@
 /* Simulation of a fleet with poison requests in virtual time: entry hosts and controllers with
- * their tables and messages, targets that end and restart, partitions, process restarts.
+ * their tables and messages, targets that crash and restart, partitions, process restarts.
  *
  * Tables, messages and verdicts are those of the product; connections, probes and load balancing
  * are replaced by random delays and choices. */
@@ -13,7 +13,7 @@
 
 BEGIN_DECLS
 
-/* A host counts as in touch if it was undisturbed for this long. */
+/* A host counts as settled if it was up, reachable and undisturbed for this long. */
 #define FLEET_SETTLE_TIME (3 * USEC_PER_SEC)
 
 /* Maximum number of poison requests. */
@@ -30,7 +30,7 @@
   uint32_t poison;         /* number of poison requests */
   double poison_rate;      /* of each, arrivals per second */
   bool poison_is_periodic; /* at even intervals, each at any host */
-  int64_t poison_run_max;  /* longest run until its target ends */
+  int64_t poison_run_max;  /* longest run until its target crashes */
   double normal_rate;      /* arrivals per second of all other requests */
   double popular;          /* share of the other requests that is one request */
   uint32_t power_cuts;     /* moments at which a quarter of the targets end together */
@@ -42,9 +42,9 @@
 
 struct quarantine_fleet_figures
 {
-  uint32_t crashes; /* targets ended by poison requests */
-  /* Most sends of one poison request by hosts in touch, later than FLEET_SETTLE_TIME after its
-   * third end. */
+  uint32_t crashes; /* caused by poison requests */
+  /* Most sends of one poison request by settled hosts, later than FLEET_SETTLE_TIME after its
+   * third crash. */
   uint32_t late_sends_max;
   uint32_t normal; /* requests that are not poison */
   uint32_t normal_lost;
--- a/bench/quarantine_fleet_private.h
+++ b/bench/quarantine_fleet_private.h
@@ -26,7 +26,7 @@
   char name[16];
   bool is_entry;
   bool is_partitioned;
-  uint32_t start_count;      /* number of starts */
+  uint32_t start_count;
   int64_t undisturbed_since; /* time of the last restart, partition or return */
   int64_t current_second;    /* the second in which bytes_this_second were sent */
   double bytes_this_second;
@@ -63,8 +63,8 @@
   struct fleet_target *target;
   uint64_t incarnation; /* of the target it ran on */
   uint32_t request;     /* number of its content: poison requests first, then the popular one */
-  bool is_retry;        /* the client's retry */
-  bool is_counted;      /* counted in the suspect's `running` */
+  bool is_retry;
+  bool is_counted; /* counted in the suspect's `n_running` */
   int64_t sent_at;
   int64_t broke_at;
   struct run *prev;
@@ -75,7 +75,7 @@
 {
   uint32_t crashes;
   uint32_t late_sends;
-  int64_t third_crash_at; /* time at which the third target ended */
+  int64_t third_crash_at;
 };
 
 /* Poisson arrivals of requests, or evenly spaced ones. */
@@ -98,8 +98,7 @@
   uint32_t n_nodes;
   struct fleet_target *targets;
   struct poison_request poison[FLEET_POISON_MAX];
-  struct arrivals
-      arrivals[FLEET_POISON_MAX + 1]; /* one per poison request, and one for all others */
+  struct arrivals arrivals[FLEET_POISON_MAX + 1]; /* one per poison request, one for all others */
   struct timer fault_timer;
   uint32_t faults_left[4]; /* power cuts, restarts, partitions and full restarts still to come */
   uint32_t next_request;
--- a/src/quarantine.c
+++ b/src/quarantine.c
@@ -6,7 +6,7 @@
 
 #define INITIAL_CAPACITY 8
 
-/* A later `seen` is merged and passed on only if it is later by more than this. */
+/* A later `last_seen` is merged and passed on only if it is later by more than this. */
 #define SEEN_STEP (QUARANTINE_SUSPECT_TTL / 4)
 
 struct quarantine
@@ -63,10 +63,10 @@
   return place < quarantine->n ? &quarantine->suspects[place] : NULL;
 }
 
-/* ---- ends ---- */
+/* ---- crashes ---- */
 
-/* Of the valid ends that do not overlap `before`, the one with the earliest `to`; NULL if there is
- * none. */
+/* Of the valid crashes that do not overlap `before`, the one with the earliest `to`; NULL if there
+ * is none. */
 static const struct quarantine_crash *
 next_disjoint_crash (const struct quarantine_crash *crashes,
                      uint32_t n,
@@ -125,8 +125,8 @@
   return NULL;
 }
 
-/* The end to evict: the oldest one that was taken back, else the oldest one that is not counted.
- * Deterministic, so that hosts with the same ends evict the same one. */
+/* The crash to evict: the oldest retracted one, else the oldest one that is not counted.
+ * Deterministic, so that hosts with the same crashes evict the same one. */
 static uint32_t
 select_crash_to_evict (const struct quarantine_crash *crashes, uint32_t n)
 {
@@ -150,7 +150,7 @@
   return least == NULL ? n - 1 : (uint32_t) (least - crashes);
 }
 
-/* False if `from` is the end to evict. */
+/* False if `from` is the crash to evict. */
 static bool
 add_crash (struct quarantine_suspect *suspect, const struct quarantine_crash *from)
 {
@@ -218,7 +218,7 @@
   *suspect = quarantine->suspects[--quarantine->n];
 }
 
-/* The suspect to evict: of those that may still be sent, the one with the fewest counted ends;
+/* The suspect to evict: of those that may still be sent, the one with the fewest counted crashes;
  * among equals the least recently seen.  NULL if there is none. */
 static struct quarantine_suspect *
 select_suspect_to_evict (struct quarantine *quarantine, const char *organisation, int64_t now)
@@ -287,7 +287,7 @@
   return true;
 }
 
-/* Adds a suspect without any ends or trials. */
+/* Adds a suspect without any crashes or trials. */
 static bool
 add_suspect (struct quarantine *quarantine,
              const struct quarantine_suspect *from,
@@ -354,7 +354,7 @@
   return last;
 }
 
-/* None of its ends counts now or will count later.  A suspect that was once held is kept as
+/* None of its crashes counts now or will count later.  A suspect that was once held is kept as
  * cleared, because a host that was cut off may still hold it. */
 static bool
 is_expired (const struct quarantine_suspect *suspect, int64_t now)
--- a/src/quarantine.h
+++ b/src/quarantine.h
@@ -1,15 +1,17 @@
-/* Table of poison requests: requests whose runs terminate the targets that execute them, with the
+/* Table of poison requests: requests whose runs crash the targets that execute them, with the
  * evidence against each and the verdict that follows from it.
  *
- * Load pattern: one request is repeated at any host, and each run terminates a target and
- * everything else that runs there.  Every request that ran on a target when it ended becomes a
- * suspect.  A complete answer clears a suspect, so that only the request that is present at every
- * end stays one.
+ * A crash is the end of an incarnation, for whatever reason, while it ran the request.
  *
- * The evidence against a request is a set of ends: incarnations that ended while they ran it, each
- * valid or taken back.  Merging sets is commutative, associative and idempotent, and the verdict
- * is a function of the set.  Only ends that cannot share one cause are counted separately: several
- * targets that lose power together count once.
+ * Load pattern: one request is repeated at any host, and each run ends a target and everything
+ * else that runs there.  Every request that ran on a target when it crashed becomes a suspect.  A
+ * complete answer clears a suspect, so that only the request that is present at every crash stays
+ * one.
+ *
+ * The evidence against a request is a set of crashes, each valid or retracted.  Sets may be merged
+ * in any order, any number of times, and the verdict is a function of the set.  Only crashes that
+ * cannot share one cause are counted separately: several targets that lose power together count
+ * once.
  *
  * Pure: time is passed in. */
 #ifndef QUARANTINE_H
@@ -24,10 +26,10 @@
 
 BEGIN_DECLS
 
-/* A request is not sent any more once this many of its ends are counted. */
+/* A request is not sent any more once this many of its crashes are counted. */
 #define QUARANTINE_CRASH_THRESHOLD 3
 
-/* Ends stored per request, those taken back included. */
+/* Crashes stored per request, retracted ones included. */
 #define QUARANTINE_CRASHES_MAX 8
 
 #define QUARANTINE_SUSPECTS_MAX 512
@@ -39,26 +41,26 @@
 /* A suspect that no client has sent for this long is dropped. */
 #define QUARANTINE_SUSPECT_TTL (3600 * USEC_PER_SEC)
 
-/* Ends within this span may share one cause if runs of the request were in flight on all of these
- * targets. */
+/* Crashes within this span may share one cause if runs of the request were in flight on all of
+ * these targets. */
 #define QUARANTINE_COMMON_CAUSE_SPAN (200 * USEC_PER_MSEC)
 
 /* Tolerated difference between the timestamps of two hosts when deciding whether one run began
  * after another one had finished. */
 #define QUARANTINE_CLOCK_TOLERANCE (20 * USEC_PER_MSEC)
 
-/* Ends further apart than this are not counted together: a request that is sent all day is in
- * flight on some target whenever one ends. */
+/* Crashes further apart than this are not counted together: a request that is sent all day is in
+ * flight on some target whenever one crashes. */
 #define QUARANTINE_WINDOW (600 * USEC_PER_SEC)
 
-/* A request that is not sent any more is tried again this long after its last end, and once more
+/* A request that is not sent any more is tried again this long after its last crash, and once more
  * this long after that trial: it may only have run beside a poison request. */
 #define QUARANTINE_FIRST_TRIAL_DELAY (10 * USEC_PER_SEC)
 #define QUARANTINE_SECOND_TRIAL_DELAY (600 * USEC_PER_SEC)
 #define QUARANTINE_TRIALS_MAX 2
 
-/* An incarnation that ended while it ran the request.  The cause lies between these two times and
- * within the run. */
+/* A crash of the incarnation while it ran the request.  The cause lies between `from` and `to`,
+ * and within the run. */
 struct quarantine_crash
 {
   uint64_t incarnation;
@@ -82,7 +84,7 @@
   /* Local, not replicated. */
   uint32_t n_running;     /* runs in flight on this host */
   int64_t last_announced; /* last time it was announced to other hosts */
-  bool announce_due;      /* an announcement is due */
+  bool announce_due;
 };
 
 struct quarantine;
@@ -108,8 +110,8 @@
 /* The suspects by index from 0; NULL past the last one. */
 struct quarantine_suspect *quarantine_at (struct quarantine *quarantine, uint32_t place);
 
-/* Number of ends that cannot share one cause and lie within one QUARANTINE_WINDOW.  A number below
- * QUARANTINE_CRASH_THRESHOLD expires QUARANTINE_WINDOW after the first of its ends. */
+/* Number of crashes that cannot share one cause and lie within one QUARANTINE_WINDOW.  A number
+ * below QUARANTINE_CRASH_THRESHOLD expires QUARANTINE_WINDOW after the first of its crashes. */
 uint32_t quarantine_count_crashes (const struct quarantine_suspect *suspect, int64_t now);
 
 /* name, text */
@@ -136,22 +138,22 @@
                                                 bool is_trial_host,
                                                 int64_t now);
 
-/* Takes back all ends of a request; false if none was valid. */
+/* Retracts all crashes of a request; false if none was valid. */
 bool quarantine_clear (struct quarantine_suspect *suspect);
 
-/* The incarnation was alive at `alive`: takes back its end if that lies before; false if nothing
+/* The incarnation was alive at `alive`: retracts its crash unless that is later; false if nothing
  * changed. */
 bool quarantine_retract (struct quarantine_suspect *suspect, uint64_t incarnation, int64_t alive);
 
-/* Drops suspects that expired or whose ends no longer count. */
+/* Drops suspects that expired or whose crashes no longer count. */
 void quarantine_expire (struct quarantine *quarantine, int64_t now);
 
 /* Whether entry hosts need to know of it.  When a host of targets loses power, hundreds of
- * requests get one end each; only controllers, which receive all ends, need those. */
+ * requests get one crash each; only controllers, which receive all crashes, need those. */
 bool quarantine_is_shared (const struct quarantine_suspect *suspect);
 
-/* Order-independent hash of the valid ends and trials of suspects with a count of 2 or more, equal
- * for tables that agree on them. */
+/* Order-independent hash of the valid crashes and the trials of suspects with a count of 2 or
+ * more, equal for tables that agree on them. */
 uint64_t quarantine_summary (const struct quarantine *quarantine, int64_t now);
 
 END_DECLS
--- a/src/quarantine_control.h
+++ b/src/quarantine_control.h
@@ -70,8 +70,8 @@
                                   struct quarantine_suspect *suspect,
                                   int64_t now);
 
-/* Take back all ends of a request, or the ends of an incarnation that was alive at `alive`, where
- * they lie before that, and announce the change.  `why` is logged. */
+/* Retract all crashes of a request, or the crashes of an incarnation that was alive at `alive`
+ * unless they are later, and announce the change.  `why` is logged. */
 void quarantine_control_clear (struct quarantine_control *control,
                                const struct request_digest *digest,
                                const char *why,
--- a/src/quarantine_entry.c
+++ b/src/quarantine_entry.c
@@ -19,7 +19,7 @@
   struct quarantine_control *control;
   struct quarantine *table;
   struct target_watch *watch;
-  struct quarantine_suspect *pending; /* QUARANTINE_PENDING_MAX, each with one end */
+  struct quarantine_suspect *pending; /* QUARANTINE_PENDING_MAX, each with one crash */
   uint32_t n_pending;
   struct counter *verdicts[QUARANTINE_VERDICT_COUNT];
 };
--- a/src/quarantine_entry.h
+++ b/src/quarantine_entry.h
@@ -1,5 +1,5 @@
-/* Quarantine on an entry host: which requests broke, whether their targets ended, and what may be
- * sent. */
+/* Quarantine on an entry host: which requests broke, whether their targets crashed, and what may
+ * be sent. */
 #ifndef QUARANTINE_ENTRY_H
 #define QUARANTINE_ENTRY_H
 
@@ -34,7 +34,8 @@
 /* A request need not be digested while nothing is suspected. */
 bool quarantine_entry_is_empty (const struct quarantine_entry *entry);
 
-/* Verdict on a request that a client sends.  TRY is returned once and recorded as a trial. */
+/* Verdict on a request that a client sends.  QUARANTINE_TRIAL is returned once and recorded as a
+ * trial. */
 enum quarantine_verdict quarantine_entry_admit (struct quarantine_entry *entry,
                                                 const struct request_digest *digest,
                                                 int64_t now);
@@ -44,8 +45,8 @@
                                                       const struct request_digest *digest,
                                                       int64_t now);
 
-/* Count a run in and out.  False: the request is not suspected, and quarantine_entry_run_finished()
- * need not be called. */
+/* Count a run in and out.  False: the request is not suspected, and
+ * quarantine_entry_run_finished() need not be called. */
 bool quarantine_entry_run_started (struct quarantine_entry *entry,
                                    const struct request_digest *digest);
 void quarantine_entry_run_finished (struct quarantine_entry *entry,
@@ -57,8 +58,8 @@
                                         const struct request_digest *digest,
                                         int64_t now);
 
-/* The connection to the target broke while it ran `suspect`, which has one end: the span in which
- * the target ended, if it did. */
+/* The connection to the target broke while it ran `suspect`, which has one crash: the span in
+ * which the target ended, if it did. */
 void quarantine_entry_connection_broke (struct quarantine_entry *entry,
                                         const struct balance_target *target,
                                         const struct quarantine_suspect *suspect,
--- a/tests/unit_quarantine.cc
+++ b/tests/unit_quarantine.cc
@@ -15,7 +15,7 @@
 const int64_t START = 7 * QUARANTINE_SUSPECT_TTL;
 const int64_t RUN = 30 * USEC_PER_MSEC;
 
-// Evidence of one end, as one host reports it; `took` is the duration of the run.
+// Evidence of one crash, as one host reports it; `took` is the duration of the run.
 struct quarantine_suspect
 make_evidence (int request,
                uint64_t incarnation,
@@ -59,7 +59,7 @@
     return out;
   }
 
-  // Adds three ends one second apart; returns the time of the last.
+  // Adds three crashes one second apart; returns the time of the last.
   int64_t
   hold (int request, const char *organisation = "org")
   {
@@ -90,7 +90,7 @@
   struct quarantine *table = quarantine_new (parent);
 };
 
-TEST_F (Quarantine, HoldsARequestUnderWhichThreeTargetsEnded)
+TEST_F (Quarantine, HoldsARequestThatCrashedThreeTargets)
 {
   EXPECT_EQ (judge (1, START), QUARANTINE_PASS);
   add (make_evidence (1, 11, START));
@@ -105,7 +105,7 @@
   EXPECT_EQ (judge (2, START + 2 * USEC_PER_SEC), QUARANTINE_PASS);
 }
 
-// Several hosts report the end of the same target.
+// Several hosts report the same crash.
 TEST_F (Quarantine, CountsAnIncarnationOnce)
 {
   for (int i = 0; i < 9; i++)
@@ -114,7 +114,7 @@
 }
 
 // A rack loses power while copies of a popular request run on all of its targets: one cause.
-TEST_F (Quarantine, CountsTargetsThatEndTogetherOnce)
+TEST_F (Quarantine, CountsSimultaneousCrashesOnce)
 {
   for (uint64_t i = 0; i < 6; i++)
     add (make_evidence (1, 10 + i, START + static_cast<int64_t> (i) * USEC_PER_MSEC, USEC_PER_SEC));
@@ -122,8 +122,8 @@
   EXPECT_EQ (judge (1, START), QUARANTINE_ISOLATE);
 }
 
-// A client repeats a request at once, and its targets end within milliseconds of each other.
-TEST_F (Quarantine, CountsEndsOfConsecutiveRunsSeparately)
+// A client repeats a request at once, and its targets crash within milliseconds of each other.
+TEST_F (Quarantine, CountsCrashesOfConsecutiveRunsSeparately)
 {
   for (uint64_t i = 0; i < 3; i++)
     add (make_evidence (1, 10 + i, START + static_cast<int64_t> (i) * 2 * USEC_PER_MSEC,
@@ -131,8 +131,8 @@
   EXPECT_EQ (count (1), 3u);
 }
 
-// Runs overlap, but the targets end at unrelated moments.
-TEST_F (Quarantine, CountsUnrelatedEndsOfOverlappingRunsSeparately)
+// Runs overlap, but the targets crash at unrelated moments.
+TEST_F (Quarantine, CountsUnrelatedCrashesOfOverlappingRunsSeparately)
 {
   for (uint64_t i = 0; i < 3; i++)
     add (make_evidence (1, 10 + i,
@@ -141,9 +141,9 @@
   EXPECT_EQ (count (1), 3u);
 }
 
-// More targets end together than ends are stored, as many runs are in flight at once: ends that
-// follow must still be counted.
-TEST_F (Quarantine, CountsLaterEndsAfterMoreSimultaneousEndsThanAreStored)
+// More targets crash together than crashes are stored, as many runs are in flight at once: crashes
+// that follow must still be counted.
+TEST_F (Quarantine, CountsLaterCrashesAfterMoreSimultaneousOnesThanAreStored)
 {
   for (uint64_t i = 0; i < 30; i++)
     add (make_evidence (1, 10 + i, START + static_cast<int64_t> (i) * USEC_PER_MSEC, USEC_PER_SEC));
@@ -151,7 +151,7 @@
   add (make_evidence (1, 50, START + USEC_PER_SEC));
   add (make_evidence (1, 51, START + 2 * USEC_PER_SEC));
   EXPECT_EQ (count (1), 3u);
-  // An evicted end that is reported again is not new.
+  // An evicted crash that is reported again is not new.
   struct quarantine_suspect again = make_evidence (1, 11, START + USEC_PER_MSEC, USEC_PER_SEC);
   struct quarantine_suspect *out;
 
@@ -160,8 +160,8 @@
   EXPECT_EQ (count (1), 3u);
 }
 
-// A request that is sent all day is in flight on some target whenever one ends.
-TEST_F (Quarantine, CountsOnlyEndsWithinOneWindow)
+// A request that is sent all day is in flight on some target whenever one crashes.
+TEST_F (Quarantine, CountsOnlyCrashesWithinOneWindow)
 {
   for (uint64_t i = 0; i < 5; i++)
     add (make_evidence (1, 10 + i, START + static_cast<int64_t> (i) * QUARANTINE_WINDOW * 2 / 3));
@@ -169,7 +169,7 @@
   EXPECT_EQ (judge (1, START + 10 * QUARANTINE_WINDOW), QUARANTINE_PASS);
 }
 
-// The end of a target whose machine goes silent is detected seconds later, so it may lie at any
+// The crash of a target whose machine goes silent is detected seconds later, so it may lie at any
 // moment since the last sign of life.
 TEST_F (Quarantine, CountsSilentTargetsWithOverlappingSpansOnce)
 {
@@ -184,8 +184,8 @@
   EXPECT_EQ (count (1), 1u);
 }
 
-// Requests that run beside a poison request collect its ends until a complete answer clears them.
-// Evidence from before the answer that arrives late must not count again.
+// Requests that run beside a poison request collect its crashes until a complete answer clears
+// them.  Evidence from before the answer that arrives late must not count again.
 TEST_F (Quarantine, ACompleteAnswerClearsOlderEvidencePermanently)
 {
   int64_t now = hold (1);
@@ -199,7 +199,7 @@
   EXPECT_EQ (judge (1, now + USEC_PER_SEC), QUARANTINE_ISOLATE);
 }
 
-TEST_F (Quarantine, TakesBackTheEndOfALiveTarget)
+TEST_F (Quarantine, RetractsTheCrashOfALiveTarget)
 {
   int64_t now = hold (1);
   struct quarantine_suspect of = make_evidence (1, 0, now);
@@ -209,8 +209,8 @@
   EXPECT_FALSE (quarantine_retract (quarantine_find (table, &of.digest), 11, now));
 }
 
-// One host saw the target alive before another host saw it end: the end is valid.
-TEST_F (Quarantine, KeepsAnEndAfterTheTargetWasLastSeenAlive)
+// One host saw the target alive before another host saw it crash: the crash is valid.
+TEST_F (Quarantine, KeepsACrashAfterTheTargetWasLastSeenAlive)
 {
   struct quarantine_suspect of = make_evidence (1, 0, hold (1));
   struct quarantine_suspect *held = quarantine_find (table, &of.digest);
@@ -238,7 +238,7 @@
               make_evidence (static_cast<int> (rng_below (&rng, 3)), 1 + rng_below (&rng, 5),
                              START + static_cast<int64_t> (rng_below (&rng, 5)) * USEC_PER_SEC);
 
-          // One incarnation has one end, whichever host reports it.
+          // One incarnation crashes once, whichever host reports it.
           one.crashes[0].to =
               START + static_cast<int64_t> (one.crashes[0].incarnation) * USEC_PER_SEC;
           one.crashes[0].from = one.crashes[0].to - RUN;
@@ -330,9 +330,9 @@
   EXPECT_TRUE (quarantine_is_empty (table));
 }
 
-// A target ended for a reason of its own: once that end expired, no request need be compared with
-// those that ran there.
-TEST_F (Quarantine, DropsASuspectWhoseEndExpired)
+// A target crashed for a reason of its own: once that crash expired, no request need be compared
+// with those that ran there.
+TEST_F (Quarantine, DropsASuspectWhoseCrashExpired)
 {
   add (make_evidence (1, 11, START));
   quarantine_expire (table, START + QUARANTINE_WINDOW);
--- a/tests/unit_quarantine_control.cc
+++ b/tests/unit_quarantine_control.cc
@@ -67,7 +67,7 @@
     timer_service_run (timers, now);
   }
 
-  // Recipient, kind and number of ends of each message of suspects; summaries are left out.
+  // Recipient, kind and number of crashes of each message of suspects; summaries are left out.
   std::vector<std::string>
   announcements () const
   {
@@ -105,7 +105,7 @@
   int64_t now = 100 * USEC_PER_SEC;
 };
 
-// An end is recorded while no controller is reachable: it must not be lost.
+// A crash is recorded while no controller is reachable: it must not be lost.
 TEST_F (QuarantineControl, AnnouncesOnceAControllerIsReachable)
 {
   struct quarantine_suspect suspect = make_evidence (11);
@@ -132,10 +132,10 @@
   EXPECT_EQ (announcements (), (std::vector<std::string>{ "c2:1 relay 1", "c3:1 news 1" }));
 }
 
-// When a host of targets loses power, hundreds of requests get one end each.  Controllers keep
-// these to themselves and announce a request to all entry hosts from its second end on, whichever
-// host reported it.
-TEST_F (QuarantineControl, RelaysRequestsFromTheSecondEndOn)
+// When a host of targets loses power, hundreds of requests get one crash each.  Controllers keep
+// these to themselves and announce a request to all entry hosts from its second crash on,
+// whichever host reported it.
+TEST_F (QuarantineControl, RelaysRequestsFromTheSecondCrashOn)
 {
   start (false);
   peers.names = { "h1:1", "h2:1" };
--- a/tests/unit_quarantine_fleet.cc
+++ b/tests/unit_quarantine_fleet.cc
@@ -6,11 +6,11 @@
 namespace
 {
 
-// Limit on the sends of one request by hosts in touch, later than FLEET_SETTLE_TIME after it ended
-// a third target.
+// Limit on the sends of one request by settled hosts, later than FLEET_SETTLE_TIME after it
+// crashed a third target.
 const uint32_t LATE_SENDS_MAX = 3;
 
-// Limit on the ends by one request of which no two runs are in flight at once.
+// Limit on the crashes by one request of which no two runs are in flight at once.
 const uint32_t CRASHES_MAX = 3;
 
 struct quarantine_fleet_config
@@ -39,7 +39,7 @@
 }
 
 // Control run: without verdicts the failure that the tests below guard against occurs.
-TEST (QuarantineFleet, TargetsEndWithoutQuarantine)
+TEST (QuarantineFleet, TargetsCrashWithoutQuarantine)
 {
   struct quarantine_fleet_config config = fleet (3, 1);
 
@@ -75,7 +75,7 @@
       }
 }
 
-// Random arrivals: two runs may be in flight when the first target ends.
+// Random arrivals: two runs may be in flight when the first target crashes.
 TEST (QuarantineFleet, HoldsARequestWithConcurrentRuns)
 {
   for (uint64_t seed = 1; seed <= 30; seed++)
@@ -108,8 +108,8 @@
     }
 }
 
-// All entry hosts and controllers restart at once and lose their tables: the request ends three
-// more targets, but not while hosts count as in touch.
+// All entry hosts and controllers restart at once and lose their tables: the request crashes three
+// more targets, but not while hosts count as settled.
 TEST (QuarantineFleet, HoldsARequestAgainAfterAllHostsRestart)
 {
   for (uint64_t seed = 1; seed <= 30; seed++)
@@ -138,8 +138,8 @@
     }
 }
 
-// Three poison requests end one target after another while a popular request runs on most of them.
-// If it is held as well, it must be released within the run.
+// Three poison requests crash one target after another while a popular request runs on most of
+// them.  If it is held as well, it must be released within the run.
 TEST (QuarantineFleet, ReleasesARequestThatRanBesidePoisonRequests)
 {
   for (uint64_t seed = 1; seed <= 40; seed++)
@@ -159,7 +159,7 @@
     }
 }
 
-// Most connections of a popular request are reset while no target ends.
+// Most connections of a popular request are reset while no target crashes.
 TEST (QuarantineFleet, HoldsNoRequestForConnectionResets)
 {
   struct quarantine_fleet_config config = fleet (6, 1);
