--- a/src/directory_state.h
+++ b/src/directory_state.h
@@ -1,6 +1,6 @@
 /* Internal structures of the directory, shared by directory.c (calls of targets, expiry),
  * directory_entry.c (entries by name and on the board), directory_list.c (list of the targets of
- * this host), directory_sync.c (requests, answers and pushes sent), directory_told.c (messages
+ * this host), directory_sync.c (requests, answers and pushes sent), directory_receive.c (messages
  * received) and directory_ready.c (readiness after a start). */
 #ifndef DIRECTORY_STATE_H
 #define DIRECTORY_STATE_H
@@ -90,8 +90,7 @@
   uint32_t n_item_slots;
   uint64_t dropped_version; /* highest version of a tombstone dropped from this host's list */
   uint64_t pushed_version;  /* version of this host's list at the last push */
-  int64_t ready_deadline;   /* when the targets count as known even if a host sent no list; 0 once
-                               known */
+  int64_t ready_deadline;   /* the targets count as known from then on; 0 once they do */
   int64_t push_at;          /* USEC_NEVER when nothing changed since the last push */
   uint32_t load_cursor;
   struct counter *refused_outdated;
--- a/src/directory_sync.c
+++ b/src/directory_sync.c
@@ -1,5 +1,5 @@
 /* Messages of the directory to other hosts: requests for lists, answers that renew leases, and
- * pushes of changes.  directory_told.c handles the received answers and pushes.
+ * pushes of changes.  directory_receive.c handles the received answers and pushes.
  *
  * A lease that no answer renews expires without any message.  A push only makes a change known
  * sooner; after a lost push the next answer brings the change, because the versions differ. */
--- a/src/registry.h
+++ b/src/registry.h
@@ -54,7 +54,7 @@
   enum registry_state state;
   uint64_t sequence; /* grows with each renewal of an incarnation */
   uint32_t slots;
-  int64_t warmup_remaining; /* how much longer it is slow after its start */
+  int64_t warmup_remaining; /* how much longer it is slow after its start, in microseconds */
 };
 
 /* A target as known to this host. */
