--- a/src/config.h
+++ b/src/config.h
@@ -44,9 +44,8 @@
  * the quorum was asked. */
 void config_set_confirmed (struct config *config, int64_t at, int64_t now);
 
-/* Whether the configuration in force was confirmed within CONFIG_CONFIRMATION_TTL.  A host for
- * which this is false goes on serving with what it has, reports that, and is left out of entry
- * lists. */
+/* Whether the configuration in force was confirmed within CONFIG_CONFIRMATION_TTL.  If not, the
+ * host goes on serving with what it has, reports that, and is left out of entry lists. */
 static inline bool
 config_is_confirmed (const struct board *board, int64_t now)
 {
--- a/src/config_feed.c
+++ b/src/config_feed.c
@@ -8,8 +8,7 @@
 
 #define FOLLOWERS_MAX 1024
 #define MESSAGE_BYTES (256u << 10) /* approximate size of the changes or objects in a message */
-#define SNAPSHOT_INTERVAL_MIN                                                                      \
-  (3 * USEC_PER_SEC) /* minimum between two snapshots sent to a follower */
+#define SNAPSHOT_INTERVAL_MIN (3 * USEC_PER_SEC) /* between snapshots sent to one follower */
 #define READ_TIMEOUT (2 * USEC_PER_SEC)
 
 struct feed_follower
--- a/src/member.c
+++ b/src/member.c
@@ -25,7 +25,7 @@
  * the one per known host.  Probes carry the latest values anyway. */
 #define VITALS_INTERVAL (5 * USEC_PER_SEC)
 #define VITALS_INTERVAL_PER_HOST (100 * USEC_PER_MSEC)
-#define LOAD_STEP_PERCENT 12 /* percentage points; a smaller change of load is not gossiped */
+#define LOAD_STEP_PERCENT 12 /* a smaller change of load is not gossiped */
 
 /* A suspect is told of its suspicion this often, so that its refutation does not depend on one
  * message.  A suspicion that is not gossiped reaches the suspect in no other way. */
--- a/src/member_state.h
+++ b/src/member_state.h
@@ -41,8 +41,7 @@
   int64_t next_suspect_ping; /* when to tell the suspect again that it is one */
   uint64_t probe_round;      /* probe round in which it was probed last, or added */
   bool local;                /* suspect or dead on this host's evidence alone; not gossiped */
-  bool suspicion_gossiped; /* by this host with a helper's evidence, so this host gossips its death
-                            */
+  bool suspicion_gossiped;   /* suspected on a helper's evidence too; its death is gossiped */
   struct member_update state_update;
   struct member_update vitals_update;
   bool is_queued; /* in the list of hosts with queued updates */
@@ -116,7 +115,7 @@
                        enum host_state state,
                        int64_t now);
 
-/* Suspect a host after a failed probe.  `told`: a helper answered and did not reach the host
+/* Suspect a host after a failed probe.  `gossiped`: a helper answered and did not reach the host
  * either, so the suspicion is gossiped; else the fault may be this host's, and the suspicion is
  * kept local. */
 void member_suspect (struct member *member, struct member_host *host, bool gossiped, int64_t now);
--- a/src/member_update.c
+++ b/src/member_update.c
@@ -16,7 +16,7 @@
 #define GOSSIP_INTERVAL (200 * USEC_PER_MSEC)
 #define GOSSIP_FANOUT 2
 
-#define STATE_COPIES 3  /* sent of an update, times the binary logarithm of the hosts */
+#define STATE_COPIES 3  /* copies of an update, times the binary logarithm of the hosts */
 #define VITALS_COPIES 1 /* likewise; the next update replaces a lost one */
 
 /* Vitals updates in one message; bounds their bytes whatever the number of hosts. */
--- a/src/subscriber.h
+++ b/src/subscriber.h
@@ -22,7 +22,7 @@
 /* The interval until the first answer. */
 #define SYNC_FIRST_REQUEST_PERIOD (100 * USEC_PER_MSEC)
 
-/* A controller or entry host not heard from for this long counts as not in touch. */
+/* A controller or entry host not heard from for this long counts as unreachable. */
 #define SYNC_CONTACT_TIMEOUT (2 * USEC_PER_SEC)
 
 struct subscriber;
@@ -83,8 +83,8 @@
 /* Mark this host as leaving and tell the controllers at once. */
 void subscriber_leave (struct subscriber *subscriber, int64_t now);
 
-/* Store the names of the controllers in touch in `out` and return their count.  The names are valid
- * until the next message or timer is handled. */
+/* Store the names of the reachable controllers in `out` and return their count.  The names are
+ * valid until the next message or timer is handled. */
 uint32_t subscriber_list_controllers (const struct subscriber *subscriber,
                                       const char *out[SYNC_HOSTS_MAX]);
 
