--- a/src/consensus.h
+++ b/src/consensus.h
@@ -36,7 +36,7 @@
   enum status (*load) (struct machine *machine, uint64_t index, const void *data, size_t length);
 };
 
-/* Embedded by the caller that waits for a proposal or a read. done() is called exactly once unless
+/* Embedded by the caller that waits for a proposal or a read.  done() is called exactly once unless
  * the proposal is withdrawn. */
 struct proposal
 {
--- a/src/consensus_client.h
+++ b/src/consensus_client.h
@@ -67,8 +67,8 @@
                                         const char *from,
                                         int64_t now);
 
-/* Decode a message on PEER_CHANNEL_PROPOSAL: `ask` is filled in when `is_request` is set, else
- * `answer`.  STATUS_MALFORMED. */
+/* Decode a message on PEER_CHANNEL_PROPOSAL into `request` when `is_request` is set, else into
+ * `response`.  STATUS_MALFORMED. */
 enum status client_read_message (const void *data,
                                  size_t length,
                                  bool *is_request,
--- a/src/consensus_flush.c
+++ b/src/consensus_flush.c
@@ -264,9 +264,9 @@
   return journal_compact (self->journal, keep_from);
 }
 
-/* Not before the log has grown to the size of the last snapshot, so that snapshots at most double
- * the bytes written.  An I/O error stops the voter; after any other failure, such as a full disk,
- * the snapshot is retried after SNAPSHOT_RETRY. */
+/* Take no snapshot before the log has grown to the size of the last one, so that snapshots at most
+ * double the bytes written.  An I/O error stops the voter; after any other failure, such as a full
+ * disk, the snapshot is retried after SNAPSHOT_RETRY. */
 static void
 snapshot_if_due (struct consensus_voter *self, int64_t now)
 {
--- a/src/consensus_repair.c
+++ b/src/consensus_repair.c
@@ -93,7 +93,7 @@
          && time_since_heard (self, learner, now) < self->config.timing.election_max;
 }
 
-/* Find a caught-up learner to replace `gone`; one with the same name is preferred. */
+/* Find a caught-up learner to replace `failed`; one with the same name is preferred. */
 static const struct raft_member *
 find_successor (const struct consensus_voter *self, const struct raft_member *failed, int64_t now)
 {
@@ -112,7 +112,7 @@
   return found;
 }
 
-/* Find a host that waits to be added; one with the name of `gone` is preferred. */
+/* Find a host that waits to be added; one with the name of `failed` is preferred. */
 static const struct voter_contact *
 find_waiting (const struct consensus_voter *self, const struct raft_member *failed, int64_t now)
 {
--- a/src/disk_posix.c
+++ b/src/disk_posix.c
@@ -231,7 +231,7 @@
   parent = open (parent_path, O_RDONLY | O_DIRECTORY | O_CLOEXEC);
   if (parent < 0 || fsync (parent) != 0)
     {
-      enum status status = fail_errno ("sync the folder above", folder);
+      enum status status = fail_errno ("sync the parent of the folder", folder);
 
       if (parent >= 0)
         close (parent);
--- a/src/raft.h
+++ b/src/raft.h
@@ -6,7 +6,7 @@
  * transfer (3.10), read index and leases (6.4), writing to the leader's disk in parallel
  * (10.2.1).
  *
- * Safety depends on the driver following this contract. raft_poll() returns a ready.  Messages in
+ * Safety depends on the driver following this contract.  raft_poll() returns a ready.  Messages in
  * `early` may be sent at once.  The parts of the ready that must be durable (snapshot, term and
  * vote, entries) are then stored and synced.  Only after that are the messages in `late` sent and
  * raft_synced() called, which makes this server's own copy and vote count.  No other function is
@@ -168,7 +168,7 @@
  * called. */
 void raft_discard_ready (struct raft *raft, int64_t now);
 
-/* While held, entries from a leader are refused and it is told to wait. */
+/* While paused, entries from a leader are refused and it is told to wait. */
 void raft_set_paused (struct raft *raft, bool paused);
 
 /* Returns the next entry to apply, NULL when all committed and stored entries are applied;
@@ -180,7 +180,7 @@
  * `keep_from`. */
 void raft_compact_log (struct raft *raft, const struct raft_snapshot *snapshot, uint64_t keep_from);
 
-/* An entry held in memory, else NULL. */
+/* The entry at `index`; NULL when it is not in memory. */
 const struct raft_entry *raft_entry_at (const struct raft *raft, uint64_t index);
 
 uint64_t raft_id (const struct raft *raft);
--- a/src/raft_message.c
+++ b/src/raft_message.c
@@ -181,7 +181,7 @@
   pack_reader_init (&in, data, length);
   kind = pack_read_uint (&in, UINT64_MAX);
   if (in.failed || kind >= RAFT_MESSAGE_KIND_COUNT)
-    return status_fail (STATUS_MALFORMED, "kind of a message");
+    return status_fail (STATUS_MALFORMED, "unknown kind of raft message");
   m->kind = (enum raft_message_kind) kind;
   m->from = pack_read_uint (&in, UINT64_MAX);
   m->to = pack_read_uint (&in, UINT64_MAX);
@@ -192,7 +192,7 @@
   if (status == STATUS_OK && (fields[kind] & HAS_CHUNK))
     read_chunk (&in, m);
   if (status == STATUS_OK && !pack_read_end (&in))
-    status = status_fail (STATUS_MALFORMED, "%s message", kind_texts[kind]);
+    status = status_fail (STATUS_MALFORMED, "malformed raft message of kind %s", kind_texts[kind]);
   if (status != STATUS_OK)
     TALLOC_FREE (m->entries);
   return status;
