--- a/src/claim_job.c
+++ b/src/claim_job.c
@@ -9,8 +9,7 @@
 #define PROPOSE_TIMEOUT (USEC_PER_SEC)
 #define RETRY_DELAY_MIN (USEC_PER_SEC / 20)
 #define RETRY_DELAY_MAX (USEC_PER_SEC)
-#define IN_FLIGHT_MARGIN                                                                           \
-  (USEC_PER_SEC / 10) /* in-flight is answered this long before the deadline */
+#define IN_FLIGHT_MARGIN (USEC_PER_SEC / 10) /* answered this long before the deadline */
 #define UNLISTED_HOST_DEAD_AFTER (60 * USEC_PER_SEC)
 
 /* uthash's macros are long; the functions are not.
@@ -192,8 +191,7 @@
 }
 
 /* True when this epoch of the holder is known to be over.  A host that is not on the board counts
- * as dead only after UNLISTED_HOST_DEAD_AFTER, when this process has had time to learn of all
- * hosts. */
+ * as dead only after UNLISTED_HOST_DEAD_AFTER, which lets this process learn of all hosts. */
 static bool
 holder_is_dead (const struct claim_log *log, const struct claim_holder *holder, int64_t now)
 {
--- a/src/claim_job.h
+++ b/src/claim_job.h
@@ -36,9 +36,9 @@
   struct consensus *group;
   enum job_step step;
   bool proposed;          /* done() is pending */
-  bool may_be_held;       /* an acquire was proposed, so it may have been granted */
-  bool acquire_timed_out; /* an acquire timed out: it may still be applied */
-  bool in_granted_table;  /* is in the hash table of granted claims */
+  bool may_be_held;       /* an acquire was proposed: it may have been granted */
+  bool acquire_timed_out; /* an acquire failed or timed out: it may still be applied */
+  bool in_granted_table;  /* in the hash table of granted claims */
   int64_t deadline;
   int64_t retry_delay;
   struct claim_entry entry; /* of the acquire; settle() and pack_step() fill in the rest */
--- a/src/store.c
+++ b/src/store.c
@@ -136,7 +136,7 @@
   object->n_references = change->n_references;
 }
 
-/* Apply a change that check() has accepted. */
+/* Apply a change that check_change() has accepted. */
 static struct store_object *
 apply_checked (struct store *store,
                const struct store_change *change,
--- a/src/store_ids.h
+++ b/src/store_ids.h
@@ -24,7 +24,7 @@
 
 struct store_ids *store_ids_new (void *parent, const struct store_ids_config *config);
 
-/* Remove the ids that are older than keep_ms. */
+/* Remove the ids that are older than retention_ms. */
 void store_ids_expire (struct store_ids *ids, int64_t now_ms);
 
 /* The first answer to the id as it was packed; NULL when the id is unknown. */
