--- a/src/client_stream.c
+++ b/src/client_stream.c
@@ -1,4 +1,4 @@
-/* Byte streams to servers: tcp.h, with a TLS session between where one is wanted. */
+/* Client byte streams over TCP, with an optional TLS layer. */
 #include "client_stream.h"
 #include "container.h"
 #include <talloc.h>
@@ -33,7 +33,7 @@
     stream->ops->connected (stream, now);
 }
 
-/* What came in whole records is handed over also where the next one is broken. */
+/* Plaintext of complete records is delivered even if a later record fails to decrypt. */
 static void
 take_sealed (struct client_stream *stream, const char *data, size_t length, int64_t now)
 {
--- a/src/client_stream.h
+++ b/src/client_stream.h
@@ -12,25 +12,25 @@
 
 struct client_stream_ops
 {
-  /* Bytes can be sent.  The stream is not to be closed within it. */
+  /* Bytes can be sent.  The callback must not close the stream. */
   void (*connected) (struct client_stream *stream, int64_t now);
   void (*received) (struct client_stream *stream, const char *data, size_t length, int64_t now);
 
-  /* As of a tcp_stream.  With TLS an orderly end is told as a reset, as anyone on the way can make
-   * one. */
+  /* As for a tcp_stream.  With TLS an orderly end is reported as a reset, because a TCP FIN is not
+   * authenticated and can be forged on the path. */
   void (*ended) (struct client_stream *stream, enum tcp_end end, int64_t now);
 };
 
-/* Embedded by its user, zeroed and then connected. */
+/* Embedded by its user, which zeroes it before client_stream_connect(). */
 struct client_stream
 {
   const struct client_stream_ops *ops;
   struct tcp_stream tcp;
-  struct tls_session *tls; /* NULL where it is plain */
+  struct tls_session *tls; /* NULL without TLS */
 };
 
-/* Begin to connect, with TLS where `trust` is not NULL; connected() or ended() follows from the
- * loop. */
+/* Start to connect, with TLS if `trust` is not NULL.  On STATUS_OK the event loop calls connected()
+ * or ended() later. */
 enum status client_stream_connect (struct client_stream *stream,
                                    const struct client_stream_ops *ops,
                                    struct loop *loop,
@@ -39,14 +39,14 @@
 
 bool client_stream_is_connected (const struct client_stream *stream);
 
-/* Send or keep; what cannot be sent or kept fails the stream. */
+/* Send or buffer the data; the stream fails if neither is possible. */
 void client_stream_write (struct client_stream *stream, const void *data, size_t length);
 
-/* Can another request be sent after what went over it?  Not where bytes are unsent, or where it
- * failed. */
+/* Can another request be sent?  False while bytes are unsent or if the stream failed. */
 bool client_stream_is_idle (const struct client_stream *stream);
 
-/* Is there something, or an end, that received() or ended() has yet to tell of? */
+/* Are there received bytes, or an end of the connection, not yet reported by received() or ended()?
+ */
 bool client_stream_has_unread (const struct client_stream *stream);
 
 void client_stream_close (struct client_stream *stream);
--- a/src/h1.c
+++ b/src/h1.c
@@ -53,7 +53,7 @@
   return add_text (reader_of (parser), data, length);
 }
 
-/* Fields behind the last chunk are left out: the head was handed over and does not change. */
+/* Trailer fields are dropped: the head was delivered already and does not change. */
 static bool
 is_trailer (const http_parser *parser)
 {
@@ -68,7 +68,8 @@
 
   if (is_trailer (parser))
     return 0;
-  /* Others take "Content-Length :" for another field, the parser does not. */
+  /* The parser accepts "Content-Length :" as Content-Length, other implementations treat it as
+   * another field. */
   if (memchr (data, ' ', length) != NULL)
     return 1;
   if (head->n_fields == 0 || reader->in_value)
@@ -129,8 +130,8 @@
     }
 }
 
-/* Two lengths, a coding that is not undone or a field that the parser reads otherwise than we do:
- * where the body ends would be anyone's guess. */
+/* Rejects two lengths, a transfer coding that is not decoded and a framing field that the parser
+ * reads differently from this code: the end of the body would be ambiguous. */
 static bool
 framing_is_ambiguous (const struct h1_head *head)
 {
@@ -144,7 +145,7 @@
   return coding != NULL && strcasecmp (coding, "chunked") != 0;
 }
 
-/* Answers that have no body whatever their fields say (RFC 9112, 6.3). */
+/* Responses that have no body regardless of their header fields (RFC 9112, 6.3). */
 static bool
 has_no_body (const struct h1_reader *reader)
 {
@@ -188,7 +189,8 @@
   head->framing = framing_of (reader);
   if (framing_is_ambiguous (head))
     return -1;
-  /* HTTP/1.0 knows no chunks: who relayed the message may have taken its end to be elsewhere. */
+  /* HTTP/1.0 has no chunked coding, so an intermediary may have found another end of the message.
+   */
   head->keep_alive = http_should_keep_alive (parser) != 0 && !(head->chunked && head->minor == 0);
   reader->part_ended = true;
   http_parser_pause (parser, 1);
@@ -205,7 +207,8 @@
   return 0;
 }
 
-/* The parser stops between the parts of a body in chunks, which tells where framing begins. */
+/* Pauses the parser between the parts of a chunked body, so that framing bytes can be told from
+ * data. */
 static int
 pause_at_part (http_parser *parser)
 {
@@ -223,7 +226,7 @@
 static int
 on_chunk_complete (http_parser *parser)
 {
-  /* Behind a trailer the message is complete as well. */
+  /* After a trailer on_complete() follows. */
   return is_trailer (parser) ? 0 : pause_at_part (parser);
 }
 
@@ -285,7 +288,8 @@
 
 /* ---- framing ---- */
 
-/* In the line of a chunk's size the parser skips what is behind the digits, ends of lines too. */
+/* Checks a byte of a chunk-size line: the parser skips everything after the digits, line ends
+ * included. */
 static bool
 size_byte_is_sound (struct h1_reader *reader, char byte)
 {
@@ -298,8 +302,8 @@
   return !after_space || byte == ' ' || byte == '\t' || byte == ';';
 }
 
-/* The parser of the distribution takes any byte for the LF behind a CR, and any two for the CR LF
- * behind a chunk's data. */
+/* The distribution's http-parser accepts any byte in place of the LF after a CR, and any two bytes
+ * in place of the CR LF after chunk data. */
 static bool
 byte_is_sound (struct h1_reader *reader, char byte)
 {
@@ -313,7 +317,7 @@
   return reader->part != H1_PART_SIZE || size_byte_is_sound (reader, byte);
 }
 
-/* Of the bytes read, all behind the piece of body are framing. */
+/* Checks the bytes that were parsed: all after the piece of body are framing. */
 static bool
 framing_is_sound (struct h1_reader *reader, const char *data, size_t length)
 {
@@ -350,7 +354,7 @@
   return status_fail (STATUS_CANCELLED, "the message was refused");
 }
 
-/* Let the parser read up to the end of the part or of the data. */
+/* Run the parser up to the end of the part or of the data. */
 static enum status
 parse (struct h1_reader *reader, const char *data, size_t length, size_t *used)
 {
@@ -369,7 +373,7 @@
   return framing_is_sound (reader, data, *used) ? STATUS_OK : malformed ("unsound framing");
 }
 
-/* The parser tells of a head before it has read the last byte. */
+/* The parser reports a head before it has consumed its last byte; parse that byte too. */
 static enum status
 end_head (struct h1_reader *reader, const char *last)
 {
--- a/src/h1.h
+++ b/src/h1.h
@@ -1,7 +1,8 @@
-/* HTTP/1.1 messages as they are forwarded: heads with every header kept, bodies in pieces.
+/* Incremental reader of HTTP/1.1 messages for forwarding: heads with every header, bodies in
+ * pieces.
  *
  * libhttp-parser does the parsing.  libwebsockets' HTTP cannot enumerate unknown header names and
- * takes no chunked request body, both of which forwarding needs. */
+ * does not accept chunked request bodies; forwarding needs both. */
 #ifndef H1_H
 #define H1_H
 
@@ -16,9 +17,9 @@
 BEGIN_DECLS
 
 #define H1_FIELDS_MAX 128
-#define H1_HEAD_BYTES_MAX 65536 /* of all header text, whatever the limits in force say */
+#define H1_HEAD_BYTES_MAX 65536 /* upper bound of any configured header limit */
 
-/* name, text: what shows the end of a body (RFC 9112, 6.3) */
+/* name, text: how the end of a body is determined (RFC 9112, 6.3) */
 #define H1_FRAMING_LIST(X)                                                                         \
   X (UNKNOWN, "no head yet")                                                                       \
   X (NO_BODY, "no body")                                                                           \
@@ -36,7 +37,7 @@
 
 const char *h1_framing_text (enum h1_framing framing);
 
-/* A header; both texts end in NUL and live as long as the head. */
+/* A header field; both strings are NUL-terminated and live as long as the head. */
 struct h1_field
 {
   const char *name;
@@ -45,12 +46,12 @@
 
 struct h1_head
 {
-  struct bytes text; /* target, names and values, each ended by NUL */
+  struct bytes text; /* target, names and values, each NUL-terminated */
   uint32_t n_fields;
   struct h1_field fields[H1_FIELDS_MAX];
   const char *target; /* of a request */
   unsigned method;    /* enum http_method */
-  unsigned status;    /* of an answer */
+  unsigned status;    /* of a response */
   unsigned minor;     /* HTTP/1.minor */
   bool has_length;
   bool chunked;
@@ -59,7 +60,7 @@
   bool keep_alive;
 };
 
-/* The value of the first header of that name, in any case; NULL when there is none. */
+/* The value of the first header with that name, compared without case; NULL when there is none. */
 const char *h1_value (const struct h1_head *head, const char *name);
 uint32_t h1_count_fields (const struct h1_head *head, const char *name);
 
@@ -67,20 +68,21 @@
  * of the same message names count too. */
 bool h1_is_hop_by_hop (const struct h1_head *head, const char *name);
 
-/* Is the body an event stream, by its type? */
+/* Is the content type text/event-stream? */
 bool h1_has_events (const struct h1_head *head);
 
-/* Append "Name: value" and the line's end. */
+/* Append "Name: value" and CR LF. */
 void h1_write_field (struct bytes *out, const char *name, const char *value);
 
-/* The usual reason phrase, "Unknown" for a number that has none. */
+/* The standard reason phrase; "Unknown" for a status that has none. */
 const char *h1_reason (unsigned status);
 
 struct h1_reader;
 
 struct h1_reader_ops
 {
-  /* The head is whole.  False refuses the message: h1_read() returns STATUS_CANCELLED. */
+  /* The head is complete.  Returning false rejects the message: h1_read() returns
+   * STATUS_CANCELLED. */
   bool (*head) (struct h1_reader *reader);
   bool (*body) (struct h1_reader *reader, const char *data, size_t length);
   void (*complete) (struct h1_reader *reader);
@@ -89,10 +91,10 @@
 enum h1_part
 {
   H1_PART_HEAD,
-  H1_PART_SIZE, /* of a chunk: its line */
+  H1_PART_SIZE, /* chunk-size line */
   H1_PART_CHUNK,
   H1_PART_TRAILER,
-  H1_PART_BODY, /* not in chunks */
+  H1_PART_BODY, /* not chunked */
 };
 
 /* Embedded by its user. */
@@ -102,35 +104,37 @@
   http_parser parser;
   struct h1_head head;
   size_t header_max; /* bytes of header text; STATUS_TOO_LARGE above */
-  bool no_body;      /* set by its user: answers have none, they are to a HEAD */
-  bool begun;        /* bytes of a message have come */
-  bool done;         /* the message is whole */
+  bool no_body;      /* set by the user: responses are to a HEAD and have no body */
+  bool begun;        /* bytes of a message have been received */
+  bool done;         /* the message is complete */
   bool too_large;
   bool in_value;
-  bool in_extension; /* of a chunk's size */
+  bool in_extension; /* of a chunk-size line */
   bool part_ended;
   enum h1_part part;
-  char last;         /* byte of framing in this part; NUL before the first */
-  const char *piece; /* of the body, not handed over yet */
+  char last;         /* previous framing byte of this part; NUL before the first */
+  const char *piece; /* of the body, not delivered yet */
   size_t piece_length;
-  uint32_t offsets[H1_FIELDS_MAX][2]; /* into head.text until it is whole */
+  uint32_t offsets[H1_FIELDS_MAX][2]; /* of name and value in head.text, which may still move */
 };
 
-/* A reader of requests or of answers. */
+/* `type`: requests or responses.  `header_max` is in bytes. */
 void h1_reader_init (struct h1_reader *reader,
                      const struct h1_reader_ops *ops,
                      enum http_parser_type type,
                      size_t header_max);
 void h1_reader_clear (struct h1_reader *reader);
 
-/* Get ready for the next message on the same connection. */
+/* Reset the reader for the next message on the same connection. */
 void h1_reader_next (struct h1_reader *reader);
 
-/* Feed bytes; stops after one whole message, `used` says where. */
+/* Parse bytes up to the end of one message; `used` is set to the number of bytes consumed.
+ * STATUS_MALFORMED, STATUS_TOO_LARGE for headers over the limit, STATUS_CANCELLED when a callback
+ * rejected the message. */
 enum status h1_read (struct h1_reader *reader, const char *data, size_t length, size_t *used);
 
-/* The connection ended in an orderly way: an answer without a length is whole by that.  True when
- * the message is whole. */
+/* Report an orderly end of the connection, which completes a response without a length.  True when
+ * the message is complete. */
 bool h1_read_end (struct h1_reader *reader);
 
 END_DECLS
--- a/src/h1_client.c
+++ b/src/h1_client.c
@@ -10,8 +10,8 @@
 #include <uthash.h>
 #include <utlist.h>
 
-/* Of the time that a target says it keeps an idle connection we use so much: beyond it a request
- * may cross the target's close, and what was sent may or may not have run. */
+/* Share of the target's announced keep-alive time for which an idle connection is reused.  Later a
+ * request may cross the target's close, and it would be unknown whether it ran. */
 #define IDLE_SHARE 0.75
 
 static const char *const end_texts[] = {
@@ -38,19 +38,19 @@
 struct h1_wire
 {
   struct client_stream stream;
-  struct timer timer; /* connecting, or idle */
+  struct timer timer; /* connect or idle timeout; frees the connection after a cancel */
   struct h1_client *client;
   struct h1_place *place;
-  struct h1_wire *prev; /* among the idle ones of its place */
+  struct h1_wire *prev; /* in the idle list of its address */
   struct h1_wire *next;
-  struct h1_wire *all_prev; /* among all of the client */
+  struct h1_wire *all_prev; /* in the client's list of all connections */
   struct h1_wire *all_next;
   struct h1_reader reader;
   struct h1_call *call; /* NULL while idle */
-  struct bytes message; /* until connected */
-  int64_t keep;         /* for how long it may be idle */
-  bool skipping;        /* an answer of another call */
-  bool foreign;         /* it carried such an answer */
+  struct bytes message; /* request to send once connected */
+  int64_t keep;         /* idle timeout, microseconds */
+  bool skipping;        /* the current response is interim or belongs to another call */
+  bool foreign;         /* a response to another call was received */
   bool idle;
 };
 
@@ -130,7 +130,7 @@
   struct h1_wire *wire = CONTAINER_OF (reader, struct h1_wire, reader);
   const struct h1_head *head = &reader->head;
 
-  /* No request asks for another protocol, which begins behind a 101. */
+  /* No request asks for an upgrade, so 101 is an error: another protocol would follow it. */
   if (head->status < 100 || head->status == HTTP_STATUS_SWITCHING_PROTOCOLS)
     return false;
   wire->skipping = true;
@@ -178,10 +178,10 @@
   timer_arm (loop_timers (wire->client->loop), &wire->timer, now + wire->keep);
 }
 
-/* The one place that tells an answer as whole: its framing has shown its end.  `clean` when nothing
- * came behind it.  Bytes behind an answer belong to no request, so such a connection is not used
- * again, and neither is one on which a part of the request is still to be sent, or that carried an
- * answer to another call. */
+/* The only place that reports a response as complete: its framing has determined its end.  `clean`:
+ * no bytes followed it.  Bytes after a response belong to no request, so the connection is not
+ * reused then, nor while a part of the request is unsent, nor after it carried a response to
+ * another call. */
 static void
 answer_done (struct h1_wire *wire, bool clean, int64_t now)
 {
@@ -219,7 +219,7 @@
     {
       call->answered = true;
       status = h1_read (&wire->reader, data, length, &used);
-      /* The call may have been cancelled while the bytes were handed over. */
+      /* A callback may have cancelled the call. */
       if (wire->call == NULL)
         {
           free_wire (wire);
@@ -268,8 +268,8 @@
   };
   struct h1_wire *wire = CONTAINER_OF (stream, struct h1_wire, stream);
 
-  _Static_assert(sizeof ends / sizeof ends[0] == TCP_END_COUNT, "an end has no meaning here");
-  /* An answer without a length is whole only by an orderly end. */
+  _Static_assert(sizeof ends / sizeof ends[0] == TCP_END_COUNT, "every tcp_end needs an h1_end");
+  /* A response without a length is completed only by an orderly end. */
   if (end == TCP_END_ORDERLY && wire->call != NULL && h1_read_end (&wire->reader)
       && !wire->skipping)
     {
@@ -343,7 +343,8 @@
   return wire;
 }
 
-/* Half of a request would be another request. */
+/* The request could not be buffered whole.  It is not sent in part, as the target could take the
+ * part for another request. */
 static enum status
 cannot_send (struct h1_wire *wire)
 {
@@ -397,7 +398,7 @@
   call->wire = NULL;
   wire->call = NULL;
   client_stream_close (&wire->stream);
-  /* The reader may be on the stack: the wire goes from the loop. */
+  /* The reader may be on the call stack, so the timer frees the connection from the event loop. */
   timer_arm (loop_timers (wire->client->loop), &wire->timer, 0);
 }
 
--- a/src/h1_client.h
+++ b/src/h1_client.h
@@ -1,4 +1,4 @@
-/* The HTTP/1.1 client: calls to targets and hosts over kept connections, plain or with TLS. */
+/* HTTP/1.1 client: calls to targets and hosts over persistent connections, plain or with TLS. */
 #ifndef H1_CLIENT_H
 #define H1_CLIENT_H
 
@@ -10,10 +10,10 @@
 
 BEGIN_DECLS
 
-/* An idle connection is kept this long where the target does not say for how long it keeps it. */
+/* Idle timeout of a connection, in microseconds, when the target sends no keep-alive timeout. */
 #define H1_IDLE_KEEP (10 * USEC_PER_SEC)
 
-/* name, text.  WHOLE is the only success: the framing of the answer has shown its end. */
+/* name, text.  WHOLE is the only success: the response is complete by its framing. */
 #define H1_END_LIST(X)                                                                             \
   X (WHOLE, "whole")                                                                               \
   X (REFUSED, "no connection")                                                                     \
@@ -37,11 +37,12 @@
 
 struct h1_call_ops
 {
-  /* An answer's head.  False: it is not the answer to this call; the one behind it may be. */
+  /* The head of a response.  Returning false says that it belongs to another call; it is skipped
+   * and the next response is tried. */
   bool (*head) (struct h1_call *call, const struct h1_head *head, int64_t now);
   void (*data) (struct h1_call *call, const char *data, size_t length, int64_t now);
 
-  /* The last call; the call may be freed or started anew. */
+  /* The last callback; the call may be freed or started again. */
   void (*ended) (struct h1_call *call, enum h1_end end, int64_t now);
 };
 
@@ -52,11 +53,11 @@
 {
   const struct h1_call_ops *ops;
   struct h1_wire *wire;    /* NULL while not running */
-  bool no_body;            /* set by its user: the request is a HEAD */
-  bool handed;             /* bytes of the request went to the network: it may run */
-  bool reused;             /* over a connection that was kept from an earlier call */
-  bool answered;           /* bytes of an answer came */
-  enum h1_framing framing; /* of the answer, once its head was taken */
+  bool no_body;            /* set by the user: the request is a HEAD */
+  bool handed;             /* bytes of the request were sent: it may run */
+  bool reused;             /* the connection was kept from an earlier call */
+  bool answered;           /* bytes of a response were received */
+  enum h1_framing framing; /* of the response, once its head was accepted */
 };
 
 struct h1_client;
@@ -65,14 +66,14 @@
 {
   struct loop *loop;
   struct counters *counters;
-  int64_t connect_timeout;       /* a server that takes no connection for so long is given up */
+  int64_t connect_timeout;       /* microseconds */
   const struct tls_trust *trust; /* NULL for plain connections */
 };
 
 struct h1_client *h1_client_new (void *parent, const struct h1_client_config *config);
 
-/* Send `message`, a whole request.  With `fresh` on a new connection.  ended() comes from the loop,
- * unless the call fails at once, which sent nothing. */
+/* Send `message`, a complete request; `fresh` forces a new connection.  On STATUS_OK the event loop
+ * calls ended() later; on failure nothing was sent and no callback follows. */
 enum status h1_call_start (struct h1_client *client,
                            struct h1_call *call,
                            const char *address,
@@ -80,10 +81,10 @@
                            bool fresh,
                            int64_t now);
 
-/* End without a word; the connection is closed, which tells the target to stop. */
+/* Cancel the call without a callback.  The connection is closed, which tells the target to stop. */
 void h1_call_cancel (struct h1_call *call);
 
-/* Close the idle connections to an address whose target is gone. */
+/* Close the idle connections to the address of a removed target. */
 void h1_client_forget (struct h1_client *client, const char *address);
 
 END_DECLS
--- a/src/h1_field.c
+++ b/src/h1_field.c
@@ -1,4 +1,4 @@
-/* The fields of heads: found, judged and written. */
+/* HTTP/1.1 header fields: lookup, classification and output. */
 #include "h1.h"
 #include <string.h>
 #include <strings.h>
--- a/src/h1_server.c
+++ b/src/h1_server.c
@@ -9,7 +9,7 @@
 #include <talloc.h>
 #include <unistd.h>
 
-/* Bytes that a client may send ahead of an answer. */
+/* Bytes that a client may pipeline before the response to its current request. */
 #define AHEAD_BYTES_MAX 65536
 
 static void
@@ -58,7 +58,7 @@
 
 /* ---- requests ---- */
 
-/* Refuse what the parser cannot or must not pass on; nothing of it has run. */
+/* Reject a request that is malformed, too large or late; no part of it has run. */
 static void
 refuse (struct h1_connection *connection, unsigned status)
 {
@@ -80,7 +80,7 @@
     return false;
   if (h1_count_fields (head, "host") > 1 || (head->minor > 0 && h1_value (head, "host") == NULL))
     return false;
-  /* Another coding would be lost, as the body is framed anew. */
+  /* Any other coding would be lost, as forwarding reframes the body. */
   if (coding != NULL
       && (h1_count_fields (head, "transfer-encoding") > 1 || strcasecmp (coding, "chunked") != 0))
     return false;
@@ -174,7 +174,7 @@
   return used;
 }
 
-/* Requests come one after the other; what a client sends ahead waits its turn. */
+/* Requests are handled one at a time; pipelined bytes are buffered. */
 static void
 feed (struct h1_connection *connection, const char *data, size_t length, int64_t now)
 {
@@ -211,7 +211,7 @@
   connection->exchange.user = NULL;
   timer_arm (h1_connection_timers (connection), &connection->timer,
              now + server->config.limits->idle_timeout);
-  /* While feed() is on the stack it goes on by itself with what is left. */
+  /* If feed() is on the call stack, its loop processes the remaining input. */
   if (!connection->feeding && connection->input.length > 0)
     feed (connection, "", 0, now);
 }
@@ -221,7 +221,7 @@
 {
   struct h1_connection *connection = CONTAINER_OF (stream, struct h1_connection, stream);
 
-  /* A request that came before a reset could not be answered. */
+  /* On a failed stream a request could not be answered. */
   if (connection->state != CONNECTION_CLOSING && !stream->failed)
     feed (connection, data, length, now);
 }
@@ -239,7 +239,7 @@
   .ended = stream_ended,
 };
 
-/* Has the client read some of what is still to be sent to it? */
+/* Has the client read part of the unsent data since the last check? */
 static bool
 goes_on_reading (struct h1_connection *connection)
 {
@@ -249,7 +249,7 @@
   return tcp_unsent (&connection->stream) > 0 && connection->unread < before;
 }
 
-/* Idle for too long, a request that does not arrive, or dropped. */
+/* Idle timeout, request timeout, linger timeout or a dropped exchange. */
 static void
 timer_fired (struct timer *timer, int64_t now)
 {
--- a/src/h1_server.h
+++ b/src/h1_server.h
@@ -1,4 +1,5 @@
-/* The HTTP/1.1 server of the forwarding path: whole requests in, answers of any framing out. */
+/* HTTP/1.1 server of the forwarding path: takes complete requests, sends responses of any framing.
+ */
 #ifndef H1_SERVER_H
 #define H1_SERVER_H
 
@@ -11,7 +12,7 @@
 
 BEGIN_DECLS
 
-/* What a client may send, and how long it may take or stay idle. */
+/* Limits on the size and time of requests.  Times are in microseconds. */
 struct h1_limits
 {
   size_t header_bytes;
@@ -20,7 +21,7 @@
   int64_t idle_timeout;    /* of a connection between requests */
 };
 
-/* Before a configuration says otherwise. */
+/* Defaults: bytes and microseconds. */
 #define H1_HEADER_BYTES 16384
 #define H1_BODY_BYTES (4u << 20)
 #define H1_REQUEST_TIMEOUT (10 * USEC_PER_SEC)
@@ -29,14 +30,14 @@
 struct h1_server;
 struct h1_connection;
 
-/* One request and its answer. */
+/* One request and its response. */
 struct h1_exchange
 {
   struct h1_connection *connection;
   const struct h1_head *head;
   const struct bytes *body;
-  int64_t arrived; /* when its first byte came */
-  void *user;      /* of who answers it; NULL when the request comes in */
+  int64_t arrived; /* time of the first byte */
+  void *user;      /* owned by the handler; NULL when the request arrives */
 };
 
 struct h1_handler
@@ -46,11 +47,11 @@
 
 struct h1_handler_ops
 {
-  /* A whole request.  It is answered now or later, once, unless gone() comes first. */
+  /* A complete request.  The handler answers it once, now or later, unless gone() comes first. */
   void (*request) (struct h1_handler *handler, struct h1_exchange *exchange, int64_t now);
 
-  /* The client closed its connection; the exchange is no more.  Comes only while an answer is
-   * due. */
+  /* The client closed its connection; the exchange is invalid after the call.  Called only while a
+   * response is due. */
   void (*gone) (struct h1_handler *handler, struct h1_exchange *exchange, int64_t now);
 };
 
@@ -65,38 +66,41 @@
   const char *label; /* of the counters: which listener */
 };
 
-/* Freed with `parent`.  NULL with status_message() when the address cannot be taken. */
+/* Freed with `parent`.  NULL, with status_message() set, when the address cannot be bound. */
 struct h1_server *h1_server_new (void *parent, const struct h1_server_config *config);
 
 /* The port in use. */
 uint16_t h1_server_port (const struct h1_server *server);
 
-/* From now on each answer asks its client to close. */
+/* Send "Connection: close" with every response from now on. */
 void h1_server_close_after_answers (struct h1_server *server);
 
-/* Requests not yet answered whole, or whose answer is not yet sent. */
+/* Requests whose response is incomplete or not fully sent. */
 uint32_t h1_server_pending (const struct h1_server *server);
 uint32_t h1_server_connections (const struct h1_server *server);
 
-/* Answer whole.  `fields` are header lines, each with its line end; NULL for none.  To HEAD without
- * a body no length is said, so that `fields` may say the one that GET would have. */
+/* Send a complete response.  `fields` are header lines, each with its CR LF; NULL for none.  A
+ * response to HEAD with a `length` of 0 gets no Content-Length, so that `fields` can give the
+ * length that GET would have. */
 void h1_reply (struct h1_exchange *exchange,
                unsigned status,
                const char *fields,
                const void *body,
                size_t length);
 
-/* Answer in pieces; `length` under 0 where it is not known.  Pieces of another length are cut. */
+/* Send a response in pieces; `length` is negative when it is unknown.  The connection is reset if
+ * the pieces do not add up to `length`. */
 void h1_reply_begin (struct h1_exchange *exchange,
                      unsigned status,
                      const char *fields,
                      int64_t length);
 void h1_reply_data (struct h1_exchange *exchange, const void *data, size_t length);
 
-/* Not `whole`: the connection is reset, so that the answer cannot look complete. */
+/* End the response.  Without `whole` the connection is reset, so that the response cannot look
+ * complete. */
 void h1_reply_end (struct h1_exchange *exchange, bool whole);
 
-/* Close without an answer, which promises nothing about the request. */
+/* Reset the connection without a response; whether the request ran stays open. */
 void h1_drop (struct h1_exchange *exchange);
 
 END_DECLS
