--- a/src/h1_server_answer.c
+++ b/src/h1_server_answer.c
@@ -1,4 +1,4 @@
-/* Answers of the HTTP/1.1 server: their heads, their pieces and their ends. */
+/* Responses of the HTTP/1.1 server: head, body and end. */
 #include "container.h"
 #include "h1_server_private.h"
 #include "log.h"
@@ -8,7 +8,7 @@
 
 #define CHUNK_HEAD_SIZE 20
 
-/* What could not be put together whole is not sent in part. */
+/* Send the text, or fail the stream if building it ran out of memory. */
 static void
 write_text (struct h1_connection *connection, struct bytes *text)
 {
@@ -25,8 +25,8 @@
   return status < 200 || status == HTTP_STATUS_NO_CONTENT || status == HTTP_STATUS_NOT_MODIFIED;
 }
 
-/* How the answer's end will be known.  A length of 0 to HEAD may only mean that there is no body.
- */
+/* Choose the framing of the response.  In a response to HEAD a length of 0 may only mean that the
+ * handler gave no body, so no length is sent. */
 static void
 frame (struct h1_connection *connection, unsigned status, int64_t *length)
 {
@@ -38,7 +38,7 @@
   connection->chunked = *length < 0 && !connection->bodiless && head->minor >= 1;
   connection->owed = connection->bodiless ? -1 : *length;
   connection->keep = connection->keep && !connection->server->closing;
-  /* Without a length an HTTP/1.0 answer ends with its connection. */
+  /* An HTTP/1.0 response without a length ends with its connection. */
   if (*length < 0 && !connection->bodiless && !connection->chunked)
     {
       connection->keep = false;
@@ -110,7 +110,8 @@
   write_head (exchange->connection, status, fields, length);
 }
 
-/* More or fewer bytes than the head says would be taken from, or for, the next answer. */
+/* The body does not have the length given in the head: the client would read surplus bytes as the
+ * next response, or fill up a short body from it. */
 static void
 log_length (const struct h1_connection *connection, size_t length)
 {
@@ -119,7 +120,8 @@
              "given", (json_int_t) length);
 }
 
-/* False where the connection must not go on. */
+/* Subtract `length` from the announced length.  On an excess the stream fails and the result is
+ * false. */
 static bool
 count_down (struct h1_connection *connection, size_t length)
 {
@@ -188,6 +190,6 @@
   counter_add (connection->server->dropped, 1);
   connection->state = CONNECTION_CLOSING;
   tcp_close (&connection->stream, true);
-  /* It may be on the stack: the timer frees it from the loop. */
+  /* The connection may be on the call stack, so the timer frees it from the event loop. */
   timer_arm (h1_connection_timers (connection), &connection->timer, 0);
 }
--- a/src/h1_server_private.h
+++ b/src/h1_server_private.h
@@ -1,5 +1,5 @@
-/* Shared by the files of the HTTP/1.1 server: h1_server.c accepts connections and reads requests,
- * h1_server_answer.c writes answers. */
+/* Internals of the HTTP/1.1 server: h1_server.c accepts connections and reads requests,
+ * h1_server_answer.c writes responses. */
 #ifndef H1_SERVER_PRIVATE_H
 #define H1_SERVER_PRIVATE_H
 
@@ -8,16 +8,16 @@
 
 #define STATUS_CLASSES 6
 
-/* After the last answer a client has so long to read it and close; one that still reads has as long
- * again. */
+/* Time a client has to read the last response and close, in microseconds.  It is renewed while the
+ * client makes progress. */
 #define H1_LINGER (2 * USEC_PER_SEC)
 
 enum connection_state
 {
-  CONNECTION_READING, /* a request, or nothing yet */
-  CONNECTION_WAITING, /* for the answer to begin */
+  CONNECTION_READING, /* idle, or receiving a request */
+  CONNECTION_WAITING, /* for the response to begin */
   CONNECTION_ANSWERING,
-  CONNECTION_CLOSING, /* what is unsent goes out first */
+  CONNECTION_CLOSING, /* after unsent data is sent */
 };
 
 struct h1_connection
@@ -29,16 +29,16 @@
   struct h1_connection *next;
   struct h1_reader reader;
   struct bytes body;
-  struct bytes input; /* bytes behind the request being answered */
+  struct bytes input; /* received and not parsed yet */
   struct h1_exchange exchange;
   enum connection_state state;
-  unsigned refusal; /* the status for a request that its head condemns; 0: none */
-  bool bodiless;    /* the answer has no body, whatever its handler gives */
-  bool chunked;     /* the answer is */
-  int64_t owed;     /* of the length that the answer said; under 0: it said none */
-  bool keep;        /* the connection lives on after the answer */
+  unsigned refusal; /* status for a request rejected by its head or body size; 0: none */
+  bool bodiless;    /* the response has no body, whatever the handler gives */
+  bool chunked;     /* the response is chunked */
+  int64_t owed;     /* bytes missing from the announced length; negative: none announced */
+  bool keep;        /* keep the connection open after the response */
   bool feeding;
-  size_t unread; /* of the answers, by the client, when their end was given or last looked at */
+  size_t unread; /* response bytes not acknowledged by the client at the last check */
 };
 
 struct h1_server
@@ -52,7 +52,7 @@
   struct counter *requests;
   struct counter *refused;
   struct counter *dropped;
-  struct counter *answers[STATUS_CLASSES]; /* by the first digit of their status */
+  struct counter *answers[STATUS_CLASSES]; /* by the first digit of the status */
 };
 
 static inline struct timer_service *
@@ -61,7 +61,7 @@
   return loop_timers (connection->server->config.loop);
 }
 
-/* The answer is out and the connection lives on: ready for the next request. */
+/* The response ended and the connection stays open: read the next request. */
 void h1_connection_next (struct h1_connection *connection, int64_t now);
 
 #endif
--- a/src/http.c
+++ b/src/http.c
@@ -1,4 +1,4 @@
-/* Helpers over an exchange, the same for every implementation of the server. */
+/* Helpers for HTTP exchanges, independent of the server implementation. */
 #include "http.h"
 #include "http_headers.h"
 #include <ctype.h>
@@ -21,7 +21,8 @@
   return c >= 'a' && c <= 'f' ? c - 'a' + 10 : -1;
 }
 
-/* Decode up to `end`; false when it does not fit or an escape is broken. */
+/* Percent-decode up to `end`; false when the result does not fit, an escape is invalid or a NUL is
+ * encoded. */
 static bool
 decode (const char *text, const char *end, char *out, size_t out_size)
 {
@@ -77,7 +78,7 @@
 http_reply_error (struct http_exchange *exchange, int code, const char *field, const char *message)
 {
   static const struct http_field json_type = { "content-type", "application/json" };
-  /* The message may quote the caller's bytes, which need not be UTF-8. */
+  /* The message may quote bytes of the caller that are not valid UTF-8; then this is NULL. */
   json_t *body =
       json_pack ("{s:{s:i,s:s?,s:s}}", "error", "code", code, "field", field, "message", message);
   char *text;
--- a/src/http.h
+++ b/src/http.h
@@ -1,7 +1,7 @@
-/* The HTTP edges: what the process needs of a server and of a client, behind vtables.
+/* Interfaces of the HTTP server and client, as vtables.
  *
- * The product's implementations (http_server.c, http_client.c) use libwebsockets; tests and the
- * users' bench put their own behind the same structs. */
+ * The production implementations are http_server.c, on libwebsockets, and http_client.c, on
+ * h1_client; tests and the users' bench provide their own. */
 #ifndef HTTP_H
 #define HTTP_H
 
@@ -23,7 +23,7 @@
   const char *value;
 };
 
-/* Which listening address a request came in on.  name, text */
+/* name, text: the listening address on which a request arrived */
 #define HTTP_LISTENER_LIST(X)                                                                      \
   X (CALLERS, "callers")                                                                           \
   X (OPERATORS, "operators")                                                                       \
@@ -41,7 +41,8 @@
 
 struct http_exchange;
 
-/* Embedded by who must know that the other side went away before the answer ended. */
+/* Embedded by a holder of an exchange that must be notified when the peer closes the connection
+ * before the response ended. */
 struct http_watcher
 {
   const struct http_watcher_ops *ops;
@@ -55,8 +56,9 @@
 
 struct http_exchange_ops
 {
-  /* Answer whole.  The exchange is gone for its holder after the call.  Fields may be NULL when
-   * `n_fields` is 0; content-length is added, content-type is taken from the fields. */
+  /* Send a complete response.  The holder must not use the exchange after the call.  `fields` may
+   * be NULL when `n_fields` is 0; content-length is added, content-type is taken from the fields.
+   */
   void (*reply) (struct http_exchange *exchange,
                  int code,
                  const struct http_field *fields,
@@ -64,8 +66,8 @@
                  const void *body,
                  size_t length);
 
-  /* Answer in parts: begin, write any number of times, finish.  The exchange is gone for its
-   * holder after finish(). */
+  /* Send a response in parts: begin, write any number of times, finish.  The holder must not use
+   * the exchange after finish(). */
   void (*begin) (struct http_exchange *exchange,
                  int code,
                  const struct http_field *fields,
@@ -73,14 +75,15 @@
   void (*write) (struct http_exchange *exchange, const void *data, size_t length);
   void (*finish) (struct http_exchange *exchange);
 
-  /* Close without an answer's end, so that the caller cannot take a part for the whole. */
+  /* Close the connection before the end of the response, so that the caller sees it as truncated.
+   * The holder must not use the exchange after the call. */
   void (*abort) (struct http_exchange *exchange);
 
-  /* Bytes written and not yet taken by the caller's socket. */
+  /* Bytes written and not yet accepted by the caller's socket. */
   size_t (*unsent) (const struct http_exchange *exchange);
 };
 
-/* A complete request, its body whole and within the limits, waiting for its answer. */
+/* A complete request within the limits, waiting for its response. */
 struct http_exchange
 {
   const struct http_exchange_ops *ops;
@@ -90,9 +93,9 @@
   const char *query; /* after '?', still encoded; "" when there is none */
   const struct http_field *headers;
   size_t n_headers;
-  const char *body; /* NUL after its end */
+  const char *body; /* NUL-terminated */
   size_t body_length;
-  char peer[HTTP_PEER_SIZE];    /* the other side's IP address */
+  char peer[HTTP_PEER_SIZE];    /* IP address of the peer */
   struct http_watcher *watcher; /* set by the holder, may be NULL */
 };
 
@@ -105,14 +108,14 @@
                  char *out,
                  size_t out_size);
 
-/* Answer with {"error": {"code", "field", "message"}}; `field` may be NULL. */
+/* Reply with {"error": {"code", "field", "message"}}; `field` may be NULL. */
 void http_reply_error (struct http_exchange *exchange,
                        int code,
                        const char *field,
                        const char *message);
 
-/* Handles every request of a listener whose path starts with `prefix`; the longest prefix wins.
- * Every method comes to the same route. */
+/* Handles every request of a listener whose path starts with `prefix`, with any method; the longest
+ * matching prefix wins. */
 struct http_route
 {
   const struct http_route_ops *ops;
@@ -138,12 +141,12 @@
   size_t n_headers;
   const void *body; /* copied */
   size_t body_length;
-  int64_t deadline;      /* the call fails with STATUS_TIMEOUT then */
-  size_t max_body_bytes; /* of the answer, 0 for the client's own limit */
+  int64_t deadline;      /* time at which the call fails with STATUS_TIMEOUT */
+  size_t max_body_bytes; /* of the response, 0 for the client's default */
 };
 
-/* Takes the events of one call.  Exactly one of end() and failed() comes, and nothing after it.
- */
+/* Receives the events of one call.  The last event is exactly one end() or failed(), unless the
+ * call is cancelled. */
 struct http_call_sink
 {
   const struct http_call_sink_ops *ops;
@@ -158,11 +161,11 @@
                 int64_t now);
   void (*data) (struct http_call_sink *sink, const void *data, size_t length, int64_t now);
 
-  /* The answer ended by its own framing: it is whole. */
+  /* The response is complete by its framing. */
   void (*end) (struct http_call_sink *sink, int64_t now);
 
-  /* `sent`: a byte of the request may have reached the other side.  An answer cut short comes
-   * here, never to end(). */
+  /* `sent`: bytes of the request may have reached the server.  A truncated response is reported
+   * here, never by end(). */
   void (*failed) (struct http_call_sink *sink, enum status why, bool sent, int64_t now);
 };
 
@@ -173,14 +176,15 @@
 
 struct http_client_ops
 {
-  /* No event comes during the call.  On failure nothing was sent and no event will come. */
+  /* No event is delivered from within start().  On failure nothing was sent and no event follows.
+   */
   enum status (*start) (struct http_client *client,
                         const struct http_call_spec *spec,
                         struct http_call_sink *sink,
                         int64_t now,
                         struct http_call **out);
 
-  /* Close the connection; no event comes after, the call is gone. */
+  /* Close the connection and free the call; no event follows. */
   void (*cancel) (struct http_client *client, struct http_call *call);
 };
 
--- a/src/http_client.c
+++ b/src/http_client.c
@@ -1,4 +1,4 @@
-/* The HTTP client of the product's own calls. */
+/* HTTP client for internal calls. */
 #include "http_client.h"
 #include "container.h"
 #include "h1_client.h"
@@ -124,7 +124,7 @@
 
 /* ---- the answer ---- */
 
-/* An answer that just ends with its connection cannot be told from one cut short. */
+/* A response that ends with its connection is rejected: it cannot be told from a truncated one. */
 static enum status
 check_head (const struct http_call *call, const struct h1_head *head)
 {
@@ -142,7 +142,8 @@
     *text = (char) tolower ((unsigned char) *text);
 }
 
-/* Names in lower case, as sinks look for them.  Values live as long as the head. */
+/* Copies the names in lower case, as sinks look them up.  Values are not copied and live as long as
+ * the head. */
 static struct http_field *
 copy_fields (const struct h1_head *head)
 {
--- a/src/http_client.h
+++ b/src/http_client.h
@@ -1,5 +1,5 @@
-/* The HTTP client of the product's own calls, over h1_client: deadlines, bounds, answers whose end
- * shows. */
+/* HTTP client for internal calls, on top of h1_client: enforces deadlines and size limits and
+ * rejects responses whose end is not determined by a length or chunked coding. */
 #ifndef HTTP_CLIENT_H
 #define HTTP_CLIENT_H
 
@@ -13,14 +13,14 @@
 struct http_client_config
 {
   struct loop *loop;
-  struct counters *counters; /* NULL where nobody looks */
-  uint32_t calls_max;        /* at one time, in all */
-  uint32_t answer_bytes_max; /* of one answer, where the call does not say */
-  int64_t connect_timeout;
-  const char *tls_ca; /* file; NULL for plain HTTP */
+  struct counters *counters; /* NULL for none */
+  uint32_t calls_max;        /* concurrent calls */
+  uint32_t answer_bytes_max; /* of a response body, unless the call sets its own limit */
+  int64_t connect_timeout;   /* microseconds */
+  const char *tls_ca;        /* file; NULL for plain HTTP */
 };
 
-/* NULL with status_message() when it cannot be made. */
+/* NULL, with status_message() set, when the CA file cannot be read or memory is out. */
 struct http_client *http_client_new (void *parent, const struct http_client_config *config);
 
 END_DECLS
--- a/src/http_headers.c
+++ b/src/http_headers.c
@@ -1,4 +1,4 @@
-/* Headers copied out of lws's header tables. */
+/* Copies headers out of the lws header tables. */
 #include "http_headers.h"
 #include <ctype.h>
 #include <libwebsockets.h>
@@ -7,13 +7,13 @@
 
 #define HEADERS_MAX 64
 
-/* ": " and the line end */
+/* bytes of ": " and CR LF */
 #define HEADER_LINE_EXTRA 4
 
 struct own_header
 {
   const char *name;
-  const char *key; /* as lws wants it, with the colon */
+  const char *key; /* with the colon, as lws expects */
   int key_length;
 };
 
@@ -23,7 +23,7 @@
 #undef X
 };
 
-/* Names of lws's known headers, by token; NULL for what is not a header line. */
+/* Names of the headers known to lws, by token; NULL for tokens that are not header lines. */
 static const char *known_names[WSI_TOKEN_COUNT];
 static bool known_names_ready;
 
--- a/src/http_headers.h
+++ b/src/http_headers.h
@@ -1,4 +1,4 @@
-/* Headers that lws has parsed, copied out, for the server and the client. */
+/* Headers parsed by lws, copied out, and checks of header text. */
 #ifndef HTTP_HEADERS_H
 #define HTTP_HEADERS_H
 
@@ -9,7 +9,8 @@
 
 struct lws;
 
-/* Our own headers, which lws gives by name only: what is not listed here is not seen. */
+/* Custom headers.  lws finds headers that it does not know only by name, so a header that is not
+ * listed here is ignored. */
 #define HTTP_OWN_HEADER_LIST(X)                                                                    \
   X ("x-request-id")                                                                               \
   X ("x-organisation")                                                                             \
@@ -29,16 +30,17 @@
 {
   struct http_field *fields;
   size_t count;
-  size_t bytes; /* of all names and values copied, with ": " and the line end of each */
+  size_t bytes; /* of all names and values copied, with ": " and CR LF of each */
 };
 
-/* Copy the headers of the message that `wsi` has just parsed, with `parent` as their owner. */
+/* Copy the headers of the message that `wsi` has just parsed; `parent` owns the copy.
+ * STATUS_NO_MEMORY or STATUS_LIMIT on failure. */
 enum status http_headers_copy (void *parent, struct lws *wsi, struct http_headers *out);
 
 /* The value of a header, NULL when absent.  `name` in lower case. */
 const char *http_headers_find (const struct http_field *fields, size_t n_fields, const char *name);
 
-/* May this text stand in a header line?  Control characters would let it add lines of its own. */
+/* Is this text free of control characters, which could inject header lines? */
 bool http_headers_clean (const char *text);
 
 END_DECLS
--- a/src/http_server.c
+++ b/src/http_server.c
@@ -1,4 +1,4 @@
-/* The HTTP server: listening sockets of our own, connections adopted by lws, routes. */
+/* HTTP server: listening sockets, connections adopted by lws, routes. */
 #include "http_server.h"
 #include "container.h"
 #include "http_server_private.h"
@@ -13,7 +13,8 @@
 
 #define LISTEN_BACKLOG 1024
 
-/* Connections taken in one turn of the loop, so that a burst does not hold up those served. */
+/* Connections accepted per event loop iteration, so that a burst does not delay the connections
+ * being served. */
 #define ACCEPT_BATCH 64
 
 #define SOCKET_EVENT_BATCH 64
@@ -79,7 +80,8 @@
 /* uthash's macros are long; the function is not.
  * NOLINTBEGIN(readability-function-size) */
 
-/* The caller's entry with one connection more; NULL when it has as many as it may. */
+/* Count a connection of this IP address.  NULL when the address is at its limit or memory is out.
+ */
 static struct server_caller *
 caller_came (struct http_server *server, const char *ip)
 {
@@ -111,9 +113,9 @@
   talloc_free (caller);
 }
 
-/* lws does not read from a caller whose request is being worked on (see hand_over()), and while it
- * does not read it does not say when the socket takes more either.  An epoll descriptor in the loop
- * tells both, without a system call for a request. */
+/* lws does not read from a connection whose request is being handled (see hand_over()), and without
+ * reading it reports neither a close by the peer nor a writable socket.  An epoll descriptor in the
+ * event loop reports both, without a system call per request. */
 static void
 sockets_ready (struct loop_watch *watch, int64_t now)
 {
@@ -137,7 +139,7 @@
   return loop_watch_fd (server->loop, &server->socket_watch, server->socket_fd);
 }
 
-/* Give the socket to lws, which closes it on any failure after this. */
+/* Give the socket to lws, which closes it if adoption fails. */
 static void
 adopt (struct server_listener *listener, int fd, const char *ip)
 {
@@ -165,7 +167,7 @@
       return;
     }
   info.opaque = connection;
-  /* Closing the socket takes it out again. */
+  /* Closing the socket removes it from the epoll set. */
   event.data.ptr = connection;
   epoll_ctl (server->socket_fd, EPOLL_CTL_ADD, fd, &event);
   connection->adopting = true;
@@ -181,7 +183,7 @@
   server_count (server, SERVER_ACCEPTED);
 }
 
-/* Take up to `most` of the connections that wait. */
+/* Accept up to `most` connections from the backlog. */
 static void
 accept_waiting (struct server_listener *listener, int most)
 {
@@ -222,9 +224,9 @@
   if (listener->fd < 0)
     return status_fail (STATUS_IO, "%s: %s", text, strerror (errno));
   setsockopt (listener->fd, SOL_SOCKET, SO_REUSEADDR, &on, sizeof on);
-  /* Streams go out in small pieces.  Held back until the piece before is acknowledged, each would
-   * wait for the reader's delayed acknowledgement, 40 ms.  Linux hands the option down to every
-   * connection taken from this socket, so none costs a call. */
+  /* Streams are written in small pieces.  With Nagle's algorithm each would wait up to 40 ms for
+   * the reader's delayed acknowledgement of the piece before.  On Linux accepted sockets inherit
+   * the option, which saves a system call per connection. */
   if (setsockopt (listener->fd, IPPROTO_TCP, TCP_NODELAY, &on, sizeof on) != 0)
     return status_fail (STATUS_IO, "%s: %s", text, strerror (errno));
   if (bind (listener->fd, (struct sockaddr *) &address.socket, address.socket_length) != 0
@@ -246,7 +248,7 @@
       if (listener->fd < 0)
         continue;
       loop_unwatch (server->loop, &listener->watch);
-      /* The loop's duplicate keeps the socket open for one turn more. */
+      /* The event loop's duplicate descriptor keeps the socket open for one more iteration. */
       shutdown (listener->fd, SHUT_RD);
       close (listener->fd);
       listener->fd = -1;
@@ -257,8 +259,8 @@
 http_server_stop_listening (struct http_server *server)
 {
   server->closing = true;
-  /* To the callers that wait the kernel has said that they are connected, and they have sent their
-   * requests: closed now, these would be cut without an answer. */
+  /* Callers in the backlog see an established connection and may have sent requests; closing the
+   * listener now would reset them without a response. */
   for (int i = 0; i < HTTP_LISTENER_COUNT; i++)
     if (server->listeners[i].fd >= 0)
       accept_waiting (&server->listeners[i], LISTEN_BACKLOG);
@@ -296,13 +298,14 @@
     .vhost_name = tls ? "tls" : "plain",
     .user = server,
     .alpn = "http/1.1",
-    /* Ours comes first; lws's own would cut an answer that is still being worked on. */
+    /* Longer than the server's own idle timer, which therefore fires first: the timeout of lws
+     * would truncate a response in progress. */
     .keepalive_timeout = (int) (config->limits.idle_timeout / USEC_PER_SEC) + 2,
   };
 
   if (tls)
     {
-      /* Without it here as well lws ignores the certificate and serves in plain text. */
+      /* Without this option on the vhost too, lws ignores the certificate and serves plain text. */
       info.options = LWS_SERVER_OPTION_DO_SSL_GLOBAL_INIT;
       info.ssl_cert_filepath = config->tls_certificate;
       info.ssl_private_key_filepath = config->tls_key;
--- a/src/http_server_answer.c
+++ b/src/http_server_answer.c
@@ -1,4 +1,4 @@
-/* Answers of the HTTP server: the exchange's operations, and writing as the socket takes it. */
+/* Responses of the HTTP server: the exchange operations and flow-controlled writes. */
 #include "http_server_private.h"
 #include <stdio.h>
 #include <string.h>
@@ -6,10 +6,10 @@
 
 #define HEAD_BYTES_MAX 8192
 
-/* What one write gives to the socket. */
+/* Bytes passed to lws in one write. */
 #define WRITE_BYTES 16384
 
-/* Sent bytes are dropped from the front of a long answer in steps of this. */
+/* Sent bytes are removed from the buffer of a long response in steps of at least this size. */
 #define CONSUME_BYTES (256u << 10)
 
 static inline struct server_request *
@@ -31,8 +31,8 @@
   return request->out.length - request->out_sent;
 }
 
-/* lws serves no writes of a connection that it may not read, so what waits for its writable
- * callback is read meanwhile. */
+/* lws delivers no writable callback while reading is off, so reading is switched on with the
+ * request for it. */
 static void
 write_when_lws_says (struct server_connection *connection)
 {
@@ -40,8 +40,8 @@
   lws_callback_on_writable (connection->wsi);
 }
 
-/* Something was added to the answer: have it written, or give up on a caller that does not take
- * it. */
+/* Schedule a write of the bytes added to the response, with a timeout for a caller that does not
+ * read. */
 static void
 queue_write (struct server_request *request)
 {
@@ -58,8 +58,8 @@
       timer_arm (connection->server->timers, &connection->timer,
                  loop_now (connection->server->loop) + connection->server->limits.idle_timeout);
     }
-  /* Where the connection ends after this answer, what is unread is read and dropped, so that
-   * closing does not reset the connection under the answer. */
+  /* If the connection closes after this response, unread input is read and dropped: closing with
+   * unread input would reset the connection and could lose the response. */
   if (connection->close_after)
     write_when_lws_says (connection);
   else if (!connection->choked)
@@ -84,7 +84,8 @@
          == 0;
 }
 
-/* The status line and headers; `length` < 0 for an answer in parts. */
+/* Append the status line and headers; `length` < 0 for a response in parts.  False if they do not
+ * fit. */
 static bool
 add_head (struct server_request *request,
           int code,
@@ -226,7 +227,7 @@
   .unsent = count_unsent,
 };
 
-/* The answer is with the socket: the connection ends, or waits for its next request. */
+/* The socket has accepted the whole response: close the connection or wait for the next request. */
 static int
 complete (struct server_connection *connection, int64_t now)
 {
@@ -245,19 +246,20 @@
   server_connection_read_on (connection, true);
   if (lws_http_transaction_completed (connection->wsi) != 0)
     return -1;
-  /* Our timer bounds the wait for the next request.  lws keeps its timeouts in one sorted list that
-   * it walks at each insertion, so with many idle connections theirs would be the largest cost. */
+  /* The connection's own timer bounds the wait for the next request.  lws keeps timeouts in one
+   * sorted list that it walks at each insertion, which would be the largest cost with many idle
+   * connections. */
   lws_set_timeout (connection->wsi, NO_PENDING_TIMEOUT, 0);
   return 0;
 }
 
-/* All that there is was written. */
+/* Everything in the output buffer was written. */
 static int
 drained (struct server_connection *connection, int64_t now)
 {
   struct server_request *request = connection->request;
 
-  /* lws may still hold the rest of a write; it says when that is out. */
+  /* lws may have buffered the rest of a write; its writable callback follows when that is sent. */
   if (lws_partial_buffered (connection->wsi))
     {
       write_when_lws_says (connection);
@@ -265,7 +267,7 @@
     }
   if (request->finished)
     return complete (connection, now);
-  /* The holder takes as long as it likes for the stream's next part. */
+  /* No timeout applies to the holder's next part of the stream. */
   bytes_consume (&request->out, request->out_sent);
   request->out_sent = 0;
   timer_disarm (connection->server->timers, &connection->timer);
@@ -274,7 +276,7 @@
   return 0;
 }
 
-/* The socket takes no more for now. */
+/* The socket's send buffer is full: wait until it is writable. */
 static void
 await_socket (struct server_connection *connection)
 {
--- a/src/http_server_connection.c
+++ b/src/http_server_connection.c
@@ -1,4 +1,4 @@
-/* One connection of the HTTP server: requests read, checked and handed to their routes. */
+/* Connections of the HTTP server: read requests, check them and dispatch them to routes. */
 #include "container.h"
 #include "http_server_private.h"
 #include "log.h"
@@ -14,10 +14,10 @@
 
 #define QUERY_ARGUMENT_MAX 2048
 
-/* Digits of a body length that can be right: more are over any limit. */
+/* Maximum digits of a content-length: a longer number exceeds any limit and could overflow. */
 #define LENGTH_DIGITS_MAX 18
 
-/* A header set, its texts and the struct itself, in one allocation for an ordinary request. */
+/* talloc pool of a request: an ordinary one, with its headers and strings, needs one allocation. */
 #define REQUEST_POOL_OBJECTS 24
 #define REQUEST_POOL_BYTES 2048
 
@@ -39,8 +39,8 @@
                strerror (errno));
 }
 
-/* lws shuts the sending side down before it closes, which is an orderly end whatever SO_LINGER
- * says; this resets the connection. */
+/* Reset the connection.  lws calls shutdown() for writing before it closes, which sends a FIN
+ * regardless of SO_LINGER. */
 static void
 reset (const struct server_connection *connection)
 {
@@ -76,7 +76,7 @@
 {
   bool answering = connection->phase == SERVER_WORKING || connection->phase == SERVER_ANSWERING;
 
-  /* Between requests lws reads and sees the end itself, after what is left to read. */
+  /* Between requests lws reads the remaining input and sees the end itself. */
   if (hung_up && answering)
     server_connection_kill (connection);
   else if (connection->choked)
@@ -99,11 +99,12 @@
         return 0;
       ioctl (fd, SIOCINQ, &unread_after);
     }
-  while (unread != unread_after); /* bytes came in between: count again */
+  while (unread != unread_after); /* retry if bytes arrived in between */
   return info.tcpi_bytes_received - (uint64_t) unread;
 }
 
-/* Answer before a route saw the request.  What is unread of it makes the connection useless. */
+/* Send an error response without dispatching the request.  The connection closes after it, as part
+ * of the request may be unread. */
 static void
 reject (struct server_connection *connection, int code, const char *field, const char *message)
 {
@@ -115,7 +116,7 @@
   http_reply_error (&request->exchange, code, field, message);
 }
 
-/* The other side was slow: between requests the connection just ends, within one it is told. */
+/* Timeout: a request whose body is late gets a 408, any other connection is closed. */
 static void
 too_slow (struct timer *timer, int64_t now)
 {
@@ -163,8 +164,8 @@
   return connection;
 }
 
-/* The caller went away.  An exchange whose holder has no watcher stays until it is answered, so
- * that the holder never touches freed memory. */
+/* The connection closed.  An exchange whose holder has no watcher is kept until it is answered, so
+ * that the holder never uses freed memory. */
 static void
 close_request (struct server_connection *connection, int64_t now)
 {
@@ -199,9 +200,10 @@
   talloc_free (connection);
 }
 
-/* Reading stops until the answer is complete.  lws keeps what follows a request in the same read,
- * and while a request is worked on it would try that data again in every turn, at a full core's
- * cost, or take any amount more of it.  Here, in the callback, it has nothing kept yet. */
+/* Dispatch the request and stop reading until the response is complete.  lws buffers the bytes that
+ * follow a request in the same read; while the request is handled it would retry them in every loop
+ * iteration, at the cost of a full core, or buffer more without bound.  Within this callback it has
+ * buffered nothing yet. */
 static void
 hand_over (struct server_connection *connection, int64_t now)
 {
@@ -211,7 +213,7 @@
       server_find_route (connection->server, connection->listener, exchange->path);
 
   timer_disarm (connection->server->timers, &connection->timer);
-  /* lws's own timeout for a request must not end one that is being worked on. */
+  /* The request timeout of lws must not end a request that is being handled. */
   lws_set_timeout (connection->wsi, NO_PENDING_TIMEOUT, 0);
   connection->phase = SERVER_WORKING;
   exchange->body = request->body.data == NULL ? "" : request->body.data;
@@ -228,7 +230,7 @@
   route->ops->request (route, exchange, now);
 }
 
-/* lws hands the arguments over one by one and percent-decoded; put the query together again so
+/* lws returns the query arguments one by one, percent-decoded.  Rebuild and re-encode the query, so
  * that an encoded '&' or '=' stays within its argument. */
 static const char *
 copy_query (struct server_request *request, struct lws *wsi)
@@ -264,7 +266,7 @@
   return query.data == NULL ? "" : query.data;
 }
 
-/* Knows chunks. */
+/* HTTP/1.1 callers understand chunked coding. */
 static bool
 speaks_http11 (struct lws *wsi)
 {
@@ -310,9 +312,8 @@
   return request;
 }
 
-/* The stated length of the body; false when it is not one decimal number.  lws itself reads as
- * many digits as it likes and ignores the rest, so that two readers of one connection could see
- * different requests. */
+/* Parse content-length; false when it is not one decimal number.  lws parses leading digits and
+ * ignores the rest, so that two readers of one connection could see different requests. */
 static bool
 body_length (const struct server_request *request, size_t *out)
 {
@@ -335,10 +336,9 @@
   return true;
 }
 
-/* Was this request read together with the one before it?  That is so when nothing was read since
- * the answer before.  lws 4.1 takes the head of such a request for its body and then does not
- * return, or keeps a core busy while the request is worked on; so a caller that does not wait for
- * its answers is told so, and nothing was run. */
+/* Was this request read together with the previous one?  That is so if no byte was read since the
+ * previous response.  lws 4.1 takes the head of such a pipelined request for its body and then
+ * loops forever, or keeps a core busy while the request is handled, so it is rejected unrun. */
 static bool
 is_pipelined (const struct server_connection *connection)
 {
@@ -346,7 +346,7 @@
          && server_connection_read (connection) == connection->read_before;
 }
 
-/* Answer within the callback and close: lws must not go on with this connection. */
+/* Reject within the callback and close: lws must not process this connection any further. */
 static int
 reject_at_once (struct server_connection *connection,
                 int code,
@@ -359,7 +359,7 @@
   return -1;
 }
 
-/* Begin a request whose headers are whole. */
+/* The headers of a request are complete. */
 static int
 on_head (struct server_connection *connection, struct lws *wsi, int64_t now)
 {
@@ -395,7 +395,7 @@
   return connection->killed ? -1 : 0;
 }
 
-/* lws would switch to HTTP/2 or web sockets by itself. */
+/* Reject upgrades: lws would switch to HTTP/2 or WebSocket by itself. */
 static int
 on_upgrade (struct server_connection *connection, struct lws *wsi, int64_t now)
 {
--- a/src/http_server_private.h
+++ b/src/http_server_private.h
@@ -1,5 +1,5 @@
-/* Shared by the files of the HTTP server: http_server.c accepts connections and finds routes,
- * http_server_connection.c serves one connection, http_server_answer.c writes its answers. */
+/* Internals of the HTTP server: http_server.c accepts connections and finds routes,
+ * http_server_connection.c reads requests, http_server_answer.c writes responses. */
 #ifndef HTTP_SERVER_PRIVATE_H
 #define HTTP_SERVER_PRIVATE_H
 
@@ -61,17 +61,17 @@
   struct server_caller *callers; /* hash by IP */
   struct server_connection *connections;
   struct loop_watch socket_watch;
-  int socket_fd; /* epoll: which callers closed their side or take more of an answer */
+  int socket_fd; /* epoll: connections closed by the peer or writable again */
   uint32_t pending;
   uint32_t n_connections;
-  bool closing; /* no more connections: answers say "connection: close" */
+  bool closing; /* shutting down: responses carry "connection: close" */
 };
 
 enum server_phase
 {
-  SERVER_IDLE, /* no request, or its headers still arrive */
+  SERVER_IDLE, /* no request, or receiving headers */
   SERVER_BODY,
-  SERVER_WORKING, /* the route has the request */
+  SERVER_WORKING, /* the route handles the request */
   SERVER_ANSWERING
 };
 
@@ -84,13 +84,13 @@
   struct timer timer;
   enum server_phase phase;
   struct server_request *request;
-  bool close_after; /* the answer under way is the last of this connection */
+  bool close_after; /* close after the current response */
   bool killed;
-  bool adopting;        /* lws may drop the connection within the call that gives it over */
-  bool gone;            /* it did */
-  bool choked;          /* the socket takes no more for now */
+  bool adopting;        /* within the lws adoption call, which may close the connection */
+  bool gone;            /* lws closed the connection */
+  bool choked;          /* the socket's send buffer is full */
   bool reading;         /* lws reads from the socket */
-  uint64_t read_before; /* bytes lws had read when the last answer was complete */
+  uint64_t read_before; /* bytes lws had read when the last response was complete */
   char peer[HTTP_PEER_SIZE];
   struct server_connection *prev;
   struct server_connection *next;
@@ -106,12 +106,12 @@
   size_t body_expected;
   struct bytes out;
   size_t out_sent;
-  bool handed; /* the route, or who it gave the exchange to, holds it */
+  bool handed; /* the exchange was passed to a route or answered with an error */
   bool chunked;
-  bool head_only; /* answer to HEAD: no body */
+  bool head_only; /* response to HEAD: no body */
   bool http10;
-  bool until_close; /* the answer ends with its connection */
-  bool finished;    /* nothing will be added to `out` */
+  bool until_close; /* the response ends with its connection */
+  bool finished;    /* nothing more will be added to `out` */
 };
 
 static inline void
@@ -139,23 +139,24 @@
 void server_connection_free (struct server_connection *connection, int64_t now);
 void server_connection_kill (struct server_connection *connection);
 
-/* While on, the connection ends by a reset, also with the process: for an answer whose whole end is
- * an orderly one. */
+/* While on, any close of the connection, also by the end of the process, is a reset.  For a
+ * response that is marked as complete by an orderly close. */
 void server_connection_end_by_reset (struct server_connection *connection, bool on);
 int server_on_event (
     struct lws *wsi, enum lws_callback_reasons reason, void *user, void *in, size_t len);
 
-/* Bytes that lws has read from the connection's socket so far. */
+/* Bytes that lws has read from the socket so far; 0 if the kernel does not tell. */
 uint64_t server_connection_read (const struct server_connection *connection);
 
 /* http_server_answer.c */
 extern const struct http_exchange_ops server_exchange_ops;
 void server_request_free (struct server_request *request);
 
-/* Write what the socket takes; what lws wants returned from its callback. */
+/* Write as much as the socket accepts.  Returns the result for the lws callback: 0, or -1 to close
+ * the connection. */
 int server_answer_write (struct server_connection *connection, int64_t now);
 
-/* The same from outside lws's callbacks. */
+/* The same from outside of lws callbacks. */
 void server_answer_resume (struct server_connection *connection, int64_t now);
 
 #endif
--- a/src/sse.c
+++ b/src/sse.c
@@ -46,7 +46,7 @@
     }
   text_copy_cut (name, sizeof name, decoder->name);
   decoder->name[0] = '\0';
-  /* The last line's own newline is no content. */
+  /* The newline of the last line is not part of the data. */
   data.data[--data.length] = '\0';
   go_on = sink->ops->event (sink, name, data.data, data.length);
   if (!go_on)
--- a/src/sse.h
+++ b/src/sse.h
@@ -1,7 +1,7 @@
-/* A line decoder of server-sent events (WHATWG HTML, section 9.2.6), fed in pieces.
+/* Incremental decoder of server-sent events (WHATWG HTML, section 9.2.6).
  *
- * Only what the targets' streams use: `event` and `data` fields, comments, events ended by an empty
- * line.  Lines end in LF or CR LF. */
+ * Supports what the targets' streams use: `event` and `data` fields, comments and events ended by
+ * an empty line.  Lines end in LF or CR LF. */
 #ifndef SSE_H
 #define SSE_H
 
@@ -21,23 +21,23 @@
 
 struct sse_sink_ops
 {
-  /* One event; `name` is "" when the stream gave none.  False stops the feed at once, and the sink
-   * may have freed the decoder. */
+  /* One event; `name` is "" when the event has none.  Returning false stops sse_feed() at once; the
+   * sink may then have freed the decoder. */
   bool (*event) (struct sse_sink *sink, const char *name, const char *data, size_t length);
 };
 
 struct sse_decoder
 {
-  struct bytes line; /* of a line not yet ended */
-  struct bytes data; /* of an event not yet ended */
+  struct bytes line; /* of the incomplete line */
+  struct bytes data; /* of the incomplete event */
   char name[SSE_NAME_SIZE];
-  size_t max; /* bytes of one event */
+  size_t max; /* bytes of one event and the current line */
 };
 
 void sse_init (struct sse_decoder *decoder, void *parent, size_t max_event_bytes);
 void sse_clear (struct sse_decoder *decoder);
 
-/* STATUS_TOO_LARGE for an event over the bound, STATUS_CANCELLED when the sink stopped the feed,
+/* STATUS_TOO_LARGE for an event over the limit, STATUS_CANCELLED when the sink stopped the feed,
  * STATUS_NO_MEMORY. */
 enum status sse_feed (struct sse_decoder *decoder,
                       const void *data,
--- a/src/tcp.c
+++ b/src/tcp.c
@@ -33,7 +33,7 @@
 static void
 set_option (int fd, int level, int option, int value)
 {
-  /* Each is an improvement only: a connection without it still works. */
+  /* Failures are ignored: a connection works without any of these options. */
   (void) setsockopt (fd, level, option, &value, sizeof value);
 }
 
@@ -48,7 +48,8 @@
   set_option (fd, IPPROTO_TCP, TCP_USER_TIMEOUT, TCP_SILENCE_MS);
 }
 
-/* Have the system reset the connection when its descriptor is closed, by us or with the process. */
+/* Make the kernel reset the connection when its descriptor is closed, also by the end of the
+ * process. */
 static void
 reset_on_close (struct tcp_stream *stream, bool reset)
 {
@@ -65,7 +66,7 @@
   return stream->unsent == NULL ? 0 : stream->unsent->length;
 }
 
-/* Would closing now leave out what the other side should get? */
+/* Would closing now truncate what the peer should receive? */
 static bool
 is_cut (const struct tcp_stream *stream)
 {
@@ -80,7 +81,7 @@
   stream->unsent = NULL;
 }
 
-/* The descriptor goes with the loop's watch, at its next turn. */
+/* The event loop closes the descriptor with the watch, in its next iteration. */
 static void
 drop (struct tcp_stream *stream)
 {
@@ -127,7 +128,7 @@
   return stream->connecting ? TCP_END_REFUSED : TCP_END_RESET;
 }
 
-/* All is sent. */
+/* Everything is sent: shut down the sending side. */
 static void
 send_end (struct tcp_stream *stream)
 {
@@ -186,8 +187,8 @@
   send_rest (stream);
 }
 
-/* Hand over some bytes; false at the end, with the error of the read in `errno`, 0 where there is
- * none. */
+/* Read and deliver some bytes.  False at the end or on an error, with `errno` set; 0 means an
+ * orderly end. */
 static bool
 receive (struct tcp_stream *stream, int64_t now)
 {
@@ -214,8 +215,8 @@
     end (stream, end_of_error (stream), now);
 }
 
-/* What came before a reset is handed over first: it may be a whole answer to a request whose rest
- * could not be sent. */
+/* Bytes received before a reset are delivered first: they may be a complete response to a request
+ * whose rest could not be sent. */
 static void
 tell_failure (struct timer *timer, int64_t now)
 {
--- a/src/tcp.h
+++ b/src/tcp.h
@@ -1,8 +1,7 @@
-/* Byte streams over TCP on the loop: listeners, connections, bounded buffers of what is unsent.
+/* TCP byte streams on the event loop: listeners, connections, bounded send buffers.
  *
- * Beneath the forwarding of requests, where libwebsockets' HTTP does not fit (docs/DESIGN.md): an
- * orderly end is told apart from a reset, which decides whether an answer without a length is
- * whole. */
+ * Used for forwarding requests, where libwebsockets' HTTP does not fit (docs/DESIGN.md): it tells
+ * an orderly end from a reset, which decides whether a response without a length is complete. */
 #ifndef TCP_H
 #define TCP_H
 
@@ -35,11 +34,12 @@
 
 const char *tcp_end_text (enum tcp_end end);
 
-/* A connection that does not acknowledge what was sent, or a probe, for this long is dead: a cut
- * link or a silently dropped flow shows no other error. */
+/* TCP_USER_TIMEOUT: a connection that acknowledges neither data nor a keepalive probe for this long
+ * is closed.  A cut link or a silently dropped flow reports no other error. */
 #define TCP_SILENCE_MS 3000
 
-/* Unsent bytes kept for one connection at most, in bytes; then it ends as overflowed. */
+/* Maximum bytes in the send buffer of one connection; above it the stream fails with
+ * TCP_END_OVERFLOW. */
 #define TCP_UNSENT_MAX (16u << 20)
 
 struct tcp_stream;
@@ -49,12 +49,12 @@
   void (*connected) (struct tcp_stream *stream, int64_t now);
   void (*received) (struct tcp_stream *stream, const char *data, size_t length, int64_t now);
 
-  /* The connection is over; the stream may be freed or opened anew.  Not called after
-   * tcp_close(). */
+  /* The connection ended; the stream may be freed or opened again.  Not called after tcp_close().
+   */
   void (*ended) (struct tcp_stream *stream, enum tcp_end end, int64_t now);
 };
 
-/* Embedded by its user, zeroed and then opened. */
+/* Embedded by its user, which zeroes it before tcp_connect() or tcp_accept(). */
 struct tcp_stream
 {
   const struct tcp_stream_ops *ops;
@@ -63,53 +63,54 @@
   int fd;
   bool open;
   bool connecting;
-  bool closing;         /* ends once all is sent */
-  bool whole_by_end;    /* our end would say that an answer is whole, and is not sent */
-  bool failed;          /* nothing more is sent; ended() will say `failure` */
-  enum tcp_end failure; /* kept, as the system tells an error only once */
-  struct timer tell;    /* has ended() called from the loop */
+  bool closing;         /* shut down once everything is sent */
+  bool whole_by_end;    /* an orderly close marks a response as complete, and it is not yet */
+  bool failed;          /* nothing more is sent; ended() will report `failure` */
+  enum tcp_end failure; /* stored, as the kernel reports a socket error only once */
+  struct timer tell;    /* calls ended() from the event loop */
   struct bytes *unsent;
 };
 
-/* Begin to connect; connected() or ended() follows from the loop. */
+/* Start to connect.  On STATUS_OK the event loop calls connected() or ended() later. */
 enum status tcp_connect (struct tcp_stream *stream,
                          const struct tcp_stream_ops *ops,
                          struct loop *loop,
                          const char *address);
 
-/* Take an accepted socket. */
+/* Open a stream on an accepted socket. */
 enum status tcp_accept (struct tcp_stream *stream,
                         const struct tcp_stream_ops *ops,
                         struct loop *loop,
                         int fd);
 
-/* Send or keep; what cannot be sent or kept fails the stream. */
+/* Send or buffer the data; the stream fails if neither is possible. */
 void tcp_write (struct tcp_stream *stream, const void *data, size_t length);
 
-/* Bytes that were given and are not sent; never 0 on a stream that failed. */
+/* Bytes in the send buffer; never 0 on a stream that failed. */
 size_t tcp_unsent (const struct tcp_stream *stream);
 
-/* Is there something, or an end, that received() or ended() has yet to tell of? */
+/* Are there received bytes, or an end of the connection, not yet reported by received() or ended()?
+ */
 bool tcp_has_unread (const struct tcp_stream *stream);
 
-/* What is unsent, and what the other side's system has not taken yet. */
+/* Bytes in the send buffer and bytes that the peer has not acknowledged. */
 size_t tcp_unacknowledged (const struct tcp_stream *stream);
 
-/* Send nothing more: bytes are missing.  ended() is called soon from the loop and says `why`, and
- * the other side sees a reset. */
+/* Fail the stream because bytes are lost: nothing more is sent, the event loop calls ended() with
+ * `why`, and the peer sees a reset. */
 void tcp_fail (struct tcp_stream *stream, enum tcp_end why);
 
-/* The other side takes our end for the end of an answer.  Until tcp_close_when_sent() has sent all
- * and our end, however the connection ends is a reset for it, the end of this process included. */
+/* The peer takes an orderly close for the end of a response.  Until tcp_close_when_sent() has sent
+ * everything, any close of the connection is a reset, also by the end of this process. */
 void tcp_end_means_whole (struct tcp_stream *stream);
 
-/* Drop what is unsent, and close.  With `reset`, or where something is dropped, the other side sees
- * a reset, so that a cut answer cannot look complete. */
+/* Drop unsent bytes and close.  With `reset`, or if bytes are dropped, the peer sees a reset, so
+ * that a truncated response cannot look complete. */
 void tcp_close (struct tcp_stream *stream, bool reset);
 
-/* Send what is left and our end, then throw away what comes until the other side ends too: closing
- * with unread bytes would reset the connection and could take the answer with it.  ended() tells
- * when; the user bounds the wait. */
+/* Send the rest and shut down the sending side, then keep reading until the peer closes: closing
+ * with unread bytes would reset the connection and could lose the response.  ended() reports the
+ * close; the user limits the wait. */
 void tcp_close_when_sent (struct tcp_stream *stream);
 
 struct tcp_listener;
--- a/src/tls_session.c
+++ b/src/tls_session.c
@@ -1,4 +1,4 @@
-/* A client's TLS session, by OpenSSL over memory buffers. */
+/* Client TLS sessions: OpenSSL over memory BIOs. */
 #include "tls_session.h"
 #include <limits.h>
 #include <openssl/err.h>
@@ -15,7 +15,7 @@
 struct tls_session
 {
   SSL *ssl;
-  BIO *in; /* both the session's */
+  BIO *in; /* both owned by `ssl` */
   BIO *out;
 };
 
@@ -27,7 +27,7 @@
 
   ERR_error_string_n (error, reason, sizeof reason);
   ERR_clear_error ();
-  return status_fail (STATUS_IO, "%s: %s", what, error == 0 ? "no reason told" : reason);
+  return status_fail (STATUS_IO, "%s: %s", what, error == 0 ? "no reason given" : reason);
 }
 
 static int
@@ -52,8 +52,8 @@
       talloc_free (trust);
       return NULL;
     }
-  /* Servers are known by IP numbers, which their certificates need not name: whoever the authority
-   * certified is trusted. */
+  /* Servers are addressed by IP address, which their certificates need not contain, so no host name
+   * is checked: any certificate of the authority is trusted. */
   SSL_CTX_set_verify (trust->context, SSL_VERIFY_PEER, NULL);
   SSL_CTX_set_min_proto_version (trust->context, TLS1_2_VERSION);
   return trust;
