--- a/tests/h1_client_harness.h
+++ b/tests/h1_client_harness.h
@@ -1,4 +1,4 @@
-// The HTTP/1.1 client of the forwarding path against a target that speaks bytes.
+// Fixture for the HTTP/1.1 client: a target that sends raw bytes.
 #ifndef H1_CLIENT_HARNESS_H
 #define H1_CLIENT_HARNESS_H
 
@@ -6,7 +6,7 @@
 #include "unit_edges_support.h"
 #include <memory>
 
-// What came of one call.
+// Records the events of one call.
 struct h1_probe
 {
   struct h1_call call = {}; // first
@@ -16,8 +16,8 @@
   int heads = 0;
   int ends = 0;
   enum h1_end end = H1_END_COUNT;
-  bool takes = true;    // the answer as its own
-  unsigned foreign = 0; // status of an answer to another call
+  bool takes = true;    // accepts the response
+  unsigned foreign = 0; // status of a response that belongs to another call
 
   static h1_probe *
   of (struct h1_call *base)
@@ -88,7 +88,7 @@
     talloc_free (loop);
   }
 
-  // Start a call and wait until its request has come.
+  // Start a call and wait until the target has received its request.
   void
   start (h1_probe &probe, bool fresh = false, const char *method = "GET")
   {
--- a/tests/unit_h1_bodies.cc
+++ b/tests/unit_h1_bodies.cc
@@ -1,5 +1,5 @@
-// Answers at the ends of the HTTP/1.1 client and server: where their body ends, and who still
-// reads.
+// HTTP/1.1 responses without a body in the client, incomplete requests, and slow readers of the
+// server's last response.
 #include "h1_client_harness.h"
 #include "h1_server.h"
 
@@ -9,7 +9,7 @@
 class H1ClientBodies : public H1Client
 {
 protected:
-  // What the client makes of an answer to `method` that leaves the connection open.
+  // Run a call with `method` whose response leaves the connection open.
   void
   answer (h1_probe &probe, const char *method, const std::string &bytes)
   {
@@ -21,8 +21,9 @@
   }
 };
 
-// An answer to HEAD behind an interim one, or behind one to another call, waits for a body.
-TEST_F (H1ClientBodies, AnAnswerToHeadBehindAnotherHasNoBody)
+// Failure: the client waits for the body of a response to HEAD that follows an interim response or
+// a response to another call.
+TEST_F (H1ClientBodies, HeadResponseAfterASkippedResponseHasNoBody)
 {
   for (const char *before : { "HTTP/1.1 103 Early Hints\r\n\r\n", "HTTP/1.1 299 Other\r\n\r\n" })
     {
@@ -38,8 +39,8 @@
     }
 }
 
-// The length of an answer whose status says that it has no body is taken for that of a body.
-TEST_F (H1ClientBodies, AnAnswerWhoseStatusHasNoBodyHasNone)
+// Failure: the client waits for a body because a 204 or 304 has a length or a transfer coding.
+TEST_F (H1ClientBodies, ResponseWithABodilessStatusHasNoBody)
 {
   for (const char *head : { "HTTP/1.1 304 Not Modified\r\nContent-Length: 5\r\n\r\n",
                             "HTTP/1.1 204 No Content\r\nContent-Length: 5\r\n\r\n",
@@ -58,8 +59,8 @@
     }
 }
 
-// A request that was not put together whole goes out as far as it went.
-TEST_F (H1ClientBodies, ARequestThatFoundNoMemoryIsNotSent)
+// Failure: a request that ran out of memory while it was built is sent in part.
+TEST_F (H1ClientBodies, IncompleteRequestIsNotSent)
 {
   h1_probe call (loop);
   struct bytes message;
@@ -85,8 +86,9 @@
   std::string body;
 };
 
-// A caller that goes on reading is cut two seconds behind the last byte given to its connection.
-TEST (H1ServerReaders, ACallerThatStillReadsGetsAllOfTheLastAnswer)
+// Failure: the server resets the connection two seconds after it queued the last byte, although the
+// caller is still reading.
+TEST (H1ServerReaders, SlowReaderReceivesTheWholeLastResponse)
 {
   static const struct h1_handler_ops ops = {
     .request =
@@ -125,7 +127,7 @@
       setsockopt (caller.fd, SOL_SOCKET, SO_RCVBUF, &small, sizeof small);
       caller.send (std::string ("GET / HTTP/1.1\r\nHost: h\r\nConnection: ") + connection
                    + "\r\n\r\n");
-      // About 4 s for all of it.
+      // Reading everything takes about 4 s.
       for (int64_t until = loop_now (loop) + EVENT_WAIT;
            n != 0 && got < handler.body.size () && loop_now (loop) < until;)
         {
--- a/tests/unit_h1_client.cc
+++ b/tests/unit_h1_client.cc
@@ -1,5 +1,5 @@
-// The HTTP/1.1 client of the forwarding path: what it tells of an answer, by its framing and its
-// end.
+// The HTTP/1.1 client: how it reports a response, depending on its framing and on how the
+// connection ends.
 #include "h1_client_harness.h"
 
 namespace
@@ -8,13 +8,13 @@
 struct framed_answer
 {
   const char *bytes;
-  bool reset; // or closed in order
+  bool reset; // else an orderly close
   bool no_body;
   enum h1_framing framing;
   enum h1_end end;
 };
 
-TEST_F (H1Client, TellsHowAnAnswerWasFramedAndWhatEndedIt)
+TEST_F (H1Client, ReportsTheFramingAndTheEndOfAResponse)
 {
   const std::vector<framed_answer> answers = {
     { "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nab", false, false, H1_FRAMING_LENGTH,
@@ -38,7 +38,7 @@
       probe.call.no_body = answer.no_body;
       start (probe, true);
       target->say (answer.bytes);
-      // Unread bytes would be lost to the reset.
+      // Bytes unread at the time of the reset would be lost.
       for (int i = 0; i < 3; i++)
         loop_once (loop, USEC_PER_MSEC);
       target->hang_up (answer.reset);
@@ -49,12 +49,12 @@
     }
 }
 
-// ---- the table: an answer by its framing, cut, damaged and delivered anywhere ----
+// ---- responses of every framing, truncated, damaged and segmented at every byte ----
 
-// Two events, a character of two bytes in the first.
+// Two events; the first contains a two-byte character.
 const std::string BODY = "id: 1\ndata: a\xc3\xbc\n\nid: 2\ndata: b\n\n";
 
-// One chunk ends inside the character.
+// The first chunk ends within that character.
 const std::string CHUNKS =
     "e\r\nid: 1\ndata: a\xc3\r\n3\r\n\xbc\n\n\r\nf\r\nid: 2\ndata: b\n\n\r\n0\r\n\r\n";
 
@@ -62,8 +62,8 @@
 {
   const char *name;
   std::string head;
-  std::string wire; // behind the head
-  bool kept;        // the connection, after the whole answer
+  std::string wire; // after the head
+  bool kept;        // the connection is reusable after the response
   bool by_close;
 };
 
@@ -86,14 +86,14 @@
 class H1Answers : public H1Client
 {
 protected:
-  // Let the client read what was sent to it.
+  // Run one iteration of the event loop, in which the client reads.
   void
   turn ()
   {
     loop_once (loop, 0);
   }
 
-  // Let the client read: it tells an end now, or does not yet.
+  // Let the client read, and check whether the call has ended.
   void
   await (const h1_probe &probe, bool ends, const std::string &what)
   {
@@ -102,7 +102,7 @@
     EXPECT_EQ (probe.ends, ends ? 1 : 0) << what;
   }
 
-  // Until the client has closed its connection.
+  // Wait until the client has closed its connection.
   bool
   wait_closed ()
   {
@@ -112,7 +112,7 @@
         loop, [&] { return recv (target->peer, &byte, 1, MSG_DONTWAIT) == 0 || errno != EAGAIN; });
   }
 
-  // A connection that has carried an answer, or none.
+  // Complete a call, after which the client holds an idle connection (`used`) or none.
   void
   prepare (bool used)
   {
@@ -125,7 +125,7 @@
     ASSERT_EQ (first.body, "ok");
   }
 
-  // Is the next call made over the connection of the last?
+  // Does the next call reuse the connection?
   bool
   is_used_again ()
   {
@@ -148,9 +148,9 @@
   }
 };
 
-// The connection ends, in order or by a reset, behind every byte of every framing: only the end
-// that the framing names makes an answer whole.
-TEST_F (H1Answers, AreWholeOnlyByTheirFramingWhereverTheyEnd)
+// Failure: a truncated response is reported as complete.  The connection is closed or reset after
+// every byte of every framing.
+TEST_F (H1Answers, ResponseIsCompleteOnlyByItsFraming)
 {
   for (const auto &framed : framings ())
     for (bool used : { false, true })
@@ -177,9 +177,9 @@
           }
 }
 
-// The answer arrives in two parts, split behind every byte, or byte by byte; until its end is there
-// it is not whole, however long the connection stays silent.
-TEST_F (H1Answers, AreTheSameHoweverTheyAreDelivered)
+// Failure: the result depends on how the response is segmented, or the call ends while its last
+// segment is missing.  The response is split in two after every byte.
+TEST_F (H1Answers, ResponseDoesNotDependOnSegmentation)
 {
   for (const auto &framed : framings ())
     for (size_t n = 1; n <= framed.head.size () + framed.wire.size (); n++)
@@ -203,7 +203,7 @@
       }
 }
 
-TEST_F (H1Answers, AreNotWholeBeforeTheirLastByte)
+TEST_F (H1Answers, ResponseIsIncompleteBeforeItsLastByte)
 {
   for (const auto &framed : framings ())
     {
@@ -228,8 +228,8 @@
     }
 }
 
-// Bytes behind the end belong to no answer, whenever they come.
-TEST_F (H1Answers, EndTheirConnectionWhereMoreComesThanTheyHold)
+// Failure: a connection is reused although bytes follow the response, in the same segment or later.
+TEST_F (H1Answers, SurplusBytesCloseTheConnection)
 {
   for (const auto &framed : framings ())
     for (const char *more : { "x", "\r\n", "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n" })
@@ -253,11 +253,11 @@
 
 struct damaged
 {
-  const char *wire; // behind the head of an answer in chunks
-  const char *body; // by its sizes, as far as they can be followed
+  const char *wire; // after the head of a chunked response
+  const char *body; // data up to the damage, according to the chunk sizes
 };
 
-// Framing that is not what it must be, and the parser takes much of it.
+// Invalid framing, much of which the parser accepts.
 const damaged DAMAGED_CHUNKS[] = {
   // data shorter and longer than the size by one and by two
   { "6\r\nhello\r\n0\r\n\r\n", "hello\r" },
@@ -266,13 +266,13 @@
   { "3\r\nhello\r\n0\r\n\r\n", "hel" },
   { "3\r\nabc\r\n6\r\nhello\r\n0\r\n\r\n", "abchello\r" },
   { "3\r\nabc\r\n3\r\nhello\r\n0\r\n\r\n", "abchel" },
-  // what is behind the data
+  // bytes after the data
   { "5\r\nhelloXX0\r\n\r\n", "hello" },
   { "5\r\nhello\rX0\r\n\r\n", "hello" },
   { "5\r\nhelloX\n0\r\n\r\n", "hello" },
   { "5\r\nhello\n0\r\n\r\n", "hello" },
   { "5\r\nhello0\r\n\r\n", "hello" },
-  // the line of a size
+  // chunk-size line
   { "5\rXhello\r\n0\r\n\r\n", "hello" },
   { "5\nhello\r\n0\r\n\r\n", "" },
   { "\r\n5\r\nhello\r\n0\r\n\r\n", "" },
@@ -295,9 +295,9 @@
   { "5\r\nhello\r\n0\r\nhello\r\n\r\n", "hello" },
 };
 
-// A chunk whose end is damaged passes for whole, its bytes shifted; delivered at once and split
-// behind every byte.
-TEST_F (H1Answers, AreNotAnswersWhereTheirChunksAreDamaged)
+// Failure: a response with damaged chunk framing is accepted, with its data shifted.  It is sent at
+// once and split after every byte.
+TEST_F (H1Answers, DamagedChunksAreMalformed)
 {
   const std::string head = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
 
@@ -319,8 +319,9 @@
       }
 }
 
-// Read together with what shows the damage, not even the bytes of its chunk are handed over.
-TEST_F (H1Answers, HandOverNoChunkThatIsSeenToBeDamaged)
+// Failure: the data of a chunk is delivered although the same read shows that its framing is
+// damaged.
+TEST_F (H1Answers, DamagedChunkIsNotDelivered)
 {
   h1_probe probe (loop);
 
@@ -332,8 +333,9 @@
   EXPECT_EQ (probe.body, "abc");
 }
 
-// The parser takes any byte for the LF behind a CR.
-TEST_F (H1Answers, AreNotAnswersWhereALineOfTheirHeadIsDamaged)
+// Failure: a damaged line end in a head is accepted, as the parser takes any byte for the LF after
+// a CR.
+TEST_F (H1Answers, CarriageReturnWithoutLineFeedInTheHeadIsMalformed)
 {
   for (const char *text : {
            "HTTP/1.1 200 OK\rXContent-Length: 2\r\n\r\nab",
@@ -354,8 +356,8 @@
     }
 }
 
-// Extensions of a size and fields behind the last chunk change nothing.
-TEST_F (H1Answers, AreReadWithExtensionsAndTrailers)
+// Chunk extensions and trailer fields do not change the body.
+TEST_F (H1Answers, ChunkExtensionsAndTrailersAreIgnored)
 {
   for (const char *wire : {
            "5;a=\"b c\"\r\nhello\r\n0;x\r\n\r\n",
@@ -373,8 +375,9 @@
     }
 }
 
-// A long answer in tiny pieces; what the parser counts of one size must not add up over all.
-TEST_F (H1Answers, MayHaveAnyNumberOfChunks)
+// Failure: a response of many small chunks is rejected, because the parser adds up the bytes of all
+// chunk-size lines against its header limit.
+TEST_F (H1Answers, ManySmallChunksAreAccepted)
 {
   static const struct h1_reader_ops ops = {
     .head = [] (struct h1_reader *) { return true; },
@@ -395,9 +398,9 @@
   h1_reader_clear (&reader);
 }
 
-// Two readers of such a head may find two ends of its body, and a coding that is not undone would
-// be handed over as the body.
-TEST_F (H1Answers, AreNotAnswersWhereTheirFramingIsAmbiguous)
+// Failure: a head is accepted for which two readers may find different ends of the body, or whose
+// transfer coding is not decoded and would be delivered as the body.
+TEST_F (H1Answers, AmbiguousFramingIsMalformed)
 {
   for (const char *fields : {
            "Content-Length : 5\r\n",
@@ -438,8 +441,9 @@
     }
 }
 
-// HTTP/1.0 knows no chunks: who relayed such an answer may not have understood its framing.
-TEST_F (H1Answers, EndTheirConnectionWhereTheyAreChunkedInHttp10)
+// HTTP/1.0 has no chunked coding, so an intermediary may not have understood the framing: the
+// connection is not reused.
+TEST_F (H1Answers, ChunkedHttp10ResponseClosesTheConnection)
 {
   h1_probe probe (loop);
 
@@ -451,7 +455,7 @@
   EXPECT_FALSE (is_used_again ());
 }
 
-// ---- answers without a body, and answers before the one that counts ----
+// ---- responses without a body, and skipped responses ----
 
 struct bodiless
 {
@@ -459,8 +463,9 @@
   bool no_body; // the request is a HEAD
 };
 
-// A length says what a GET would have had.  Waited for, it takes the next answer for a body.
-TEST_F (H1Answers, EndWithTheirHeadWhereTheyHaveNoBody)
+// Failure: the client waits for the announced length of a response that has no body, and takes the
+// next response for that body.
+TEST_F (H1Answers, BodilessResponseEndsWithItsHead)
 {
   const std::vector<bodiless> answers = {
     { "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\n", true },
@@ -500,8 +505,8 @@
       }
 }
 
-// The answer to a HEAD says nothing of the next one's body on the same connection.
-TEST_F (H1Answers, HaveABodyAgainBehindOneWithout)
+// Failure: after a response without a body, the body of the next one on the connection is skipped.
+TEST_F (H1Answers, ResponseAfterABodilessOneHasABody)
 {
   for (const char *first : { "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\n",
                              "HTTP/1.1 204 No Content\r\nContent-Length: 5\r\n\r\n" })
@@ -521,8 +526,8 @@
     }
 }
 
-// Behind a 101 another protocol is spoken, which nobody asked for; a number below 100 is no status.
-TEST_F (H1Answers, AreNotAnswersWithAStatusThatCannotBe)
+// A 101 switches to another protocol, which no request asked for; a status below 100 is invalid.
+TEST_F (H1Answers, InvalidStatusIsMalformed)
 {
   for (const char *status : { "101 Switching Protocols\r\nConnection: upgrade\r\nUpgrade: x",
                               "101 Switching Protocols", "099 Nothing", "000 Nothing" })
@@ -538,8 +543,9 @@
     }
 }
 
-// A target that sends one answer too many may send another: which request it is to is a guess.
-TEST_F (H1Answers, EndTheirConnectionBehindAnAnswerToAnotherCall)
+// A target that sent a response to another call may send more of them, so responses on this
+// connection can no longer be matched to requests.
+TEST_F (H1Answers, ResponseToAnotherCallClosesTheConnection)
 {
   h1_probe probe (loop);
 
@@ -552,9 +558,9 @@
   EXPECT_FALSE (is_used_again ());
 }
 
-// Bytes behind an answer, or the end of its connection, have arrived but are not read yet as the
-// next request goes out: they would be taken for its answer.
-TEST_F (H1Answers, AreNotWhatWasThereBeforeTheRequest)
+// Failure: surplus bytes or an end of the connection that arrived before the next request was sent,
+// but were not read yet, are taken for its response.
+TEST_F (H1Answers, BytesReceivedBeforeTheRequestAreNotItsResponse)
 {
   for (const char *more : { "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nwrong", "" })
     {
@@ -576,8 +582,8 @@
     }
 }
 
-// Half of a request must not be sent as one.
-TEST_F (H1Client, SendsNoMessageThatCouldNotBeWritten)
+// Failure: a request that did not fit its buffer is sent in part.
+TEST_F (H1Client, DoesNotSendAnIncompleteMessage)
 {
   h1_probe probe (loop);
   struct bytes message;
--- a/tests/unit_h1_server.cc
+++ b/tests/unit_h1_server.cc
@@ -1,5 +1,5 @@
-// What a caller of the forwarding path may conclude from the bytes that it got: an answer looks
-// whole if, and only if, it was ended as whole and all of it was sent.
+// The HTTP/1.1 server: a response looks complete to its caller if, and only if, the handler ended
+// it as complete and all of it was sent.
 #include "h1_server.h"
 #include "unit_edges_support.h"
 #include <algorithm>
@@ -11,7 +11,7 @@
 namespace
 {
 
-// ---- what a strict caller concludes ----
+// ---- a strict reader of responses ----
 
 enum caller_end
 {
@@ -25,7 +25,7 @@
   bool whole = false;
   unsigned status = 0;
   std::string body;
-  std::string rest; // bytes behind the answer
+  std::string rest; // bytes after the response
   std::string head; // lower case
 };
 
@@ -40,7 +40,7 @@
   return head.substr (at, head.find ("\r\n", at) - at);
 }
 
-// The body of chunks; whole only with its last chunk and the empty line behind it.
+// Decode a chunked body; true if it is complete, with the last chunk and the final empty line.
 bool
 read_chunks (const std::string &bytes, verdict &out)
 {
@@ -117,13 +117,13 @@
   return out;
 }
 
-// ---- a server whose answers the test gives ----
+// ---- a handler controlled by the test ----
 
 struct answering
 {
   struct h1_handler handler;
   std::vector<struct h1_exchange *> open;
-  std::vector<std::string> targets; // of the requests that came
+  std::vector<std::string> targets; // of the received requests
   std::function<void (struct h1_exchange *)> serve;
   std::function<void (struct h1_exchange *)> left;
   int gone = 0;
@@ -165,8 +165,8 @@
   }
 };
 
-const size_t MUCH = 6u << 20;      // more than the kernel's buffers take, less than we keep
-const size_t TOO_MUCH = 24u << 20; // more than both
+const size_t MUCH = 6u << 20;      // exceeds the kernel's socket buffers, fits the send buffer
+const size_t TOO_MUCH = 24u << 20; // exceeds both
 const size_t PIECE = 1u << 20;
 
 class h1_server_test : public testing::Test
@@ -193,7 +193,7 @@
     ASSERT_NE (server, nullptr);
   }
 
-  // Connects and sends; the request has come when this returns.
+  // Connect, send `request` and wait until the handler has received it.
   std::unique_ptr<raw_caller>
   ask (const std::string &request)
   {
@@ -223,7 +223,7 @@
   struct h1_server *server = nullptr;
 };
 
-// ---- the table ----
+// ---- every kind of response, caller and end ----
 
 enum answer_kind
 {
@@ -241,8 +241,8 @@
   const char *request;
   bool answers_head;
   bool slow;   // small buffers
-  bool leaves; // resets before the answer
-  bool halves; // ends its side behind the request
+  bool leaves; // resets before the response
+  bool halves; // shuts down its sending side after the request
 };
 
 #define LINE_11 " / HTTP/1.1\r\nHost: h\r\n\r\n"
@@ -321,7 +321,7 @@
   return end >= END_FREED_BEFORE_DATA && end <= END_FREED_BEHIND_MUCH;
 }
 
-// No two pieces are alike.
+// No two pieces of the text are equal.
 std::string_view
 text_of (size_t size)
 {
@@ -336,7 +336,7 @@
   return std::string_view (text).substr (0, size);
 }
 
-// The server's, for a reader behind the last answer.
+// The server's H1_LINGER.
 const int64_t LAST_WAIT = 2 * USEC_PER_SEC;
 
 class answer_table : public h1_server_test
@@ -348,7 +348,7 @@
   give (struct h1_exchange *exchange, enum answer_kind answer, enum answer_end end)
   {
     std::string_view text = text_of (given (end));
-    // A cut answer has more to come.
+    // The head of a truncated response announces more than is sent.
     size_t length = text.size () + (ends_whole (end) || end == END_OVERFLOW ? 0 : 1);
 
     if (answer == ANSWER_AT_ONCE)
@@ -449,7 +449,8 @@
         EXPECT_TRUE (ends_whole (end));
         EXPECT_TRUE (seen.body == text) << seen.body.size () << " of " << text.size ();
       }
-    // The caller's own end, the server's and its last wait may cut what was not yet sent.
+    // A half-close by the caller, freeing the server or its linger timeout may truncate what was
+    // not sent yet.
     bool in_time = loop_now (loop) - given_at < LAST_WAIT;
     bool due = end == END_WHOLE || end == END_FREED_BEHIND_WHOLE
                || (end == END_WHOLE_OF_MUCH && !kind.halves && in_time);
@@ -470,7 +471,7 @@
   }
 };
 
-TEST_F (answer_table, LooksWholeOnlyIfItIs)
+TEST_F (answer_table, ResponseLooksCompleteOnlyIfItIs)
 {
   for (int answer = 0; answer < ANSWER_KINDS; answer++)
     for (const caller_kind &kind : caller_kinds)
@@ -479,15 +480,16 @@
           SCOPED_TRACE (std::string (answer_names[answer]) + ", " + kind.name + ", "
                         + end_names[end]);
 
-          // What is given at once is given whole.
+          // h1_reply() always sends a complete response.
           if (answer == ANSWER_AT_ONCE && !ends_whole (static_cast<enum answer_end> (end)))
             continue;
           play (static_cast<enum answer_kind> (answer), kind, static_cast<enum answer_end> (end));
         }
 }
 
-// A reader so slow that the server's last wait ends before it has got all that was sent as whole.
-TEST_F (answer_table, IsCutWhereItsReaderTakesTooLong)
+// Failure: a response looks complete to a reader that is so slow that the server's linger timeout
+// expires first.
+TEST_F (answer_table, TooSlowReaderSeesATruncatedResponse)
 {
   std::vector<std::unique_ptr<raw_caller>> callers;
   std::string_view text = text_of (MUCH);
@@ -511,12 +513,13 @@
     }
 }
 
-// ---- single answers ----
+// ---- single responses ----
 
 class h1_answers : public h1_server_test
 {
 protected:
-  // Reads until the next answer is whole, or the connection over, and takes it off.
+  // Read until the next response is complete or the connection has ended, and remove the response
+  // from the received bytes.
   verdict
   next (raw_caller &caller, bool answers_head = false)
   {
@@ -532,8 +535,8 @@
   }
 };
 
-// An answer to HEAD that says a length of 0 where the same GET has another.
-TEST_F (h1_answers, SayNoLengthToHeadWhereItIsNotKnown)
+// Failure: a response to HEAD announces a length of 0 although GET has a body.
+TEST_F (h1_answers, HeadResponseOmitsAnUnknownLength)
 {
   start ();
   auto caller = ask ("HEAD / HTTP/1.1\r\nHost: h\r\n\r\n");
@@ -553,8 +556,8 @@
   EXPECT_EQ (next (*caller).body, "four");
 }
 
-// The field with which a handler says the length to HEAD by itself stays the only one.
-TEST_F (h1_answers, LeaveTheLengthToTheHandlerOfHead)
+// Failure: a second Content-Length is added to the one that the handler sets for HEAD.
+TEST_F (h1_answers, HeadResponseKeepsTheLengthOfItsHandler)
 {
   start ();
   auto caller = ask ("HEAD / HTTP/1.1\r\nHost: h\r\n\r\n");
@@ -566,8 +569,8 @@
   EXPECT_EQ (seen.head.find ("content-length"), seen.head.rfind ("content-length"));
 }
 
-// A status that has no body, with bytes behind its head that would be read as the next answer.
-TEST_F (h1_answers, HaveNoBodyWhereTheirStatusHasNone)
+// Failure: a body is sent after a 204 or 304, and the caller reads it as the next response.
+TEST_F (h1_answers, BodilessStatusSendsNoBody)
 {
   start ();
   for (unsigned status : { 204u, 304u })
@@ -597,8 +600,8 @@
     }
 }
 
-// An answer shorter than the length it said is filled up with the next answer's bytes.
-TEST_F (h1_answers, AreCutWhereTheyEndShortOfTheirLength)
+// Failure: a body shorter than its announced length is filled up with bytes of the next response.
+TEST_F (h1_answers, BodyShorterThanItsLengthIsTruncated)
 {
   start ();
   auto caller = ask ("GET /1 HTTP/1.1\r\nHost: h\r\n\r\nGET /2 HTTP/1.1\r\nHost: h\r\n\r\n");
@@ -614,8 +617,8 @@
   EXPECT_EQ (answers.targets.size (), 1u);
 }
 
-// Bytes beyond the length that was said are read as the next answer.
-TEST_F (h1_answers, AreCutWhereTheyPassTheirLength)
+// Failure: bytes beyond the announced length are read as the next response.
+TEST_F (h1_answers, BodyLongerThanItsLengthResetsTheConnection)
 {
   start ();
   auto caller = ask ("GET /1 HTTP/1.1\r\nHost: h\r\n\r\n");
@@ -629,8 +632,8 @@
   EXPECT_TRUE (caller->reset);
 }
 
-// Requests sent ahead: answers that are made at once must not go out inside the one before.
-TEST_F (h1_answers, ComeOneAfterTheOtherToRequestsSentAhead)
+// Failure: the response to a pipelined request is sent in the middle of the response before it.
+TEST_F (h1_answers, PipelinedRequestsAreAnsweredInOrder)
 {
   start ();
   auto caller = ask ("GET /1 HTTP/1.1\r\nHost: h\r\n\r\nGET /2 HTTP/1.1\r\nHost: h\r\n\r\n"
@@ -658,8 +661,9 @@
   EXPECT_EQ (caller->got, "");
 }
 
-// A request sent ahead whose answer cannot reach its caller, as the answer before it was cut.
-TEST_F (h1_answers, AreNotMadeOnAConnectionThatFailed)
+// Failure: a pipelined request is handled although the response before it was truncated, so that
+// its own response cannot reach the caller.
+TEST_F (h1_answers, NoRequestIsHandledOnAFailedConnection)
 {
   std::string_view text = text_of (TOO_MUCH);
 
@@ -673,8 +677,9 @@
   EXPECT_EQ (h1_server_pending (server), 0u);
 }
 
-// A caller that waits for leave to send its body, and is refused by its head or by its body.
-TEST_F (h1_answers, ToExpectationsAreOneFinalAnswer)
+// A request with "Expect: 100-continue" that is rejected by its head or by its body size gets
+// exactly one final response.
+TEST_F (h1_answers, ExpectContinueGetsOneFinalResponse)
 {
   limits.body_bytes = 8;
   start ();
@@ -696,8 +701,9 @@
   EXPECT_EQ (answers.targets.size (), 0u);
 }
 
-// A process that leaves when nothing is pending cuts an answer that its caller is still reading.
-TEST_F (h1_answers, ArePendingUntilAllIsSent)
+// Failure: a process that exits when nothing is pending truncates a response that is not fully
+// sent.
+TEST_F (h1_answers, ResponseIsPendingUntilFullySent)
 {
   std::string_view text = text_of (MUCH);
 
@@ -710,8 +716,8 @@
   EXPECT_EQ (h1_server_pending (server), 0u);
 }
 
-// The caller's reset meets bytes that are still unsent; another caller's stream goes on.
-TEST_F (h1_answers, EndWithTheirOwnConnectionOnly)
+// Failure: a caller's reset while bytes are unsent disturbs the response to another caller.
+TEST_F (h1_answers, ResetEndsOnlyItsOwnResponse)
 {
   const struct linger at_once = { 1, 0 };
   std::string_view text = text_of (MUCH);
@@ -739,20 +745,20 @@
   EXPECT_EQ (h1_server_connections (server), 1u);
 }
 
-// ---- at random ----
+// ---- randomised ----
 
-// What a request asked for, and what was said about its answer.
+// A request and the response given to it.
 struct asked
 {
   bool head;
   std::string given;
-  bool ended; // as whole
+  bool ended; // as complete
 };
 
 struct random_caller
 {
   std::unique_ptr<raw_caller> line;
-  std::vector<size_t> requests; // numbers of what it asked, in order
+  std::vector<size_t> requests; // indexes of its requests, in order
   bool left = false;
 };
 
@@ -796,7 +802,7 @@
     return all[reinterpret_cast<size_t> (exchange->user)];
   }
 
-  // Whole and at once, or its head.
+  // Send a complete response, or the head of a streamed one.
   void
   give (struct h1_exchange *exchange)
   {
@@ -844,7 +850,7 @@
       return;
     caller.requests.push_back (all.size ());
     all.push_back ({ head, "", false });
-    // An error that a send meets is told to the caller there, and not again by a read.
+    // A socket error reported by send() is not reported again by a read.
     if (::send (caller.line->fd, text.data (), text.size (), MSG_NOSIGNAL) < 0 && errno != EAGAIN)
       caller.line->reset = true;
   }
@@ -869,7 +875,7 @@
   {
     size_t what = draw (20);
 
-    // One that is through makes room for another.
+    // Replace the callers that are done.
     for (random_caller &caller : callers)
       whole += caller.left || caller.line->closed ? look (caller) : 0;
     std::erase_if (callers,
@@ -896,7 +902,8 @@
       caller.line->read_some ();
   }
 
-  // Each answer that looks whole is what was given, and was ended as whole.
+  // Check that each response that looks complete was ended as complete and has the body that was
+  // given; returns their number.
   size_t
   look (random_caller &caller)
   {
@@ -925,12 +932,12 @@
   std::vector<random_caller> callers;
   std::vector<struct h1_exchange *> begun;
   std::set<size_t> seen;
-  size_t whole = 0; // answers that looked so
+  size_t whole = 0; // responses that looked complete
 };
 
-// Many callers at once, with requests sent ahead, answers cut, callers that leave or stop sending,
-// and the server's end in the middle of it.
-TEST_F (h1_random, NoCutAnswerLooksWhole)
+// Concurrent callers with pipelined requests, truncated responses, callers that reset or
+// half-close, and a server that is freed in between.
+TEST_F (h1_random, NoTruncatedResponseLooksComplete)
 {
   for (unsigned seed = 1; seed <= 30; seed++)
     {
--- a/tests/unit_tls_session.cc
+++ b/tests/unit_tls_session.cc
@@ -1,4 +1,5 @@
-// A client's TLS session against a server in memory, its bytes cut, damaged and untrusted.
+// Client TLS sessions against an in-memory server: segmented and damaged records, untrusted
+// servers.
 #include "certificate.h"
 #include "tls_session.h"
 #include <openssl/ssl.h>
@@ -7,7 +8,7 @@
 namespace
 {
 
-// OpenSSL's own server, over memory.
+// An OpenSSL server over memory BIOs.
 struct memory_server
 {
   SSL_CTX *context = SSL_CTX_new (TLS_server_method ());
@@ -52,7 +53,7 @@
                static_cast<int> (text.size ()));
   }
 
-  // What is to be sent to the client.
+  // Take the bytes to send to the client.
   std::string
   sent ()
   {
@@ -101,7 +102,7 @@
     talloc_free (parent);
   }
 
-  // Give the client `wire` in pieces of `step` bytes; what it answers goes to the server.
+  // Feed `wire` to the client in pieces of `step` bytes and pass its output to the server.
   enum status
   feed (const std::string &wire, size_t step)
   {
@@ -149,8 +150,8 @@
   }
 };
 
-// A network hands bytes over in any pieces, handshakes and records among them.
-TEST_F (TlsSession, CarriesBytesHoweverTheyAreCut)
+// A handshake and records work in any segmentation.
+TEST_F (TlsSession, WorksWithAnySegmentation)
 {
   const std::string text (100000, 'x');
 
@@ -174,8 +175,9 @@
     }
 }
 
-// Somebody else answers at the server's address.
-TEST_F (TlsSession, IsNotReadyWithAServerThatIsNotTrusted)
+// Failure: the handshake succeeds with a server whose certificate is not from the trusted
+// authority.
+TEST_F (TlsSession, HandshakeFailsWithAnUntrustedServer)
 {
   certificate other;
 
@@ -185,8 +187,8 @@
   EXPECT_EQ (plain, "");
 }
 
-// A byte is changed on the way.  What came whole before it counts, and nothing behind it.
-TEST_F (TlsSession, BreaksAtADamagedRecord)
+// A byte of a record is changed in transit: the records before it are delivered, nothing after it.
+TEST_F (TlsSession, FailsAtADamagedRecord)
 {
   trust (own);
   ASSERT_EQ (shake_hands (1000000), STATUS_OK);
@@ -200,8 +202,8 @@
   EXPECT_EQ (plain, "first");
 }
 
-// The settings name a file that is no certificate.
-TEST_F (TlsSession, NeedsACertificateToTrust)
+// The CA file is missing or contains no certificate.
+TEST_F (TlsSession, RejectsAnInvalidCaFile)
 {
   EXPECT_EQ (tls_trust_new (parent, "/nonexistent/certificate"), nullptr);
   EXPECT_EQ (tls_trust_new (parent, own.key_path.c_str ()), nullptr);
