--- a/src/bytes.c
+++ b/src/bytes.c
@@ -20,7 +20,7 @@
   bytes_init (bytes, bytes->parent);
 }
 
-/* Room for `length` more bytes and the NUL. */
+/* Ensures capacity for `length` more bytes and the NUL. */
 static bool
 reserve (struct bytes *bytes, size_t length)
 {
--- a/src/bytes.h
+++ b/src/bytes.h
@@ -1,7 +1,7 @@
 /* A growable byte buffer that keeps a terminating NUL after its content.
  *
- * A failed write sticks, for want of memory or for its size: later writes do nothing and
- * bytes_failed() tells, so that a run of writes is checked once at its end. */
+ * A failed write, out of memory or over the size limit, is sticky: later writes do nothing and
+ * bytes_failed() returns true, so a sequence of writes is checked once at its end. */
 #ifndef BYTES_H
 #define BYTES_H
 
@@ -14,24 +14,24 @@
 struct bytes
 {
   void *parent; /* talloc parent of `data` */
-  char *data;   /* NULL while nothing was written */
+  char *data;   /* NULL until the first write */
   size_t length;
   size_t capacity;
   bool failed;
 };
 
 void bytes_init (struct bytes *bytes, void *parent);
-void bytes_clear (struct bytes *bytes); /* frees the content and the sticky failure */
+void bytes_clear (struct bytes *bytes); /* frees the content and resets the failure */
 void bytes_append (struct bytes *bytes, const void *data, size_t length);
 
-/* Append, unless that makes more than `max` bytes: then nothing goes in any more and bytes_failed()
- * tells, as a buffer with a gap must not be taken for what was written. */
+/* Appends, unless the buffer would exceed `max` bytes: then it fails and takes no further data,
+ * because a buffer with a gap must not be taken for the complete content. */
 void bytes_append_within (struct bytes *bytes, const void *data, size_t length, size_t max);
 void bytes_append_text (struct bytes *bytes, const char *text);
 void bytes_append_format (struct bytes *bytes, const char *format, ...)
     __attribute__ ((format (printf, 2, 3)));
 
-/* Drop `length` bytes from the front. */
+/* Removes `length` bytes from the front. */
 void bytes_consume (struct bytes *bytes, size_t length);
 
 static inline bool
--- a/src/counter.c
+++ b/src/counter.c
@@ -1,4 +1,4 @@
-/* The registry of counters and its text exposition.
+/* The metrics registry and its text exposition.
  *
  * Format: the Prometheus text exposition format, version 0.0.4. */
 #include "counter.h"
@@ -52,7 +52,7 @@
   struct metric *metrics;
 };
 
-/* Where counts go when memory is out: nobody reads them. */
+/* Returned when memory is exhausted; never exported. */
 static struct counter spare_counter;
 static struct histogram spare_histogram;
 
@@ -80,7 +80,7 @@
   return counters;
 }
 
-/* uthash's macros are long; the functions are not.
+/* The uthash macros expand to long code; the functions themselves are short.
  * NOLINTBEGIN(readability-function-size) */
 static struct metric *
 metric_get (struct counters *counters, const char *name, const char *help, enum metric_type type)
@@ -193,7 +193,7 @@
 histogram_record (struct histogram *histogram, double value)
 {
   histogram->count++;
-  /* One sample that is no number would make every later sum none. */
+  /* A NaN or infinite sample would make the sum non-finite for good. */
   if (isfinite (value))
     histogram->sum += value;
   histogram->buckets[bucket_of (value)]++;
@@ -243,7 +243,7 @@
     bytes_append_format (out, "%s{%s} %.15g\n", metric->name, labels, value);
 }
 
-/* Cumulative counts at powers of two, up to the highest sample seen. */
+/* Cumulative counts at powers of two, up to the highest recorded sample. */
 static void
 write_histogram (struct bytes *out, const struct metric *metric, const struct series *series)
 {
--- a/src/counter.h
+++ b/src/counter.h
@@ -1,6 +1,6 @@
 /* Counters, gauges and log-bucket histograms, written in the text exposition format.
  *
- * Parts register what they count once and keep the pointer; counting is one addition. */
+ * Modules register a metric once and keep the pointer; counting is one addition. */
 #ifndef COUNTER_H
 #define COUNTER_H
 
@@ -15,8 +15,8 @@
   double value;
 };
 
-/* 16 equal buckets in each factor of two from 1 up to 2^41: a quantile is within 3.2% of the
- * sample. Samples under 1 count in the first bucket, those above in the last. */
+/* 16 equal buckets per factor of two, from 1 up to 2^41: a quantile is within 3.2% of the sample.
+ * Samples below 1 count in the first bucket, those above the range in the last. */
 #define HISTOGRAM_SUB 16
 #define HISTOGRAM_BUCKETS (41 * HISTOGRAM_SUB)
 
@@ -29,11 +29,11 @@
 
 struct counters;
 
-/* Freed with `parent`.  NULL when memory is out. */
+/* Freed with `parent`.  NULL when out of memory. */
 struct counters *counters_new (void *parent);
 
-/* The counter of that name and label text (such as "stage=\"encode\"", NULL for none), registered
- * on first use.  Never NULL: when memory is out a shared spare is given and nothing is shown. */
+/* The counter with that name and label text (such as "stage=\"encode\"", NULL for none), registered
+ * on first use.  Never NULL: when out of memory, returns a shared counter that is not exported. */
 struct counter *counter_get (struct counters *counters,
                              const char *name,
                              const char *help,
@@ -61,10 +61,10 @@
 
 void histogram_record (struct histogram *histogram, double value);
 
-/* The value below which a share `q` of the samples lies; 0 when empty. */
+/* The value below which a fraction `q` of the samples lies; 0 when empty. */
 double histogram_quantile (const struct histogram *histogram, double q);
 
-/* Everything registered, in the Prometheus text format. */
+/* Writes all registered metrics in the Prometheus text format. */
 void counters_write (const struct counters *counters, struct bytes *out);
 
 END_DECLS
--- a/src/decls.h
+++ b/src/decls.h
@@ -1,4 +1,4 @@
-/* Linkage of C headers for C++ tests, as GNOME's G_BEGIN_DECLS. */
+/* C linkage of headers for the C++ tests, like G_BEGIN_DECLS of GLib. */
 #ifndef DECLS_H
 #define DECLS_H
 
--- a/src/dump.c
+++ b/src/dump.c
@@ -1,4 +1,4 @@
-/* The dump of a process's state. */
+/* State dump of the process. */
 #include "dump.h"
 #include <stddef.h>
 
@@ -20,7 +20,7 @@
 
   for (struct dump_source *source = dump->sources; source != NULL; source = source->next)
     {
-      /* A part that cannot describe itself shows as null rather than hiding the others. */
+      /* A source that fails is reported as null and does not hide the others. */
       json_t *part = source->ops->describe (source, now);
 
       if (json_object_set_new (all, source->name, part != NULL ? part : json_null ()) != 0)
--- a/src/dump.h
+++ b/src/dump.h
@@ -1,4 +1,4 @@
-/* The dump of a process's state: each part describes itself as JSON on request. */
+/* State dump of the process: each registered source describes itself as JSON on request. */
 #ifndef DUMP_H
 #define DUMP_H
 
@@ -11,7 +11,7 @@
 struct dump_source
 {
   const struct dump_source_ops *ops;
-  const char *name; /* its key in the dump */
+  const char *name; /* key in the dump */
   struct dump_source *next;
 };
 
@@ -27,7 +27,7 @@
 
 void dump_add (struct dump *dump, struct dump_source *source);
 
-/* The whole dump as one object, a new reference; NULL when out of memory. */
+/* The complete dump as one object, a new reference; NULL when out of memory. */
 json_t *dump_describe (struct dump *dump, int64_t now);
 
 END_DECLS
--- a/src/inet_address.c
+++ b/src/inet_address.c
@@ -1,4 +1,4 @@
-/* Addresses as text. */
+/* Parsing and formatting of IP socket addresses. */
 #include "inet_address.h"
 #include "text.h"
 #include <arpa/inet.h>
--- a/src/inet_address.h
+++ b/src/inet_address.h
@@ -1,4 +1,4 @@
-/* Addresses as "IP:PORT" text, IPv6 in brackets; IP numbers only, never names. */
+/* Addresses as "IP:PORT" text, IPv6 in brackets; numeric addresses only, no host names. */
 #ifndef INET_ADDRESS_H
 #define INET_ADDRESS_H
 
@@ -15,13 +15,13 @@
   struct sockaddr_storage socket;
   socklen_t socket_length;
   char ip[INET6_ADDRSTRLEN];
-  uint16_t port; /* 0 lets the kernel choose, when listening */
+  uint16_t port; /* when listening, 0 lets the kernel choose */
 };
 
-/* STATUS_INVALID with a message for anything but an IP number and a port. */
+/* STATUS_INVALID with a message unless `text` is a numeric IP address and a port. */
 enum status inet_address_parse (const char *text, struct inet_address *out);
 
-/* The IP number of a socket address, "" when it has none. */
+/* The numeric IP address of a socket address, "" when it has none. */
 void inet_address_ip (const struct sockaddr_storage *socket, char out[INET6_ADDRSTRLEN]);
 
 /* The port of a bound socket, 0 when it has none. */
--- a/src/log.c
+++ b/src/log.c
@@ -1,8 +1,8 @@
-/* Structured logs through log4c, with a layout and an appender of our own.
+/* Structured logs through log4c, with a custom layout and appender.
  *
- * The stock layouts and appenders do not write JSON; log4c keeps what it is good at, the levels of
- * the modules.  A line is written with one system call and never waits: what the other side does
- * not take at once is dropped and counted, and the count is the next line written. */
+ * The stock layouts and appenders do not write JSON; log4c manages the levels of the modules.  A
+ * line is written with one system call that never blocks: what the reader does not accept at once
+ * is dropped and counted, and the count is the next line written. */
 #include "log.h"
 #include <errno.h>
 #include <fcntl.h>
@@ -25,7 +25,7 @@
 #define LOG_TYPE_NAME "json-line"
 #define LOG_CATEGORY_SIZE 64
 #define LOG_FILE_MODE 0640
-/* A line that a pipe took in part: its rest goes out before the next line. */
+/* Buffer for the rest of a partially written line, which is written before the next line. */
 #define LOG_REST_SIZE 65536
 
 static const char *const module_names[] = {
@@ -47,20 +47,20 @@
   [LOG_LEVEL_DEBUG] = LOG4C_PRIORITY_DEBUG,
 };
 
-/* Process-wide, as log4c's own registries are. */
+/* Process-wide, like the registries of log4c. */
 static struct
 {
   log4c_category_t *categories[LOG_MODULE_COUNT]; /* NULL while closed */
   log4c_appender_t *appender;
   int fd;
   bool is_socket;
-  bool complained;  /* the failure to write was said */
+  bool complained;  /* the write failure was reported */
   uint64_t dropped; /* lines since the last one written */
-  time_t second;    /* that lines_in_second are of */
+  time_t second;    /* the second that lines_in_second counts */
   uint32_t lines_in_second;
   json_t *fields;       /* of the event being written, or NULL */
   enum log_level level; /* of the event being written */
-  char *line;           /* the layout's last result */
+  char *line;           /* last result of the layout */
   size_t line_length;
   char rest[LOG_REST_SIZE];
   size_t rest_length;
@@ -80,7 +80,7 @@
   snprintf (out, size, "%s.%06ldZ", seconds, (long) at->tv_usec);
 }
 
-/* The part after the last dot of a category's name. */
+/* The component of a category name after the last dot. */
 static const char *
 module_of (const char *category)
 {
@@ -89,7 +89,7 @@
   return dot == NULL ? category : dot + 1;
 }
 
-/* The line of an event, to be freed; NULL when memory is out. */
+/* Formats an event as one line, to be freed; NULL when out of memory. */
 static char *
 render (const struct timeval *at,
         enum log_level level,
@@ -129,8 +129,8 @@
 
 /* ---- appender ---- */
 
-/* Standard output is shared with who started us, so its flags are left alone: a pipe that can take
- * a page does not block for less, and one that cannot is not written to. */
+/* Standard output is shared with the parent process, so its flags are not changed.  A pipe reported
+ * writable accepts PIPE_BUF bytes without blocking; one that is not is not written to. */
 static bool
 would_block (void)
 {
@@ -154,7 +154,7 @@
   return write (state.fd, data, length);
 }
 
-/* Say once, on standard error, that lines are lost for a reason other than a slow reader. */
+/* Reports once, on standard error, that lines are lost for a reason other than a slow reader. */
 static void
 complain (int error)
 {
@@ -166,10 +166,10 @@
   state.complained = true;
   length = snprintf (text, sizeof text, "cherryarch: log not written: %s\n", strerror (error));
   if (length > 0 && write (STDERR_FILENO, text, (size_t) length) < 0)
-    return; /* nobody to tell */
+    return; /* standard error failed too */
 }
 
-/* The rest of a line that was cut must precede anything else, or two lines run into one. */
+/* The rest of a partially written line must precede anything else, or two lines are joined. */
 static bool
 flush_rest (void)
 {
@@ -186,7 +186,7 @@
   return state.rest_length == 0;
 }
 
-/* Write a line with its line feed at `data[length - 1]`; false when it was dropped. */
+/* Writes a line whose line feed is at `data[length - 1]`; false when it was dropped. */
 static bool
 write_line (const char *data, size_t length)
 {
@@ -207,7 +207,8 @@
       state.rest_length = length - (size_t) written;
       if (state.rest_length > sizeof state.rest)
         {
-          /* Too long to keep: end the torn line so that it spoils no other. */
+          /* The rest does not fit: terminate the truncated line so that it does not corrupt the
+           * next. */
           state.rest[0] = '\n';
           state.rest_length = 1;
           return false;
@@ -217,7 +218,7 @@
   return true;
 }
 
-/* Write `line`, which was allocated for its NUL: the line feed takes that place. */
+/* Writes `line`, whose terminating NUL is replaced by the line feed. */
 static bool
 write_text (char *line)
 {
@@ -276,8 +277,8 @@
 
 /* ---- public ---- */
 
-/* A description of our own of standard error, so that O_NONBLOCK does not change the one shared
- * with the shell; a socket cannot be opened so and is written with MSG_DONTWAIT. */
+/* Reopens standard error as a separate file description, so that O_NONBLOCK does not affect the one
+ * shared with the shell; a socket cannot be reopened and is written with MSG_DONTWAIT. */
 static int
 open_stderr (void)
 {
@@ -299,13 +300,13 @@
                             : open (path, O_WRONLY | O_APPEND | O_CREAT | O_NONBLOCK | O_CLOEXEC,
                                     LOG_FILE_MODE);
   if (state.fd < 0)
-    return status_fail (STATUS_IO, "log file %s: %s", path == NULL ? "(standard error)" : path,
-                        strerror (errno));
+    return status_fail (STATUS_IO, "cannot open log file %s: %s",
+                        path == NULL ? "(standard error)" : path, strerror (errno));
   state.is_socket = fstat (state.fd, &about) == 0 && S_ISSOCK (about.st_mode);
-  /* A reader of our standard error that goes away must not end the process. */
+  /* A reader that closes its end of the log must not terminate the process. */
   signal (SIGPIPE, SIG_IGN);
-  /* Nor must a file at the limit of its size, a log or the journal: the write fails, as on a full
-   * disk, and is dealt with there. */
+  /* A log or journal file that reaches the file size limit must not terminate it either: the write
+   * fails, as on a full disk, and the caller handles the error. */
   signal (SIGXFSZ, SIG_IGN);
   log4c_layout_type_set (&layout_type);
   log4c_appender_type_set (&appender_type);
@@ -355,8 +356,8 @@
   return category != NULL && log4c_category_is_priority_enabled (category, priorities[level]);
 }
 
-/* Under a flood of requests the lines would take the processor from what they tell of.  Warnings
- * and errors are few and always written. */
+/* Limits the CPU time spent on logging under high request rates.  Warnings and errors are few and
+ * always written. */
 static bool
 over_budget (enum log_level level)
 {
@@ -392,7 +393,7 @@
       va_start (args, fields);
       state.fields = json_vpack_ex (&error, 0, fields, args);
       va_end (args);
-      /* A field that is no UTF-8 must not cost the event. */
+      /* An event whose fields are not valid UTF-8 is still logged. */
       if (state.fields == NULL)
         state.fields = json_pack ("{s:s}", "fields_error", error.text);
     }
--- a/src/log.h
+++ b/src/log.h
@@ -1,6 +1,7 @@
-/* Structured logs: one JSON object a line, through log4c.
+/* Structured logs: one JSON object per line, through log4c.
  *
- * Each line has time (RFC 3339, UTC, microseconds), level, module, event and the fields given. */
+ * Each line has time (RFC 3339, UTC, microseconds), level, module, event and the fields of the
+ * event. */
 #ifndef LOG_H
 #define LOG_H
 
@@ -45,24 +46,25 @@
       LOG_LEVEL_COUNT
 };
 
-/* In place of a path. */
+/* The `path` value that selects standard output. */
 #define LOG_STANDARD_OUTPUT "-"
 
-/* Lines of information that are written in one second at most; those beyond are counted as dropped,
- * and the count is a line of its own.  A line takes about 15 us: at most a twentieth of a core. */
+/* Maximum lines at level info or below written per second; lines beyond it are counted as dropped,
+ * and the count is logged as a line of its own.  A line takes about 15 us, so logging takes at most
+ * a twentieth of a core. */
 #define LOG_LINES_PER_SECOND 3000
 
-/* Before the first event; events before it go nowhere.  `path` NULL means standard error. */
+/* Call before the first event; earlier events are discarded.  `path` NULL means standard error. */
 enum status log_open (const char *path, enum log_level level);
 void log_close (void);
 void log_set_level (enum log_module module, enum log_level level);
 
-/* Write an event.  `fields` is a jansson json_pack() format of an object, such as
- * "{s:s,s:I}", with its arguments after it; NULL for none. */
+/* Writes an event.  `fields` is a jansson json_pack() format of an object, such as "{s:s,s:I}",
+ * followed by its arguments; NULL for none. */
 void log_event (
     enum log_module module, enum log_level level, const char *event, const char *fields, ...);
 
-/* So that costly fields are built only when the line will be written. */
+/* Lets a caller build expensive fields only when the line will be written. */
 int log_enabled (enum log_module module, enum log_level level);
 
 END_DECLS
--- a/src/pack.c
+++ b/src/pack.c
@@ -13,7 +13,7 @@
   size_t left = sizeof buffer;
   mpack_tokbuf_t tokens = MPACK_TOKBUF_INITIAL_VALUE;
 
-  /* A head is at most MPACK_MAX_TOKEN_LEN bytes, so it never stops half way. */
+  /* A token head is at most MPACK_MAX_TOKEN_LEN bytes, so the write is never partial. */
   INVARIANT (mpack_write (&tokens, &at, &left, &token) == MPACK_OK);
   bytes_append (out, buffer, sizeof buffer - left);
 }
@@ -59,8 +59,8 @@
   write_token (out, mpack_pack_array (count));
 }
 
-/* The head of the next value; false, and failed for good, when it is cut, wrong or of another
- * type. */
+/* Reads the head of the next value; false, with the reader failed, when it is truncated, malformed
+ * or of another type. */
 static bool
 read_token (struct pack_reader *reader, mpack_token_type_t type, mpack_token_t *token)
 {
--- a/src/pack.h
+++ b/src/pack.h
@@ -1,8 +1,8 @@
-/* Messages between hosts in MessagePack: write into a buffer, read with limits.
+/* Encoding of messages between hosts in MessagePack, with limits on reading.
  *
- * libmpack's tokens are the codec; this is the layer that keeps a sticky failure, so that a decoder
- * reads all fields in a row and checks once.  A read that failed gives zero values, never bytes
- * outside the message; whoever decodes applies nothing before pack_read_ok(). */
+ * libmpack tokens are the codec.  This layer adds a sticky failure, so that a decoder reads all
+ * fields in a row and checks once.  A failed read returns zero values, never bytes outside the
+ * message; a decoder applies nothing before pack_read_ok(). */
 #ifndef PACK_H
 #define PACK_H
 
@@ -20,7 +20,7 @@
 void pack_text (struct bytes *out, const char *text);
 void pack_binary (struct bytes *out, const void *data, size_t length);
 
-/* The next `count` values are the array's. */
+/* Starts an array; the next `count` values are its elements. */
 void pack_array (struct bytes *out, uint32_t count);
 
 struct pack_reader
@@ -45,23 +45,23 @@
 /* Fails for a value that is not finite. */
 double pack_read_double (struct pack_reader *reader);
 
-/* Copy a text with its NUL; fails, with "" in `out`, when it does not fit or holds a NUL. */
+/* Copies a string with its NUL; fails, with "" in `out`, when it does not fit or contains a NUL. */
 void pack_read_text (struct pack_reader *reader, char *out, size_t size);
 
-/* A view into the message, valid as long as the message; fails above `max` bytes. */
+/* A pointer into the message, valid as long as the message; fails above `max` bytes. */
 const void *pack_read_binary (struct pack_reader *reader, size_t max, size_t *length);
 
-/* The count of an array's values; fails above `max`.  The values follow. */
+/* The element count of an array; fails above `max`.  The elements follow. */
 uint32_t pack_read_array (struct pack_reader *reader, uint32_t max);
 
-/* Everything read so far was there and of its type. */
+/* Whether all reads so far succeeded. */
 static inline bool
 pack_read_ok (const struct pack_reader *reader)
 {
   return !reader->failed;
 }
 
-/* As pack_read_ok(), and the message ends here. */
+/* Whether all reads succeeded and the message was read to its end. */
 static inline bool
 pack_read_end (const struct pack_reader *reader)
 {
