--- a/src/loop.c
+++ b/src/loop.c
@@ -1,4 +1,4 @@
-/* The process's loop: libwebsockets' poll loop, woken in time for the earliest timer. */
+/* Event loop of the process: the libwebsockets poll loop, woken in time for the earliest timer. */
 #include "loop.h"
 #include "container.h"
 #include <errno.h>
@@ -12,43 +12,44 @@
 #include <unistd.h>
 #include <utlist.h>
 
-/* Descriptors beside connections: files, peers, listeners. */
 #define POLL_MARGIN (USEC_PER_MSEC / 10)
+
+/* Descriptors other than connections: files, peers, listeners. */
 #define LOOP_OTHER_DESCRIPTORS 8192
 
-/* What the headers of one HTTP message may take at most; http_server.c refuses less than that.
- * There are as many sets as descriptors: a connection that has to wait for one would read what came
- * meanwhile in a way that http_server_connection.c must keep it from. */
+/* Maximum size of the headers of one HTTP message; the limit of http_server.c is lower.  There are
+ * as many header tables as descriptors: a connection that waits for one would read the data
+ * received meanwhile in a way that http_server_connection.c must prevent. */
 #define LOOP_HEADER_BYTES 16384
 
-/* What lws reads or writes at one go; larger answers go out in pieces of this size. */
+/* Maximum size of one read or write of lws; larger answers are sent in pieces of this size. */
 #define LOOP_SERVICE_BUFFER 16384
 
-/* lws's own bound on a handshake or a header that does not arrive, in seconds. */
+/* Timeout of lws for an incomplete handshake or header. */
 #define LOOP_HANDSHAKE_SECONDS 10
 
 struct loop
 {
   struct lws_context *context;
-  struct lws_vhost *vhost; /* of watched descriptors */
+  struct lws_vhost *vhost; /* vhost of the watched descriptors */
   struct timer_service *timers;
   lws_sorted_usec_list_t wake;
   bool stopped;
   uint32_t connections_max;
-  struct watch_slot *again; /* to be told again that one may write */
+  struct watch_slot *again; /* slots whose writable request is deferred */
   struct loop_watch signal_watch;
   struct loop_signal *signal_handler;
   int signal_fd;
 };
 
-/* Outlives its watch until lws has closed the adopted descriptor. */
+/* Freed when lws has closed the adopted descriptor, after the watch was removed. */
 struct watch_slot
 {
   struct loop *loop;
   struct loop_watch *watch; /* NULL once unwatched */
   struct lws *wsi;
-  bool writing; /* its watch is being told that one may write */
-  bool again;   /* is in the loop's list */
+  bool writing; /* its writable() callback is running */
+  bool again;   /* in the list of deferred requests */
   struct watch_slot *prev;
   struct watch_slot *next;
 };
@@ -72,9 +73,9 @@
   return now.tv_sec * USEC_PER_SEC + now.tv_nsec / 1000;
 }
 
-/* lws forgets what is asked for while it tells that one may write: it takes the descriptor's wish
- * off after that call.  What is larger than two buffers would stop in the middle; so such a wish is
- * kept until lws has returned. */
+/* lws clears the writable request of a descriptor after its writable callback returns, so a request
+ * made within the callback is lost and an answer larger than two buffers would stop in the middle.
+ * Such a request is deferred until lws has returned. */
 static void
 want_again (struct watch_slot *slot)
 {
@@ -151,7 +152,7 @@
 static int
 destroy_loop (struct loop *loop)
 {
-  /* Children hold connections of the context: they go first. */
+  /* Children hold connections of the context, so they are freed first. */
   talloc_free_children (loop);
   lws_sul_cancel (&loop->wake);
   if (loop->context != NULL)
@@ -161,9 +162,10 @@
   return 0;
 }
 
-/* lws's tables follow the process's limit of descriptors, which may be a million.  Told of a lower
- * limit of its own it looks descriptors up by a scan of the whole table, for every event; so it is
- * the process's own limit that comes down, never up, with room for what is not a connection. */
+/* lws sizes its tables by the descriptor limit of the process, which may be a million.  With a
+ * lower limit set in lws itself, it finds descriptors by scanning the whole table for every event.
+ * So the limit of the process is lowered (never raised), with room for descriptors that are not
+ * connections. */
 static void
 bound_descriptors (uint32_t connections_max)
 {
@@ -214,7 +216,8 @@
   loop->timers = timer_service_new (loop);
   if (loop->timers == NULL || !make_context (loop, tls))
     {
-      status_fail (STATUS_NO_MEMORY, "cannot make the loop for %u connections", connections_max);
+      status_fail (STATUS_NO_MEMORY, "cannot create the event loop for %u connections",
+                   connections_max);
       talloc_free (loop);
       return NULL;
     }
@@ -251,7 +254,7 @@
   return loop->context;
 }
 
-/* lws closes what it adopts. */
+/* Takes ownership of `fd`; lws closes it once adopted. */
 static enum status
 adopt (struct loop *loop, struct loop_watch *watch, int fd)
 {
@@ -277,7 +280,7 @@
   if (slot->wsi == NULL)
     {
       talloc_free (slot);
-      return status_fail (STATUS_LIMIT, "too many descriptors in the loop");
+      return status_fail (STATUS_LIMIT, "too many descriptors in the event loop");
     }
   watch->owner = slot;
   return STATUS_OK;
@@ -349,7 +352,7 @@
     return status_fail (STATUS_IO, "cannot block signals: %s", strerror (errno));
   loop->signal_fd = signalfd (loop->signal_fd, &set, SFD_NONBLOCK | SFD_CLOEXEC);
   if (loop->signal_fd < 0)
-    return status_fail (STATUS_IO, "cannot wait for signals: %s", strerror (errno));
+    return status_fail (STATUS_IO, "cannot create the signal descriptor: %s", strerror (errno));
   loop->signal_handler = handler;
   if (loop->signal_watch.owner != NULL)
     return STATUS_OK;
@@ -357,8 +360,9 @@
   return loop_watch_fd (loop, &loop->signal_watch, loop->signal_fd);
 }
 
-/* Its only use is to end the poll in time: timers run after every turn.  lws runs what is due also
- * before it polls, and would then wait for whatever comes next; due again at once, it does not. */
+/* Only ends the poll in time; the timers run after every iteration.  lws also runs due entries
+ * before it polls and would then wait for the next entry, so the entry is scheduled again at once
+ * to keep that poll from waiting. */
 static void
 on_wake (lws_sorted_usec_list_t *wake)
 {
@@ -367,10 +371,10 @@
   lws_sul_schedule (loop->context, 0, wake, on_wake, 1);
 }
 
-/* lws cuts the wait of its poll to whole milliseconds, and so turns without waiting through the
- * last part of one before a timer is due: hundreds of polls a second of a host at rest.  The wait
- * is rounded up instead, with a little over for lws's own clock reading; a timer is late by less
- * than a millisecond and a tenth. */
+/* Rounds a wait of `span` microseconds up to whole milliseconds.  lws rounds the poll timeout down
+ * and would poll without waiting during the last millisecond before a timer: hundreds of polls per
+ * second on an idle host.  POLL_MARGIN covers the clock reading of lws; a timer is late by less
+ * than 1.1 ms. */
 static int64_t
 poll_wait (int64_t span)
 {
--- a/src/peer.h
+++ b/src/peer.h
@@ -1,8 +1,8 @@
-/* The edge between hosts: named peers, message channels, no delivery guarantee.
+/* Interface between hosts: named peers and message channels, without delivery guarantee.
  *
- * A message arrives once or not at all; between two hosts messages of a channel keep their order
- * while the connection lives.  Who needs more (consensus, claims) repeats and deduplicates itself.
- * The product's implementation (peer_zmq.c) is ZeroMQ; tests drive many instances through fakes. */
+ * A message arrives once or not at all; messages of a channel between two hosts keep their order
+ * while the connection lives.  Users that need more (consensus, claims) retry and deduplicate
+ * themselves.  Production uses ZeroMQ (peer_zmq.c); tests drive many instances through fakes. */
 #ifndef PEER_H
 #define PEER_H
 
@@ -18,17 +18,17 @@
 
 /* name, text */
 #define PEER_CHANNEL_LIST(X)                                                                       \
-  X (MEMBER, "member")         /* liveness, load, leaving */                                       \
-  X (DIRECTORY, "directory")   /* targets' announcements and leases */                             \
-  X (CONSENSUS, "consensus")   /* between voters */                                                \
+  X (MEMBER, "member")         /* liveness, load, departure */                                     \
+  X (DIRECTORY, "directory")   /* announcements and leases of targets */                           \
+  X (CONSENSUS, "consensus")   /* consensus messages between voters */                             \
   X (PROPOSAL, "proposal")     /* proposals and reads forwarded to a voter, and their answers */   \
   X (CONFIG, "config")         /* configuration revisions to followers */                          \
-  X (LIMIT, "limit")           /* shares of organisations' limits */                               \
-  X (RESULT, "result")         /* stage results handed to another failure domain */                \
-  X (LOAD, "load")             /* targets' load reports passed on */                               \
+  X (LIMIT, "limit")           /* shares of the limits of organisations */                         \
+  X (RESULT, "result")         /* stage results sent to another failure domain */                  \
+  X (LOAD, "load")             /* forwarded load reports of targets */                             \
   X (SYNC, "sync")             /* between entry hosts and controllers */                           \
-  X (WORK, "work")             /* stage work handed to the host that batches it */                 \
-  X (QUARANTINE, "quarantine") /* requests that end the targets that run them */
+  X (WORK, "work")             /* stage work sent to the host that batches it */                   \
+  X (QUARANTINE, "quarantine") /* requests that crash their targets */
 
 enum peer_channel
 {
@@ -59,23 +59,23 @@
 
 struct peer_port_ops
 {
-  /* Say where a host is; connects when needed.  `public_key` is the Z85 CURVE key, NULL where the
-   * settings turn encryption off. */
+  /* Sets the address of a host; connects when needed.  `public_key` is the Z85 CURVE key, NULL
+   * where the settings turn encryption off. */
   enum status (*set_address) (struct peer_port *port,
                               const char *host,
                               const char *address,
                               const char *public_key);
   void (*forget) (struct peer_port *port, const char *host);
 
-  /* STATUS_NOT_FOUND for an unknown host, STATUS_AGAIN when its queue is full.  OK promises
-   * nothing about arrival. */
+  /* STATUS_NOT_FOUND for an unknown host, STATUS_AGAIN when its queue is full.  STATUS_OK does not
+   * guarantee delivery. */
   enum status (*send) (struct peer_port *port,
                        const char *host,
                        enum peer_channel channel,
                        const void *data,
                        size_t length);
 
-  /* One listener a channel. */
+  /* Sets the listener of a channel; one listener per channel. */
   void (*listen) (struct peer_port *port,
                   enum peer_channel channel,
                   struct peer_listener *listener);
--- a/src/peer_direct.c
+++ b/src/peer_direct.c
@@ -1,4 +1,4 @@
-/* Peers named by their addresses. */
+/* Peer port whose host names are addresses. */
 #include "peer_direct.h"
 #include <talloc.h>
 
--- a/src/peer_direct.h
+++ b/src/peer_direct.h
@@ -1,4 +1,5 @@
-/* Peers named by their addresses: a name that is not known yet is where to connect. */
+/* Peer port whose host names are addresses: an unknown name is used as the address to connect to.
+ */
 #ifndef PEER_DIRECT_H
 #define PEER_DIRECT_H
 
@@ -7,7 +8,7 @@
 
 BEGIN_DECLS
 
-/* Over `port`, which it does not own.  For hosts that are told of no other host's name. */
+/* Wraps `port`, which it does not own.  For hosts that do not learn the names of other hosts. */
 struct peer_port *peer_direct_new (void *parent, struct peer_port *port);
 
 END_DECLS
--- a/src/peer_trust.c
+++ b/src/peer_trust.c
@@ -1,5 +1,5 @@
-/* Which public keys belong to which hosts.  Keys are looked up for each message, by hash; hosts
- * only when trust changes, by a walk. */
+/* Public keys of hosts.  A key is looked up by hash for each message; the keys of a host are found
+ * by a scan, only when trust changes. */
 #include "peer_trust.h"
 #include "table.h"
 #include "text.h"
@@ -15,18 +15,18 @@
 {
   char host[RESOURCE_NAME_SIZE];
   char public_key[BOARD_KEY_SIZE];
-  uint64_t order; /* of adding */
+  uint64_t order; /* insertion order */
   UT_hash_handle hh;
 };
 
 struct peer_trust
 {
   struct table *keys;
-  struct trusted_key *by_key; /* hash */
+  struct trusted_key *by_key; /* by public_key */
   uint64_t added;
 };
 
-/* uthash's macros are long; the functions are not.
+/* The uthash macros expand to long code; the functions themselves are short.
  * NOLINTBEGIN(readability-function-size) */
 
 static struct trusted_key *
@@ -81,7 +81,7 @@
   return trust;
 }
 
-/* How many keys a host has; `oldest` takes the one added first. */
+/* Counts the keys of a host; `oldest` receives the one added first. */
 static uint32_t
 count_keys (const struct peer_trust *trust, const char *host, struct handle *oldest)
 {
--- a/src/peer_zap.c
+++ b/src/peer_zap.c
@@ -1,4 +1,5 @@
-/* ZAP on the loop: a REP socket that ZeroMQ's sessions ask about each handshake. */
+/* ZAP handler on the event loop: a REP socket on which ZeroMQ sessions ask to authenticate each
+ * handshake. */
 #include "peer_zap.h"
 #include "log.h"
 #include <errno.h>
@@ -11,7 +12,7 @@
 #define ZAP_FRAME_MAX 256
 #define ZAP_KEY_BYTES 32
 
-/* Frames of a request, in order. */
+/* Frames of a request, in protocol order. */
 enum zap_frame
 {
   ZAP_FRAME_VERSION,
@@ -40,7 +41,7 @@
   struct counter *refused;
 };
 
-/* False when there is none.  Frames past the last known one are read and dropped. */
+/* False when no request is pending.  Frames past the last known one are read and discarded. */
 static bool
 receive (struct peer_zap *zap, struct zap_request *out)
 {
@@ -65,7 +66,7 @@
   return true;
 }
 
-/* The Z85 text of a key that some host has; false for any other. */
+/* Writes the key of the request as Z85 text; false unless it belongs to a known host. */
 static bool
 known_key (const struct peer_zap *zap, const struct zap_request *request, char key[BOARD_KEY_SIZE])
 {
@@ -76,7 +77,7 @@
   return peer_trust_host (zap->trust, key) != NULL;
 }
 
-/* The key goes with every message of the connection as its "User-Id". */
+/* ZeroMQ attaches the key to every message of the connection as its "User-Id" property. */
 static void
 answer (struct peer_zap *zap, const struct zap_request *request)
 {
@@ -106,7 +107,7 @@
   struct zap_request request;
 
   (void) now;
-  /* The descriptor tells of changes only: read until there is nothing. */
+  /* The ZMQ_FD descriptor is edge-triggered: read until no request is left. */
   while (receive (zap, &request))
     answer (zap, &request);
 }
@@ -146,7 +147,7 @@
       || zmq_getsockopt (zap->socket, ZMQ_FD, &fd, &size) != 0
       || loop_watch_fd (loop, &zap->watch, fd) != STATUS_OK)
     {
-      status_fail (STATUS_IO, "cannot check peers' keys: %s", zmq_strerror (errno));
+      status_fail (STATUS_IO, "cannot start the authentication of peers: %s", zmq_strerror (errno));
       if (zap->socket != NULL)
         zmq_close (zap->socket);
       talloc_free (zap);
--- a/src/peer_zap.h
+++ b/src/peer_zap.h
@@ -1,4 +1,5 @@
-/* The answers to ZeroMQ's authentication requests (ZAP, RFC 27): known keys in, all others out. */
+/* Handler of the authentication requests of ZeroMQ (ZAP, RFC 27): accepts known keys and refuses
+ * all others. */
 #ifndef PEER_ZAP_H
 #define PEER_ZAP_H
 
@@ -11,8 +12,8 @@
 
 struct peer_zap;
 
-/* Must be there before the first CURVE socket of `context`: without it a handshake is let in.
- * NULL with status_message(). */
+/* Must exist before the first CURVE socket of `context`: without a handler every handshake is
+ * accepted.  NULL with status_message() on failure. */
 struct peer_zap *peer_zap_new (void *parent,
                                void *context,
                                struct loop *loop,
--- a/src/peer_zmq.c
+++ b/src/peer_zmq.c
@@ -1,13 +1,13 @@
 /* Messages between hosts over ZeroMQ.
  *
- * One ROUTER is bound and only receives; a DEALER a peer only sends.  ZeroMQ has one I/O thread of
- * its own inside the library; everything here runs on the loop.
+ * The bound ROUTER only receives; the DEALER of each peer only sends.  ZeroMQ runs one I/O thread
+ * inside the library; everything here runs on the loop.
  *
- * ZeroMQ's own heartbeats stay off: to 359 peers they cost more than a host may spend on control,
- * and membership probes notice a silent peer anyway.  What they would guard against, a connection
- * that is dead without an error and holds its queue, ends by ZMQ_TCP_MAXRT.  ZMQ_IMMEDIATE keeps
- * messages from queueing for a peer without a connection, so that a partition's end brings no
- * burst of old messages and holds no memory. */
+ * The heartbeats of ZeroMQ are off: to 359 peers they cost more than the budget of a host for
+ * control traffic, and membership probes detect a silent peer anyway.  The case they would cover, a
+ * connection that is dead without an error and holds its queue, is closed by ZMQ_TCP_MAXRT.
+ * ZMQ_IMMEDIATE prevents messages from queueing for a peer without a connection, so they hold no
+ * memory and the end of a partition brings no burst of old messages. */
 #include "peer_zmq.h"
 #include "container.h"
 #include "log.h"
@@ -23,8 +23,8 @@
 #include <talloc.h>
 #include <zmq.h>
 
-/* Over the largest message and this, ZeroMQ closes the connection; a message just over the limit is
- * counted and dropped here. */
+/* ZeroMQ closes a connection that sends a message larger than PEER_MESSAGE_MAX plus this; a message
+ * just over PEER_MESSAGE_MAX is counted and dropped here. */
 #define PEER_ENVELOPE_ROOM 65536
 
 #define PEER_SOCKETS_MAX 1100
@@ -96,7 +96,8 @@
   snprintf (endpoint, sizeof endpoint, "tcp://%s", to->address);
   to->socket = zmq_socket (peer->context, ZMQ_DEALER);
   if (to->socket == NULL)
-    return status_fail (STATUS_LIMIT, "no socket for peer %s: %s", to->name, zmq_strerror (errno));
+    return status_fail (STATUS_LIMIT, "cannot create the socket for peer %s: %s", to->name,
+                        zmq_strerror (errno));
   if (set_client (peer, to->socket, to->public_key) && zmq_connect (to->socket, endpoint) == 0)
     return STATUS_OK;
   status_fail (STATUS_INVALID, "cannot connect to peer %s at %s: %s", to->name, to->address,
@@ -106,7 +107,7 @@
   return STATUS_INVALID;
 }
 
-/* uthash's macros are long; the functions are not.
+/* The uthash macros expand to long code; the functions themselves are short.
  * NOLINTBEGIN(readability-function-size) */
 
 static struct peer *
@@ -175,8 +176,8 @@
     remove_peer (peer, gone);
 }
 
-/* Whether messages to a peer find a connection, told when it changes; the first connection to a
- * peer is no change. */
+/* Tracks whether messages to a peer find a connection and logs each change; the first connection to
+ * a peer is not a change. */
 static void
 note_sent (struct peer *to, bool sent)
 {
@@ -246,7 +247,7 @@
   .listen = listen_channel,
 };
 
-/* ---- making ---- */
+/* ---- construction ---- */
 
 static bool
 set_server (struct peer_zmq *peer)
@@ -272,13 +273,13 @@
 
   peer->router = zmq_socket (peer->context, ZMQ_ROUTER);
   if (peer->router == NULL || !set_server (peer))
-    return status_fail (STATUS_IO, "cannot make the peers' socket: %s", zmq_strerror (errno));
+    return status_fail (STATUS_IO, "cannot create the peer socket: %s", zmq_strerror (errno));
   snprintf (endpoint, sizeof endpoint, "tcp://%s", listen);
   if (zmq_bind (peer->router, endpoint) != 0)
     return status_fail (STATUS_IO, "cannot listen to peers on %s: %s", listen,
                         zmq_strerror (errno));
   if (zmq_getsockopt (peer->router, ZMQ_LAST_ENDPOINT, endpoint, &size) != 0)
-    return status_fail (STATUS_IO, "no address of the peers' socket");
+    return status_fail (STATUS_IO, "cannot read the address of the peer socket");
   colon = strrchr (endpoint, ':');
   peer->bound_port = colon == NULL ? 0 : (uint16_t) strtoul (colon + 1, NULL, 10);
   return STATUS_OK;
@@ -291,7 +292,7 @@
   int fd;
 
   if (zmq_getsockopt (peer->router, ZMQ_FD, &fd, &size) != 0)
-    return status_fail (STATUS_IO, "no descriptor of the peers' socket");
+    return status_fail (STATUS_IO, "cannot read the descriptor of the peer socket");
   return loop_watch_fd (peer->loop, &peer->watch, fd);
 }
 
@@ -312,8 +313,9 @@
   return 0;
 }
 
-/* Ends the library's thread once every socket is closed, the authentication's too: it is a child of
- * the port and so gone before its parent's other children. */
+/* Ends the I/O thread of the library once all sockets are closed, the ZAP socket included.  The
+ * holder is a child of the port and is therefore freed before the other children of the parent of
+ * the port. */
 static int
 free_context (void **context)
 {
--- a/src/peer_zmq.h
+++ b/src/peer_zmq.h
@@ -1,4 +1,4 @@
-/* Messages between hosts over ZeroMQ, each host a ROUTER with a DEALER to every peer it sends to.
+/* Messages between hosts over ZeroMQ: each host has a ROUTER and one DEALER per peer it sends to.
  */
 #ifndef PEER_ZMQ_H
 #define PEER_ZMQ_H
@@ -14,26 +14,28 @@
 {
   struct loop *loop;
   struct counters *counters;
-  const char *name;       /* ours */
+  const char *name;       /* name of this host */
   const char *listen;     /* "ip:port" */
   const char *secret_key; /* Z85; NULL turns CURVE off */
   const char *public_key;
-  uint32_t queue_messages;     /* waiting for one peer at most */
-  uint32_t reconnect_max_ms;   /* between tries to connect; 0: the default */
-  uint32_t connect_timeout_ms; /* of one try; 0: the default */
-  uint32_t retransmit_max_ms;  /* unacknowledged bytes end a connection; 0: the default */
+  uint32_t queue_messages;     /* maximum queued messages per peer */
+  uint32_t reconnect_max_ms;   /* maximum interval between connection attempts; 0: the default */
+  uint32_t connect_timeout_ms; /* of one connection attempt; 0: the default */
+  uint32_t retransmit_max_ms;  /* closes a connection with data unacknowledged for this long; 0: the
+                                  default */
 };
 
 struct peer_port *peer_zmq_new (void *parent, const struct peer_zmq_config *config);
 
-/* The port in use. */
+/* The TCP port the router is bound to. */
 uint16_t peer_zmq_port (const struct peer_port *port);
 
-/* Which public key a host must show; connections of unknown keys are refused, and one whose key
- * does not belong to the name it states has its messages dropped.  NULL `public_key` revokes. */
+/* Sets the public key that a host must present.  Connections with unknown keys are refused, and a
+ * message is dropped when the key of its connection does not belong to the host it names as its
+ * sender.  NULL `public_key` revokes the keys of the host. */
 enum status peer_zmq_trust (struct peer_port *port, const char *host, const char *public_key);
 
-/* Bytes and messages since the start, for the measurement of idle cost. */
+/* Bytes and messages since the start, for measuring the idle cost. */
 struct peer_zmq_traffic
 {
   uint64_t messages_in;
--- a/src/peer_zmq_private.h
+++ b/src/peer_zmq_private.h
@@ -1,5 +1,5 @@
-/* Shared by the files of the peer port: peer_zmq.c makes it and sends, peer_zmq_receive.c checks
- * and hands over what comes. */
+/* Shared by the files of the peer port: peer_zmq.c creates it and sends, peer_zmq_receive.c
+ * validates and dispatches received messages. */
 #ifndef PEER_ZMQ_PRIVATE_H
 #define PEER_ZMQ_PRIVATE_H
 
@@ -19,15 +19,15 @@
   char public_key[BOARD_KEY_SIZE];
   void *socket;
   UT_hash_handle hh;
-  bool was_reached; /* by a message, ever */
-  bool unreachable; /* the last message found no connection, or a full one */
+  bool was_reached; /* a message was sent to it at least once */
+  bool unreachable; /* the last message found no connection, or a full queue */
 };
 
 struct peer_zmq
 {
-  struct peer_port port; /* first: the vtable */
+  struct peer_port port; /* first member: the vtable */
   struct loop_watch watch;
-  struct timer again; /* more messages than one turn takes */
+  struct timer again; /* fires when messages remain after a full batch */
   struct loop *loop;
   struct peer_trust *trust;
   void *context;
@@ -53,7 +53,7 @@
   struct counter *bytes_out;
 };
 
-/* Take a batch of messages; a timer asks for the rest. */
+/* Receives a batch of messages; a timer receives the rest. */
 void peer_zmq_receive (struct peer_zmq *peer, int64_t now);
 
 #endif
--- a/src/peer_zmq_receive.c
+++ b/src/peer_zmq_receive.c
@@ -1,10 +1,11 @@
-/* What peers send: envelopes opened, their senders checked, payloads handed to listeners. */
+/* Receiving from peers: parses envelopes, authenticates senders and passes payloads to listeners.
+ */
 #include "pack.h"
 #include "peer_zmq_private.h"
 #include <string.h>
 #include <zmq.h>
 
-/* Messages taken in one turn of the loop, so that a flood leaves time for everything else. */
+/* Messages received per loop iteration, so that a message flood leaves time for other events. */
 #define PEER_BATCH 256
 
 struct envelope
@@ -30,9 +31,9 @@
   return pack_read_end (&reader) && out->from[0] != '\0';
 }
 
-/* Failure: a host with a good key speaks in another's name, or goes on after its key was revoked or
- * replaced, on a connection that is still open.  Each message brings the key that its connection
- * showed, and the key's host is looked up anew, so none of these gets through. */
+/* Prevents a host with a known key from sending in the name of another, or from continuing on an
+ * open connection after its key was revoked or replaced.  Each message carries the key its
+ * connection authenticated with, and the owner of that key is looked up for each message. */
 static bool
 is_sender (const struct peer_zmq *peer, zmq_msg_t *message, const char *from)
 {
@@ -71,8 +72,8 @@
     listener->ops->received (listener, envelope.from, envelope.payload, envelope.length, now);
 }
 
-/* One message of any number of frames; its last frame is the envelope, the first the routing id.
- * False when there is none. */
+/* Receives one message of any number of frames.  A valid message has two: the routing id and the
+ * envelope.  False when no message is pending. */
 static bool
 receive_one (struct peer_zmq *peer, int64_t now)
 {
@@ -100,7 +101,7 @@
   return true;
 }
 
-/* The descriptor tells of changes only, so what is left after a full batch is asked for again by
+/* The ZMQ_FD descriptor is edge-triggered, so messages left after a full batch are received from
  * the timer. */
 void
 peer_zmq_receive (struct peer_zmq *peer, int64_t now)
--- a/src/rng.c
+++ b/src/rng.c
@@ -1,4 +1,4 @@
-/* Seeded random numbers over libsodium's deterministic stream. */
+/* Seeded random numbers from the deterministic stream of libsodium. */
 #include "rng.h"
 #include <math.h>
 #include <sodium.h>
@@ -55,7 +55,7 @@
   return -mean * log1p (-rng_unit (rng));
 }
 
-/* Box and Muller's method; the second value of a pair is not kept, so that the state is small. */
+/* The Box-Muller method; the second value of a pair is discarded to keep the state small. */
 double
 rng_normal (struct rng *rng)
 {
--- a/src/rng.h
+++ b/src/rng.h
@@ -1,4 +1,4 @@
-/* Seeded random numbers that replay exactly from the seed (libsodium's deterministic stream). */
+/* Seeded random numbers, reproducible from the seed (deterministic stream of libsodium). */
 #ifndef RNG_H
 #define RNG_H
 
@@ -10,7 +10,7 @@
 struct rng
 {
   uint64_t seed;
-  uint64_t block; /* blocks drawn so far, part of the stream's key */
+  uint64_t block; /* blocks generated so far, part of the stream key */
   uint32_t used;  /* bytes used of `bytes` */
   uint8_t bytes[512];
 };
--- a/src/status.c
+++ b/src/status.c
@@ -1,4 +1,4 @@
-/* Outcomes as values. */
+/* Status codes and the last failure message. */
 #include "status.h"
 #include <stdarg.h>
 #include <stdio.h>
--- a/src/status.h
+++ b/src/status.h
@@ -1,4 +1,4 @@
-/* Outcomes as values: one status enum, and the message of the last failure. */
+/* Status codes, and the message of the last failure. */
 #ifndef STATUS_H
 #define STATUS_H
 
@@ -40,16 +40,17 @@
 /* The lower-case text of `status`, for logs and messages. */
 const char *status_text (enum status status);
 
-/* Record the message of a failure and return `status`, so that a call site reads
- * `return status_fail (STATUS_INVALID, "...", ...)`.  One loop on one thread: the message is
- * process-wide and holds until the next failure. */
+/* Records a failure message and returns `status`, for use as `return status_fail (STATUS_INVALID,
+ * "...", ...)`.  The process has one loop on one thread: the message is process-wide and valid
+ * until the next failure. */
 enum status status_fail (enum status status, const char *format, ...)
     __attribute__ ((format (printf, 2, 3)));
 
 /* The message of the last failure, "" when there was none. */
 const char *status_message (void);
 
-/* Stop the process: only for broken invariants, never for an outcome. */
+/* Aborts the process when `condition` is false.  Only for broken invariants, never for errors that
+ * can occur in operation. */
 #define INVARIANT(condition)                                                                       \
   ((condition) ? (void) 0 : status_invariant_failed (__FILE__, __LINE__, #condition))
 
--- a/src/table.c
+++ b/src/table.c
@@ -1,4 +1,4 @@
-/* Tables of entries in fixed chunks, so that growth never moves an entry. */
+/* Tables of entries in fixed-size chunks, so that growth never moves an entry. */
 #include "table.h"
 #include <string.h>
 #include <talloc.h>
@@ -8,7 +8,7 @@
 
 struct table_slot
 {
-  uint32_t generation; /* of the entry here, or of the next one while free */
+  uint32_t generation; /* of the current entry, or of the next one while the slot is free */
   uint32_t next_free;
   bool used;
 };
@@ -23,7 +23,7 @@
 {
   size_t entry_size;
   uint32_t max_entries;
-  uint32_t n_slots; /* ever used */
+  uint32_t n_slots; /* slots used at least once */
   uint32_t count;
   uint32_t first_free;
   struct table_chunk **chunks;
@@ -80,7 +80,7 @@
   return true;
 }
 
-/* The index of a free slot, TABLE_NO_SLOT when there is none. */
+/* Allocates a slot and returns its index, TABLE_NO_SLOT when the table is full or out of memory. */
 static uint32_t
 take_slot (struct table *table)
 {
--- a/src/table.h
+++ b/src/table.h
@@ -1,7 +1,7 @@
-/* Tables of fixed-size entries reached by small generation-checked handles.
+/* Tables of fixed-size entries addressed by generation-checked handles.
  *
- * An entry's address is stable while the entry lives; a handle to a removed entry resolves to NULL
- * even after its slot is used again, which is what makes late events harmless. */
+ * The address of an entry is stable during its lifetime.  A handle to a removed entry resolves to
+ * NULL even after its slot is reused, so events that arrive late have no effect. */
 #ifndef TABLE_H
 #define TABLE_H
 
@@ -15,12 +15,12 @@
 struct handle
 {
   uint32_t index;
-  uint32_t generation; /* 0 never names an entry */
+  uint32_t generation; /* 0 is never valid */
 };
 
 struct table;
 
-/* Handles as one word, for codecs and HTTP ids. */
+/* Handles packed into one word, for codecs and HTTP ids. */
 static inline uint64_t
 handle_pack (struct handle h)
 {
@@ -50,19 +50,19 @@
  * memory. */
 struct table *table_new (void *parent, size_t entry_size, uint32_t max_entries);
 
-/* A zeroed entry, or NULL when the table is full or memory is out.  `out` takes its handle. */
+/* Adds a zeroed entry; NULL when the table is full or out of memory.  `out` receives its handle. */
 void *table_add (struct table *table, struct handle *out);
 
 /* The entry, or NULL when the handle is stale. */
 void *table_get (const struct table *table, struct handle handle);
 
-/* Remove the entry if the handle is current; true when it was. */
+/* Removes the entry; false when the handle is stale. */
 bool table_remove (struct table *table, struct handle handle);
 
 uint32_t table_count (const struct table *table);
 
-/* Visit entries in slot order: start with `*cursor = 0`, stop at NULL.  The entry visited may be
- * removed during the visit. */
+/* Iterates in slot order: start with `*cursor = 0`, stop at NULL.  The current entry may be removed
+ * during the iteration. */
 void *table_next (const struct table *table, uint32_t *cursor, struct handle *out);
 
 END_DECLS
--- a/src/text.h
+++ b/src/text.h
@@ -1,4 +1,4 @@
-/* Copies of short texts into fixed fields. */
+/* Copies of short strings into fixed-size buffers. */
 #ifndef TEXT_H
 #define TEXT_H
 
@@ -6,7 +6,7 @@
 #include <stdio.h>
 #include <string.h>
 
-/* Copy `text` with its NUL; false, and "" in `out`, when it does not fit. */
+/* Copies `text` with its NUL; false, with "" in `out`, when it does not fit. */
 static inline bool
 text_copy (char *out, size_t size, const char *text)
 {
@@ -21,7 +21,7 @@
   return true;
 }
 
-/* Copy `text`, cut where it does not fit. */
+/* Copies `text`, truncated to `size - 1` bytes. */
 static inline void
 text_copy_cut (char *out, size_t size, const char *text)
 {
--- a/src/timer.c
+++ b/src/timer.c
@@ -1,4 +1,4 @@
-/* The timer service: a binary heap of armed timers, positions kept in the timers. */
+/* The timer service: a binary heap of armed timers that each store their heap position. */
 #include "timer.h"
 #include "status.h"
 #include <stddef.h>
@@ -6,7 +6,7 @@
 
 struct timer_service
 {
-  struct timer **heap; /* from index 1 */
+  struct timer **heap; /* 1-based */
   uint32_t count;
   uint32_t capacity;
 };
@@ -64,7 +64,7 @@
   uint32_t capacity = service->capacity == 0 ? 64 : service->capacity * 2;
 
   service->heap = talloc_realloc (service, service->heap, struct timer *, capacity);
-  /* A timer that cannot be armed would be a deadline that never ends: nothing safe is left. */
+  /* A timer that cannot be armed is a timeout that never fires; no safe way to continue exists. */
   INVARIANT (service->heap != NULL);
   service->capacity = capacity;
 }
@@ -103,8 +103,8 @@
   return timer->position != 0;
 }
 
-/* Timers armed during the run go into the heap with what is still due; a run ends after as many
- * firings as there were timers at its start, so one that arms itself again cannot hold the loop. */
+/* Timers armed during the run enter the heap.  A run fires at most as many timers as were armed at
+ * its start, so a timer that rearms itself cannot block the loop. */
 unsigned
 timer_service_run (struct timer_service *service, int64_t now)
 {
--- a/src/timer.h
+++ b/src/timer.h
@@ -1,6 +1,7 @@
-/* The timer service: parts of the process subscribe, the loop runs what is due.
+/* The timer service: modules arm timers, the loop fires those that are due.
  *
- * Pure: the service is told the time and never reads it, so tests run it on virtual time. */
+ * The caller passes the current time and the service never reads a clock, so tests run it on
+ * virtual time. */
 #ifndef TIMER_H
 #define TIMER_H
 
@@ -16,31 +17,32 @@
 
 struct timer_ops
 {
-  /* Called once when due; the timer is disarmed before the call and may be armed again in it. */
+  /* Called once when due; the timer is disarmed before the call and may be rearmed in it. */
   void (*fire) (struct timer *timer, int64_t now);
 };
 
-/* Embedded in its subscriber; the subscriber must disarm it before it is freed. */
+/* Embedded in its owner, which must disarm it before it is freed. */
 struct timer
 {
   const struct timer_ops *ops;
   int64_t due;
-  uint32_t position; /* in the service's heap, from 1; 0 while not armed */
+  uint32_t position; /* 1-based position in the heap; 0 while not armed */
 };
 
-/* Freed with `parent`.  NULL when memory is out. */
+/* Freed with `parent`.  NULL when out of memory. */
 struct timer_service *timer_service_new (void *parent);
 
-/* Arm, or move, `timer` to fire at `due`. */
+/* Arms `timer`, or moves it, to fire at `due` (microseconds, monotonic clock). */
 void timer_arm (struct timer_service *service, struct timer *timer, int64_t due);
 void timer_disarm (struct timer_service *service, struct timer *timer);
 bool timer_is_armed (const struct timer *timer);
 
-/* Fire what is due at `now`, earliest first; the count fired.  One run fires at most as many timers
- * as were armed at its start, so that a timer that arms itself again cannot hold the loop. */
+/* Fires the timers due at `now`, earliest first, and returns their number.  One run fires at most
+ * as many timers as were armed at its start, so a timer that rearms itself cannot block the loop.
+ */
 unsigned timer_service_run (struct timer_service *service, int64_t now);
 
-/* When the earliest timer is due, USEC_NEVER when none is armed. */
+/* The due time of the earliest timer, USEC_NEVER when none is armed. */
 int64_t timer_service_next (const struct timer_service *service);
 
 END_DECLS
--- a/src/usec.h
+++ b/src/usec.h
@@ -1,7 +1,7 @@
 /* Units of time.
  *
- * Every point in time is an int64_t of microseconds on the monotonic clock, every span an int64_t
- * of microseconds.  Decision code never reads a clock: the edge reads it once per event and passes
+ * A time is an int64_t of microseconds on the monotonic clock, a duration an int64_t of
+ * microseconds.  Decision code never reads a clock: the edge reads it once per event and passes
  * `now` down. */
 #ifndef USEC_H
 #define USEC_H
