--- a/tests/certificate.h
+++ b/tests/certificate.h
@@ -1,4 +1,4 @@
-// A certificate made for a test.
+// A self-signed certificate for the TLS tests.
 #ifndef CERTIFICATE_H
 #define CERTIFICATE_H
 
@@ -10,7 +10,7 @@
 #include <string>
 #include <unistd.h>
 
-// A self-signed certificate and its key in a directory of their own.
+// A self-signed certificate and its key in a temporary directory.
 struct certificate
 {
   char directory[32] = "/tmp/edges-tls-XXXXXX";
--- a/tests/unit_base.cc
+++ b/tests/unit_base.cc
@@ -1,4 +1,4 @@
-// Tables, timers, buffers and random numbers: the parts that every other part stands on.
+// Tables, timers, buffers, random numbers and status messages.
 #include "bytes.h"
 #include "rng.h"
 #include "status.h"
@@ -11,9 +11,10 @@
 namespace
 {
 
-// A late event names a request that has ended; its slot already serves another request.
-// The handle's generation differs, so the event must find nothing rather than the new request.
-TEST (Table, StaleHandleFindsNothingAfterTheSlotIsReused)
+// An event that arrives late carries the handle of a request that has ended and whose slot serves
+// another request.  The generation of the handle differs, so the lookup must return NULL and not
+// the new request.
+TEST (Table, StaleHandleResolvesToNullAfterTheSlotIsReused)
 {
   struct table *table = table_new (nullptr, sizeof (int), 4);
   struct handle first;
@@ -29,7 +30,7 @@
   talloc_free (table);
 }
 
-TEST (Table, EntriesStayWhereTheyAreWhileItGrowsToItsBound)
+TEST (Table, EntryAddressesAreStableWhileTheTableGrowsToItsLimit)
 {
   struct table *table = table_new (nullptr, sizeof (int), 200);
   struct handle handle;
@@ -66,7 +67,7 @@
 
 const struct timer_ops recorder_ops = { .fire = record };
 
-TEST (Timer, FiresInOrderOfTimeAndNotWhenDisarmed)
+TEST (Timer, FiresInDueOrderAndNotWhenDisarmed)
 {
   struct timer_service *service = timer_service_new (nullptr);
   std::vector<int> order;
@@ -89,9 +90,9 @@
   talloc_free (service);
 }
 
-// A part that arms its timer for "now" each time it fires would keep the loop for itself and every
-// connection would hang.
-TEST (Timer, OneThatArmsItselfAgainDoesNotHoldTheLoop)
+// A timer that rearms itself for "now" whenever it fires would block the loop, and every connection
+// would hang.
+TEST (Timer, RearmingTimerDoesNotBlockTheLoop)
 {
   struct timer_service *service = timer_service_new (nullptr);
   std::vector<int> order;
@@ -106,7 +107,7 @@
   talloc_free (service);
 }
 
-TEST (Rng, ReplaysFromItsSeed)
+TEST (Rng, SameSeedGivesTheSameSequence)
 {
   struct rng a;
   struct rng b;
@@ -132,9 +133,9 @@
   bytes_clear (&bytes);
 }
 
-// What does not fit is left out and smaller pieces behind it go in: the buffer has a gap in its
-// middle and looks whole.
-TEST (Bytes, TakesNothingBehindWhatDidNotFit)
+// An append over the limit is skipped and later, smaller ones succeed: the buffer has a gap in the
+// middle and appears complete.
+TEST (Bytes, RejectsAllDataAfterAnAppendOverTheLimit)
 {
   struct bytes bytes;
 
--- a/tests/unit_edges_answers.cc
+++ b/tests/unit_edges_answers.cc
@@ -1,5 +1,5 @@
-// One table of answers for both users of the reader of HTTP answers, the forwarding path's client
-// and that of the product's own calls: they agree on what is whole.
+// One table of HTTP answers for both users of the answer parser, the client of the forwarding path
+// and the client of own calls: both must agree on which answers are complete.
 #include "h1_client_harness.h"
 #include "unit_edges_client.h"
 
@@ -24,7 +24,7 @@
   const std::string last = "\r\nhello\r\n0\r\n\r\n";
 
   return {
-    // sizes of chunks
+    // chunk sizes
     { "a size without a digit", CHUNKED + last.substr (0, 9) + "\r\n\r\n", false, "" },
     { "an extension in place of a size", CHUNKED + ";a" + last, false, "" },
     { "a size over 32 bits", CHUNKED + "100000005" + last, false, "hello\r\n0\r\n\r\n" },
@@ -46,7 +46,7 @@
     { "trailers without an end", CHUNKED + "5\r\nhello\r\n0\r\nA: b\r\n", false, "hello" },
     { "a line of trailers with LF alone", CHUNKED + "5\r\nhello\r\n0\r\nA: b\n\r\n", false,
       "hello" },
-    // lengths
+    // content lengths
     { "a length with a plus", OK + "Content-Length: +5\r\n\r\nhello", false, "" },
     { "a length with a fraction", OK + "Content-Length: 5.0\r\n\r\nhello", false, "" },
     { "a length over 64 bits", OK + "Content-Length: 18446744073709551621\r\n\r\nhello", false,
@@ -86,7 +86,7 @@
     talloc_free (loop);
   }
 
-  // All at once or byte by byte, and then the connection ends.
+  // Sends the answer at once or byte by byte, then closes the connection.
   void
   say (raw_server &server, const std::string &wire, bool at_once)
   {
@@ -99,8 +99,8 @@
   }
 };
 
-// The calls of pipelines, the command line and the load tools take what is whole and nothing else.
-TEST_F (Answers, AreWholeForOwnCallsByTheTable)
+// Calls of pipelines, the command line and the load tools accept complete answers and no others.
+TEST_F (Answers, OwnCallsAcceptOnlyCompleteAnswers)
 {
   for (const answer &row : answers ())
     for (bool at_once : { true, false })
@@ -129,8 +129,8 @@
       }
 }
 
-// The forwarding path takes the same.
-TEST_F (Answers, AreWholeForForwardedCallsByTheTable)
+// The forwarding path accepts the same answers.
+TEST_F (Answers, ForwardedCallsAcceptOnlyCompleteAnswers)
 {
   struct h1_client *client = make_h1_client (loop, counters_new (loop));
 
@@ -159,9 +159,9 @@
       }
 }
 
-// The answer fills one read, and more is behind it: the next call, started from within the end of
-// the first one, must not read the rest as its answer.
-TEST_F (Answers, AreNotThoseOfTheCallBefore)
+// The answer fills one read exactly and more data follows it.  The next call on the connection,
+// started when the first ends, must not read the remaining data as its answer.
+TEST_F (Answers, DataAfterAnAnswerIsNotReadByTheNextCall)
 {
   static const size_t READ_AT_ONCE = 32768;
   test_client client (loop);
--- a/tests/unit_edges_client.cc
+++ b/tests/unit_edges_client.cc
@@ -1,11 +1,12 @@
-// The HTTP client met by servers that are whole, slow, cut their answers short or go away.
+// The HTTP client against servers that behave correctly, are slow, truncate their answers or close
+// the connection.
 #include "unit_edges_client.h"
 #include <memory>
 
 namespace
 {
 
-TEST (HttpClient, BringsWholeAnswersOverOneConnection)
+TEST (HttpClient, DeliversCompleteAnswersOverOneConnection)
 {
   struct test_server server;
   struct test_client client (server.loop);
@@ -32,9 +33,9 @@
   EXPECT_EQ (server.counted ("cherryarch_http_connections_accepted"), 1);
 }
 
-// One stage of a request takes long; calls of other requests to the same target must neither wait
-// behind it nor get its answer, in whatever order the answers come.
-TEST (HttpClient, KeepsCallsOfOneAddressApartAndNotBehindEachOther)
+// One stage of a request takes long.  Calls of other requests to the same target must neither wait
+// for it nor receive its answer, in whatever order the answers arrive.
+TEST (HttpClient, CallsToOneAddressAreIndependentOfEachOther)
 {
   struct test_server server;
   struct test_client client (server.loop);
@@ -71,7 +72,7 @@
           EXPECT_EQ (probes[i]->body, "/p" + std::to_string (i));
         }
     }
-  // The second round found the connections of the first.
+  // The second round reused the connections of the first.
   EXPECT_EQ (server.counted ("cherryarch_http_connections_accepted"), 200);
 }
 
@@ -81,9 +82,9 @@
   const char *bytes;
 };
 
-// A target dies in the middle of its answer, in one way or another.  What came must never pass for
-// the whole answer.
-TEST (HttpClient, FailsAnAnswerCutShort)
+// A target fails in the middle of its answer, in one of several ways.  A partial answer must never
+// be reported as complete.
+TEST (HttpClient, FailsATruncatedAnswer)
 {
   struct loop *loop = loop_new (nullptr, 200);
   const std::vector<cut_answer> answers = {
@@ -141,8 +142,8 @@
   talloc_free (loop);
 }
 
-// Servers end an answer in several ways, some closing the connection right behind it.
-TEST (HttpClient, TakesAWholeAnswerHoweverItsConnectionEnds)
+// Servers end an answer in several ways; some close the connection right after it.
+TEST (HttpClient, AcceptsACompleteAnswerHoweverItsConnectionEnds)
 {
   struct loop *loop = loop_new (nullptr, 200);
   const std::vector<std::string> answers = {
@@ -180,8 +181,9 @@
   talloc_free (loop);
 }
 
-// Nothing listens at the address.  Nothing was sent, so the request may go to another target.
-TEST (HttpClient, SaysThatNothingWasSentWhereNothingListens)
+// Nothing listens at the address.  Nothing was sent, so the request may be retried at another
+// target.
+TEST (HttpClient, ReportsNothingSentWhenTheConnectionIsRefused)
 {
   struct loop *loop = loop_new (nullptr, 200);
   struct test_client client (loop);
@@ -204,8 +206,8 @@
   talloc_free (loop);
 }
 
-// A target's machine takes no connection and refuses none: its queue of them is full.
-TEST (HttpClient, SaysThatAConnectionWasNotMadeInTime)
+// The machine of a target neither accepts nor refuses a connection: its accept queue is full.
+TEST (HttpClient, ReportsAConnectTimeout)
 {
   struct loop *loop = loop_new (nullptr, 200);
   struct test_client client (loop, 10, 100 * USEC_PER_MSEC);
@@ -233,9 +235,9 @@
   talloc_free (loop);
 }
 
-// A target closes the idle connection between two calls.  The second call goes over a new one; and
-// where the close crosses the request on the way, the call fails as sent and is not sent again.
-TEST (HttpClient, GoesOnAfterTheServerClosedAnIdleConnection)
+// A target closes the idle connection between two calls.  The second call uses a new connection;
+// where the close crosses the request in flight, the call fails as sent and is not sent again.
+TEST (HttpClient, ReconnectsAfterTheServerClosedAnIdleConnection)
 {
   struct loop *loop = loop_new (nullptr, 200);
   struct test_client client (loop);
@@ -261,7 +263,7 @@
   ASSERT_TRUE (server.wait_request ("body"));
   server.send (answer);
   ASSERT_TRUE (run_until (loop, [&] { return first.over (); }));
-  server.hang_up (); // and no turn of the loop before the next call
+  server.hang_up (); // no loop iteration before the next call
   call_probe crossed;
   client.start (crossed, server.port (), "/y", "body");
   ASSERT_TRUE (run_until (loop, [&] {
@@ -272,7 +274,7 @@
     return crossed.over () || !server.taken.empty ();
   }));
   if (!crossed.over ())
-    { // a new connection: then the first byte must come on it
+    { // a new connection must receive the request from its first byte
       EXPECT_TRUE (server.wait_request ("body"));
       server.send (answer);
       EXPECT_TRUE (run_until (loop, [&] { return crossed.over (); }));
@@ -289,8 +291,8 @@
   talloc_free (loop);
 }
 
-// A target takes the request and says nothing.  The call ends at its deadline; the connection is
-// not used for another call, whose answer could be the late one of the first.
+// A target accepts the request and never answers.  The call ends at its deadline; the connection is
+// not reused, because another call could receive the late answer.
 TEST (HttpClient, EndsACallAtItsDeadlineAndDropsTheConnection)
 {
   struct loop *loop = loop_new (nullptr, 200);
@@ -317,8 +319,8 @@
   talloc_free (loop);
 }
 
-// The caller went away, and the call is cancelled: before it is connected, while it waits, and from
-// within an event.  The other side sees the connection close, and no event comes after.
+// The caller disconnects and the call is cancelled: before it is connected, while it waits, or from
+// within an event.  The server sees the connection close, and no event follows.
 TEST (HttpClient, CancelsAtAnyPoint)
 {
   struct test_server server;
@@ -359,7 +361,7 @@
   EXPECT_EQ (after.ends, 1);
 }
 
-TEST (HttpClient, BringsAStreamInOrderAndBoundsAnAnswer)
+TEST (HttpClient, DeliversAStreamInOrderAndLimitsTheAnswerSize)
 {
   struct test_server server;
   struct test_client client (server.loop);
@@ -395,7 +397,7 @@
   EXPECT_EQ (large.why, STATUS_TOO_LARGE);
 }
 
-TEST (HttpClient, RefusesCallsOverItsBoundAndHeadersThatWouldAddLines)
+TEST (HttpClient, RefusesCallsOverItsLimitAndHeadersWithLineBreaks)
 {
   struct test_server server;
   struct test_client client (server.loop, 1);
--- a/tests/unit_edges_client.h
+++ b/tests/unit_edges_client.h
@@ -1,15 +1,15 @@
-// What the tests of the HTTP client share: what came of a call, a client, and a server of raw
-// bytes.
+// Shared by the tests of the HTTP client: a probe of call outcomes, a client, and a server that
+// sends raw bytes.
 #ifndef UNIT_EDGES_CLIENT_H
 #define UNIT_EDGES_CLIENT_H
 
 #include "http_client.h"
 #include "unit_edges_support.h"
 
-// What came of one call.
+// Records the outcome of one call.
 struct call_probe
 {
-  struct http_call_sink sink; // first
+  struct http_call_sink sink; // must be the first member
   std::vector<std::string> events;
   std::string body;
   std::string id;
@@ -79,7 +79,7 @@
   }
 };
 
-// A client of its own, on the loop of the test.
+// A client on the loop of the test.
 struct test_client
 {
   struct loop *loop;
@@ -135,7 +135,7 @@
   }
 };
 
-// A server of raw bytes: takes connections, and sends what the test says.
+// A server of raw bytes: accepts connections and sends what the test specifies.
 struct raw_server
 {
   struct loop *loop;
@@ -169,7 +169,7 @@
     return inet_address_bound_port (listener);
   }
 
-  // Until a whole request head came on the newest connection.
+  // Waits until a complete request head arrived on the newest connection.
   bool
   wait_request (const std::string &mark = "\r\n\r\n")
   {
--- a/tests/unit_edges_delay.cc
+++ b/tests/unit_edges_delay.cc
@@ -1,11 +1,11 @@
-// Streams must not wait for the caller's TCP.
+// Streams must not be delayed by the TCP of the caller.
 #include "unit_edges_support.h"
 #include <netinet/tcp.h>
 
 namespace
 {
 
-// The option of the server's own end of the caller's connection: this process holds both.
+// The socket option at the server end of the connection: this process holds both ends.
 int
 no_delay_of_server_end (const struct raw_caller &caller)
 {
@@ -29,11 +29,11 @@
   return -1;
 }
 
-// A caller that reads a stream, or a host that reads a generator's, gets the first event at once
-// and the rest 40 ms later.  The server writes the head, then each event, as small segments; TCP
-// holds the second of them until the first is acknowledged (Nagle), and the reader, which has
-// nothing to send, delays its acknowledgement by 40 ms.
-TEST (HttpServer, SendsSmallPiecesAtOnce)
+// A caller that reads a stream, or a host that reads a generator stream, gets the first event at
+// once and the rest 40 ms later.  The server writes the head, then each event, as small segments;
+// TCP holds the second until the first is acknowledged (Nagle), and the reader, which has nothing
+// to send, delays its acknowledgement by 40 ms.
+TEST (HttpServer, SendsSmallSegmentsWithoutDelay)
 {
   struct test_server server;
 
--- a/tests/unit_edges_framing.cc
+++ b/tests/unit_edges_framing.cc
@@ -1,5 +1,5 @@
-// The HTTP client over answers that stop, or are damaged, at every byte: end() comes for a whole
-// answer and for no other, and what data() gave before is a beginning of the true body.
+// The HTTP client with answers truncated or corrupted at every byte: end() is called for a complete
+// answer and no other, and the bytes passed to data() before are a prefix of the true body.
 #include "unit_edges_client.h"
 #include <algorithm>
 #include <memory>
@@ -12,7 +12,7 @@
 const std::string CHUNKED_HEAD = "HTTP/1.1 200 OK\r\ntransfer-encoding: chunked\r\n\r\n";
 const int64_t SILENT_FOR = 400 * USEC_PER_MSEC;
 
-// What an answer's bytes say of it, read by the letter of its framing.
+// The result expected for the bytes of an answer, by a strict reading of its framing.
 struct reading
 {
   bool whole = false;
@@ -29,7 +29,7 @@
   return n;
 }
 
-// Chunks without extensions or trailers.
+// Parses chunks without extensions or trailers.
 reading
 read_chunks (const std::string &wire)
 {
@@ -95,7 +95,8 @@
     talloc_free (loop);
   }
 
-  // A call whose request is with the server, on a connection that had an answer before or none.
+  // Starts a call and waits until the server has its request, on a new connection or (`used`) on
+  // one that carried an answer before.
   void
   begin (call_probe &probe, bool used, int64_t span = EVENT_WAIT)
   {
@@ -114,7 +115,8 @@
     ASSERT_TRUE (server->wait_request ("body"));
   }
 
-  // A reset takes with it what the client has not read, so one that follows a whole answer waits.
+  // A reset discards what the client has not read, so one that follows a complete answer waits for
+  // the end of the call.
   void
   deliver (const call_probe &probe, const std::string &wire, bool at_once, ending how, bool whole)
   {
@@ -155,7 +157,7 @@
     expect (probe, truth, "way " + std::to_string (way) + " of " + wire + "\n");
   }
 
-  // One answer, in every way it can be delivered and its connection can end.
+  // Plays one answer with every way of delivery and of ending the connection.
   void
   play (const std::string &wire, const reading &truth)
   {
@@ -164,9 +166,9 @@
   }
 };
 
-// A target dies after any byte of its answer: before the head, inside it, between events, inside
-// one, inside a character, after the last.
-TEST_F (Framing, AnAnswerCutAnywhereIsNotWhole)
+// A target fails after any byte of its answer: before the head, inside it, between events, inside
+// an event, inside a character, after the last one.
+TEST_F (Framing, AnswerTruncatedAnywhereIsIncomplete)
 {
   const std::string length = LENGTH_HEAD + std::to_string (EVENTS.size ()) + "\r\n\r\n";
   const std::string chunks = in_chunks (EVENTS, 9);
@@ -180,11 +182,11 @@
     play (neither + EVENTS.substr (0, cut), { false, "" });
 }
 
-// One byte of the framing is another, or missing, or doubled.
-TEST_F (Framing, DamagedChunksAreNotWhole)
+// One byte of the framing is changed, missing or duplicated.
+TEST_F (Framing, CorruptedChunksAreIncomplete)
 {
   const std::string chunks = in_chunks ("hello, you", 5);
-  const size_t last = chunks.size () - 5; // without it the last size line is empty: see below
+  const size_t last = chunks.size () - 5; // else an empty size line: see the next test
   std::vector<std::string> wires;
 
   for (size_t at = 0; at < chunks.size (); at++)
@@ -205,15 +207,15 @@
     }
 }
 
-// The digit of the last chunk is missing: an empty size is none.
-TEST_F (Framing, AnEmptyChunkSizeIsNotTheLastChunk)
+// The digit of the last chunk size is missing: an empty size is not a size of 0.
+TEST_F (Framing, EmptyChunkSizeIsNotTheLastChunk)
 {
   for (const char *wire : { "\r\n\r\n", "5\r\nhello\r\n\r\n\r\n" })
     play (CHUNKED_HEAD + wire, read_chunks (wire));
 }
 
-// A size that fits no number is not the number its last digits make.
-TEST_F (Framing, AChunkSizeOverTheRangeOfANumberIsNotASmallOne)
+// A size that overflows the integer must not be read as the number of its last digits.
+TEST_F (Framing, ChunkSizeThatOverflowsIsNotTruncated)
 {
   for (const char *size : { "100000005", "ffffffff00000005", "10000000000000005" })
     for (const char *end : { "0\r\n\r\n", "5\r\n, you\r\n0\r\n\r\n" })
@@ -225,7 +227,7 @@
 }
 
 // The data of a chunk is longer or shorter than its size.
-TEST_F (Framing, ChunksOfAnotherSizeAreNotWhole)
+TEST_F (Framing, ChunksWithAWrongSizeAreIncomplete)
 {
   for (const char *size :
        { "3", "4", "6", "7", "05", "0000000000000005", "fffffffb", "+5", "0x5", "5 ", " 5" })
@@ -237,8 +239,8 @@
       }
 }
 
-// The body is longer or shorter than its stated length.
-TEST_F (Framing, ABodyOfAnotherLengthIsNotLongerThanItsLength)
+// The body is longer or shorter than its Content-Length.
+TEST_F (Framing, BodyNeverExceedsItsContentLength)
 {
   for (int length : { 3, 4, 5, 6, 7 })
     {
@@ -249,9 +251,9 @@
     }
 }
 
-// The head names two ends of the body.  Each reader may take another, so that no part of it is
-// sure.
-TEST_F (Framing, AnAnswerWithTwoFramingsIsNotWhole)
+// The head specifies two ends of the body.  Readers may choose differently, so no part of the body
+// is reliable.
+TEST_F (Framing, AnswerWithConflictingFramingsIsIncomplete)
 {
   const std::string both =
       "HTTP/1.1 200 OK\r\ncontent-length: 5\r\ntransfer-encoding: chunked\r\n\r\n";
@@ -265,8 +267,8 @@
     play (wire, { false, "hello, you" });
 }
 
-// Silence: the connection stays, and the rest never comes.
-TEST_F (Framing, AnAnswerThatStopsIsNotWhole)
+// The connection stays open, and the rest of the answer never arrives.
+TEST_F (Framing, AnswerThatStallsIsIncomplete)
 {
   const std::string chunks = CHUNKED_HEAD + in_chunks (EVENTS, 9);
   const std::string length = LENGTH_HEAD + std::to_string (EVENTS.size ()) + "\r\n\r\n" + EVENTS;
@@ -292,9 +294,9 @@
     }
 }
 
-// A target sends more than its answer.  The rest is nobody's: the next call to the same address
-// must not read it as its own answer.
-TEST_F (Framing, WhatFollowsAnAnswerIsNotTheAnswerOfTheNextCall)
+// A target sends more than its answer.  The next call to the same address must not read the excess
+// data as its own answer.
+TEST_F (Framing, DataAfterAnAnswerIsNotReadByTheNextCall)
 {
   const std::string other = "HTTP/1.1 418 Teapot\r\ncontent-length: 4\r\n\r\nevil";
 
--- a/tests/unit_edges_loop.cc
+++ b/tests/unit_edges_loop.cc
@@ -1,4 +1,4 @@
-// The loop: timers, watched descriptors and signals on one thread.
+// The event loop: timers, watched descriptors and signals on one thread; and the state dump.
 #include "dump.h"
 #include "loop.h"
 #include <csignal>
@@ -11,7 +11,7 @@
 namespace
 {
 
-const int64_t WAIT = 10 * USEC_PER_SEC; // an event that never comes ends the test, nothing else
+const int64_t WAIT = 10 * USEC_PER_SEC; // only ends the test when an expected event never arrives
 
 struct timer_probe
 {
@@ -43,9 +43,9 @@
   talloc_free (loop);
 }
 
-// A timer is due just as the loop goes to wait, while a much later one is armed in the library
-// itself.  The loop must not sleep until the later one: deadlines would pass unseen.
-TEST (Loop, DoesNotSleepOverATimerThatIsDueAlready)
+// A timer becomes due just as the loop starts to wait, while a much later one is scheduled in lws
+// itself.  The loop must not sleep until the later one, or deadlines would be missed.
+TEST (Loop, DoesNotSleepPastATimerThatIsAlreadyDue)
 {
   struct loop *loop = loop_new (nullptr, 64);
   lws_sorted_usec_list_t later = {};
@@ -81,7 +81,7 @@
   .hung_up = nullptr
 };
 
-TEST (Loop, ServesAWatchedDescriptorThatStaysItsOwners)
+TEST (Loop, WatchesADescriptorWithoutTakingOwnership)
 {
   struct loop *loop = loop_new (nullptr, 64);
   struct pipe_probe probe = {};
@@ -101,7 +101,7 @@
     loop_once (loop, USEC_PER_MSEC);
   EXPECT_EQ (probe.seen, "ab");
   char left;
-  EXPECT_EQ (read (ends[0], &left, 1), 1); // still open, and its byte was left alone
+  EXPECT_EQ (read (ends[0], &left, 1), 1); // still open, and its byte is unread
   talloc_free (loop);
   close (ends[0]);
   close (ends[1]);
@@ -123,7 +123,7 @@
   loop_stop (probe->loop);
 } };
 
-TEST (Loop, HandsSignalsOverFromTheLoop)
+TEST (Loop, DeliversSignalsFromTheLoop)
 {
   struct loop *loop = loop_new (nullptr, 64);
   struct signal_probe probe = { .handler = { .ops = &signal_probe_ops }, .loop = loop, .signo = 0 };
@@ -143,7 +143,7 @@
   return json_integer (now);
 } };
 
-TEST (Dump, AddsEverySourceUnderItsNameAndNullForOneThatFails)
+TEST (Dump, ContainsEverySourceByNameAndNullForAFailedOne)
 {
   struct dump dump = {};
   struct dump_source broken = { .ops = &broken_ops, .name = "broken", .next = nullptr };
--- a/tests/unit_edges_peer.cc
+++ b/tests/unit_edges_peer.cc
@@ -86,7 +86,7 @@
     return "127.0.0.1:" + std::to_string (peer_zmq_port (port));
   }
 
-  // Send until something new arrives: a message may be lost while the connection is made.
+  // Sends until something new arrives: a message may be lost while the connection is established.
   bool
   send_until_received (struct peer_port *from, const char *to, const char *text)
   {
@@ -107,7 +107,7 @@
     return counter_get (counters, name, "", labels)->value;
   }
 
-  // Send until `counter` has grown: what is refused leaves no other trace.
+  // Sends until `counter` has grown: a refused message has no other visible effect.
   bool
   send_until_counted (struct peer_port *from, const char *to, const char *counter)
   {
@@ -128,7 +128,7 @@
   struct inbox box;
 };
 
-TEST_F (Peers, AMessageArrivesWithItsSendersName)
+TEST_F (Peers, MessageArrivesWithTheNameOfItsSender)
 {
   struct peer_port *a = host ("a", nullptr);
   struct peer_port *b = host ("b", nullptr);
@@ -140,7 +140,7 @@
   EXPECT_EQ (a->ops->send (a, "c", PEER_CHANNEL_MEMBER, "x", 1), STATUS_NOT_FOUND);
 }
 
-TEST_F (Peers, TheCountersTellTheTrafficOfTheirPorts)
+TEST_F (Peers, CountersReportTheTrafficOfTheirPort)
 {
   struct peer_port *a = host ("a", nullptr);
   struct peer_port *b = host ("b", nullptr);
@@ -160,7 +160,7 @@
   EXPECT_EQ (count ("cherryarch_peer_bytes_total", "direction=\"in\""), to.bytes_in);
 }
 
-TEST_F (Peers, KeysThatAreKnownAreLetIn)
+TEST_F (Peers, KnownKeysAreAccepted)
 {
   struct keys ka;
   struct keys kb;
@@ -174,9 +174,9 @@
   EXPECT_EQ (box.messages[0], "a:hello");
 }
 
-// A machine on the network that is no host of the system connects and speaks.  Its key is not in
-// the table, so the handshake is refused and no message of it is ever seen.
-TEST_F (Peers, AnUnknownKeyIsRefused)
+// A machine that is not a host of the system connects and sends.  Its key is not in the table, so
+// the handshake is refused and none of its messages is received.
+TEST_F (Peers, UnknownKeyIsRefused)
 {
   struct keys ka;
   struct keys kb;
@@ -189,9 +189,10 @@
   EXPECT_TRUE (box.messages.empty ());
 }
 
-// A host whose key is known states another's name, so that its words would count as the other's:
-// a stolen vote or a false "leaving".  The connection's key says who it is.
-TEST_F (Peers, AHostCannotSpeakInAnothersName)
+// A host with a known key states the name of another host, so that its messages would count as
+// those of the other: a forged vote or a false "leaving".  The key of the connection identifies the
+// sender.
+TEST_F (Peers, HostCannotSendInTheNameOfAnother)
 {
   struct keys ka;
   struct keys kb;
@@ -205,9 +206,9 @@
   EXPECT_TRUE (box.messages.empty ());
 }
 
-// A host's key is revoked while its connection stands.  A check at the handshake alone would let it
-// go on until the connection breaks; each message is checked.
-TEST_F (Peers, ARevokedKeyEndsAnOpenConnectionsMessages)
+// The key of a host is revoked while its connection is open.  A check at the handshake alone would
+// accept its messages until the connection breaks; each message is checked.
+TEST_F (Peers, RevokedKeyStopsMessagesOfAnOpenConnection)
 {
   struct keys ka;
   struct keys kb;
@@ -224,8 +225,8 @@
   EXPECT_EQ (box.messages.size (), before);
 }
 
-// Anything may connect to the peers' port of a host without keys and send bytes.
-TEST_F (Peers, BytesThatAreNoEnvelopeAreCountedAndDropped)
+// Any process can connect to the peer port of a host without keys and send arbitrary bytes.
+TEST_F (Peers, MalformedEnvelopesAreCountedAndDropped)
 {
   struct peer_port *b = host ("b", nullptr);
   void *context = zmq_ctx_new ();
--- a/tests/unit_edges_peer_faults.cc
+++ b/tests/unit_edges_peer_faults.cc
@@ -1,4 +1,5 @@
-// The peer port under bursts, wrong and replaced keys, garbage, and hosts that come and go.
+// The peer port under bursts, wrong and replaced keys, garbage input, and hosts that stop and
+// return.
 #include "peer_zmq.h"
 #include "unit_edges_support.h"
 #include <memory>
@@ -20,7 +21,7 @@
 
 struct test_host
 {
-  struct peer_listener listener; // first
+  struct peer_listener listener; // must be the first member
   struct loop *loop;
   struct counters *counters;
   struct peer_port *port;
@@ -84,7 +85,7 @@
     return port->ops->send (port, host, channel, text.data (), text.size ());
   }
 
-  // Until the connection takes a message.
+  // Waits until the connection accepts a message.
   bool
   say_when_connected (const char *host, const std::string &text)
   {
@@ -100,7 +101,7 @@
   }
 };
 
-// The ring of one loop, for hosts of one test.
+// One loop for all hosts of a test.
 struct ring
 {
   struct loop *loop = loop_new (nullptr, 64);
@@ -111,9 +112,9 @@
   }
 };
 
-// Many messages at once, and a message each way after silence: the descriptor of a socket gives one
-// sign for many messages, and one that is missed leaves them lying.
-TEST (PeerZmqFaults, BringsEveryMessageInOrderBothWays)
+// Many messages at once, and one message each way after an idle period: the descriptor of a socket
+// signals once for many messages, and a missed signal leaves messages unread.
+TEST (PeerZmqFaults, DeliversEveryMessageInOrderBothWays)
 {
   struct ring ring;
   struct keys keys_a;
@@ -139,7 +140,7 @@
     }
 }
 
-TEST (PeerZmqFaults, WorksWithoutKeysWhereTheSettingsSaySo)
+TEST (PeerZmqFaults, WorksWithoutKeysWhenConfigured)
 {
   struct ring ring;
   struct test_host a (ring.loop, "a", nullptr);
@@ -152,7 +153,7 @@
   ASSERT_TRUE (run_until (ring.loop, [&] { return b.heard.size () == 1; }));
   EXPECT_EQ (b.heard[0], "a:" + large);
   EXPECT_EQ (a.say ("b", large + "x"), STATUS_TOO_LARGE);
-  EXPECT_EQ (a.say ("b", "x", PEER_CHANNEL_LOAD), STATUS_OK); // nobody listens
+  EXPECT_EQ (a.say ("b", "x", PEER_CHANNEL_LOAD), STATUS_OK); // no listener on this channel
   ASSERT_EQ (a.say ("b", "y"), STATUS_OK);
   ASSERT_TRUE (run_until (ring.loop, [&] { return b.heard.size () == 2; }));
   EXPECT_EQ (b.heard[1], "a:y");
@@ -160,8 +161,8 @@
   EXPECT_EQ (a.say ("b", "x"), STATUS_NOT_FOUND);
 }
 
-// A host with a key that nobody knows connects: it is refused and counted, and none of its messages
-// is heard, while known hosts go on.
+// A host with an unknown key connects: it is refused and counted, none of its messages is received,
+// and known hosts are not affected.
 TEST (PeerZmqFaults, RefusesAnUnknownKey)
 {
   struct ring ring;
@@ -170,7 +171,7 @@
   struct keys keys_x;
   struct test_host a (ring.loop, "a", &keys_a);
   struct test_host b (ring.loop, "b", &keys_b);
-  struct test_host x (ring.loop, "a", &keys_x); // says that it is a
+  struct test_host x (ring.loop, "a", &keys_x); // claims to be a
 
   peer_zmq_trust (b.port, "a", keys_a.open);
   x.knows (b, &keys_b);
@@ -182,7 +183,7 @@
   EXPECT_EQ (b.heard, std::vector<std::string>{ "a:truth" });
 }
 
-// A host connects with its own key, which is known, and names another host in its messages.
+// A host connects with its own, known key and names another host in its messages.
 TEST (PeerZmqFaults, DropsMessagesOfAHostThatNamesAnother)
 {
   struct ring ring;
@@ -190,7 +191,7 @@
   struct keys keys_b;
   struct keys keys_c;
   struct test_host b (ring.loop, "b", &keys_b);
-  struct test_host c (ring.loop, "a", &keys_c); // c's key, a's name
+  struct test_host c (ring.loop, "a", &keys_c); // key of c, name of a
 
   peer_zmq_trust (b.port, "a", keys_a.open);
   peer_zmq_trust (b.port, "c", keys_c.open);
@@ -200,10 +201,10 @@
   EXPECT_TRUE (b.heard.empty ());
 }
 
-// An operator revokes a host's key while the host is connected, and gives the host a new one.  Who
-// holds the old key still has the open connection: nothing more of it may be heard, before and
-// after the new key is there.  With the old key trusted again it is heard again.
-TEST (PeerZmqFaults, RevokesAtOnceAlsoWhenAnotherKeyTakesItsPlace)
+// An operator revokes the key of a connected host and then gives the host a new key.  The holder of
+// the old key still has the open connection: its messages must be dropped before and after the new
+// key is added.  When the old key is trusted again, its messages are accepted again.
+TEST (PeerZmqFaults, RevocationIsImmediateAlsoWhenTheKeyIsReplaced)
 {
   struct ring ring;
   struct keys keys_a;
@@ -233,8 +234,8 @@
   EXPECT_EQ (b.heard.back (), "a:three");
 }
 
-// A host changes its key: for a while it has two, and is heard with either.
-TEST (PeerZmqFaults, HearsAHostWithEitherOfItsTwoKeys)
+// A host rotates its key: it has two for a while, and messages with either are accepted.
+TEST (PeerZmqFaults, AcceptsAHostWithEitherOfItsTwoKeys)
 {
   struct ring ring;
   struct keys keys_old;
@@ -256,8 +257,8 @@
   EXPECT_EQ (b.heard, (std::vector<std::string>{ "a:old", "a:new" }));
 }
 
-// Anybody can connect to the peer port and send bytes that are no protocol, no envelope, or one too
-// long.  It is dropped, and peers go on.
+// Any process can connect to the peer port and send bytes that are not the protocol, not an
+// envelope, or too long.  They are dropped, and other peers are not affected.
 TEST (PeerZmqFaults, DropsGarbage)
 {
   struct ring ring;
@@ -279,10 +280,10 @@
                  8), // channel 99
     std::string ("\x94\x01\xa1"
                  "a\x00\xc4\x09x",
-                 8), // shorter than it says
+                 8), // payload shorter than its length
     std::string ("\x94\x01\xa1"
                  "a\x00\xc4\x01xy",
-                 9),                              // longer than it says
+                 9),                              // payload longer than its length
     std::string ("\x94\x01\xa0\x00\xc4\x01x", 7), // no name
     std::string ("\x94\x01\xa3"
                  "a\x00"
@@ -310,9 +311,9 @@
   zmq_ctx_term (context);
 }
 
-// A host goes away and comes back at another address.  Sending tells that it takes nothing in the
-// meantime, and goes on by itself afterwards.
-TEST (PeerZmqFaults, GoesOnWhenAHostComesBack)
+// A host stops and returns at another address.  Sending to it fails in the meantime and recovers by
+// itself afterwards.
+TEST (PeerZmqFaults, RecoversWhenAHostReturns)
 {
   struct ring ring;
   struct keys keys_a;
--- a/tests/unit_edges_server.cc
+++ b/tests/unit_edges_server.cc
@@ -1,4 +1,5 @@
-// The HTTP server met by callers that are whole, broken, slow or gone.
+// The HTTP server against callers that behave correctly, send malformed requests, are slow or
+// disconnect.
 #include "unit_edges_support.h"
 #include <memory>
 
@@ -53,10 +54,10 @@
   EXPECT_NE (caller.got.find ("200"), std::string::npos);
 }
 
-// A caller sends a hundred requests without waiting for an answer, then waits.  The one that is
-// being worked on gets its whole answer; what was sent too early is told that it was not run, and
-// nothing of it reaches a route, whether it has a body or not.
-TEST (HttpServer, RunsNoRequestThatWasSentBeforeTheAnswerToTheOneBeforeIt)
+// A caller pipelines a hundred requests.  The one in progress gets its complete answer; the
+// requests sent too early are answered as not run, and none of them reaches a route, with or
+// without a body.
+TEST (HttpServer, RunsNoPipelinedRequest)
 {
   for (bool body : { false, true })
     {
@@ -72,7 +73,7 @@
                     : get ("/n" + std::to_string (i) + "-");
       caller.send (all);
       ASSERT_TRUE (run_until (server.loop, [&] { return held != nullptr; }));
-      // While it is worked on, what waits behind it costs no turns of the loop.
+      // While the request is in progress, the pipelined data behind it must not make the loop spin.
       for (int64_t until = loop_now (server.loop) + 100 * USEC_PER_MSEC;
            loop_now (server.loop) < until; turns++)
         loop_once (server.loop, 20 * USEC_PER_MSEC);
@@ -87,7 +88,7 @@
     }
 }
 
-// A connection is used again for request after request, answered at once or later.
+// A connection is reused for many requests, answered at once or later.
 TEST (HttpServer, ServesManyRequestsOnOneConnection)
 {
   struct test_server server;
@@ -123,9 +124,9 @@
   const char *code;
 };
 
-// Bytes that are no request, or one over a limit, get a clear answer or a closed connection; the
-// server goes on serving others and no route sees any of it.
-TEST (HttpServer, RefusesWhatIsNoRequest)
+// Malformed requests, or requests over a limit, get an error answer or a closed connection; other
+// callers are still served and no route sees the malformed request.
+TEST (HttpServer, RefusesMalformedRequests)
 {
   struct test_server server;
   const std::vector<refusal> refusals = {
@@ -183,9 +184,9 @@
   EXPECT_TRUE (caller.wait_for ("GET /fine?"));
 }
 
-// A salesman closes the page while his request is worked on, or while its answer streams.  The
-// holder of the exchange is told, once, so that the work can be cancelled.
-TEST (HttpServer, TellsTheHolderThatTheCallerWentAway)
+// A caller disconnects while its request is in progress or while its answer streams.  The watcher
+// of the exchange is notified exactly once, so that the work can be cancelled.
+TEST (HttpServer, NotifiesTheWatcherWhenTheCallerDisconnects)
 {
   static int closed;
   static const struct http_watcher_ops ops = { .closed = [] (struct http_watcher *, int64_t) {
@@ -217,9 +218,9 @@
     }
 }
 
-// The caller is gone before a route that does not watch for it answers.  The answer goes nowhere,
-// and nothing is touched that was freed.
-TEST (HttpServer, TakesAnAnswerForAConnectionThatClosed)
+// The caller disconnects before a route without a watcher answers.  The answer is discarded, and no
+// freed memory is accessed.
+TEST (HttpServer, AcceptsAnAnswerForAClosedConnection)
 {
   struct test_server server;
   struct raw_caller caller (server.loop, server.port ());
@@ -238,9 +239,9 @@
   EXPECT_EQ (http_server_pending (server.server), 0u);
 }
 
-// A stream's parts arrive in order and its end shows; one that is aborted has no end, so that a
-// part cannot pass for the whole.
-TEST (HttpServer, EndsAStreamOnlyWhenItIsWhole)
+// The parts of a stream arrive in order and its end is marked; an aborted stream has no end marker,
+// so a partial stream cannot be taken for a complete one.
+TEST (HttpServer, MarksTheEndOfAStreamOnlyWhenItIsComplete)
 {
   for (bool whole : { true, false })
     {
@@ -273,7 +274,7 @@
     }
 }
 
-// A caller of HTTP/1.0 knows no chunks: it would take their sizes for content.
+// An HTTP/1.0 caller does not support chunks and would take chunk sizes for content.
 TEST (HttpServer, AnswersHttp10WithoutChunks)
 {
   struct test_server server;
@@ -291,10 +292,10 @@
   EXPECT_NE (caller.got.find ("\r\n\r\none,two"), std::string::npos) << caller.got;
 }
 
-// A stream is broken off before its end: aborted, too slowly read, out of memory, by the end of the
-// server.  A caller of HTTP/1.1 misses the last chunk; for one of HTTP/1.0, whose answer ends with
-// its connection, the end must not be an orderly one.
-TEST (HttpServer, AStreamThatIsCutIsSeenToBe)
+// A stream ends early: aborted, read too slowly, out of memory, or server shutdown.  An HTTP/1.1
+// caller does not receive the last chunk; for an HTTP/1.0 caller, whose answer ends with the
+// connection, the connection must not be closed in order.
+TEST (HttpServer, TruncatedStreamIsVisibleToTheCaller)
 {
   struct http_limits limits = test_server::ordinary_limits ();
   const std::string part (256 << 10, 'p');
@@ -344,9 +345,9 @@
       }
 }
 
-// A caller reads slowly, or not at all.  The server holds no more than its limit for it and lets
-// go of the connection; one that reads in the end gets every byte in order.
-TEST (HttpServer, HoldsBackForASlowReaderAndLetsGoOfOneThatDoesNotRead)
+// A caller reads slowly, or not at all.  The server buffers no more than its limit for it and
+// closes the connection; a caller that reads in the end receives every byte in order.
+TEST (HttpServer, BuffersForASlowReaderAndDisconnectsAStalledOne)
 {
   struct http_limits limits = test_server::ordinary_limits ();
   struct http_exchange *held = nullptr;
@@ -373,7 +374,7 @@
     return closed > 0;
   }));
 
-  // A whole answer larger than any socket buffer, to a caller that starts to read late.
+  // A complete answer larger than any socket buffer, to a caller that starts to read late.
   std::string large;
   for (int i = 0; large.size () < (24u << 20); i++)
     large += std::to_string (i) + ",";
@@ -393,9 +394,9 @@
   EXPECT_EQ (http_server_pending (server.server), 0u);
 }
 
-// Slow senders hold a connection each: one that sends nothing at all and one that stops within its
-// headers end by the idle limit.
-TEST (HttpServer, EndsConnectionsWithoutARequest)
+// Slow senders occupy a connection each: one that sends nothing and one that stops within its
+// headers are closed at the idle timeout.
+TEST (HttpServer, ClosesConnectionsWithoutARequest)
 {
   struct http_limits limits = test_server::ordinary_limits ();
 
@@ -411,9 +412,9 @@
   EXPECT_TRUE (server.paths.empty ());
 }
 
-// A sender that stops within its body ends by the limit for a whole request, and is told.  The idle
-// limit is far off, so that a busy machine cannot let it end the connection first.
-TEST (HttpServer, EndsSlowBodies)
+// A sender that stops within its body is answered and closed at the timeout of a complete request.
+// The idle timeout is much longer, so that it cannot close the connection first on a busy machine.
+TEST (HttpServer, TimesOutSlowBodies)
 {
   struct http_limits limits = test_server::ordinary_limits ();
 
@@ -429,7 +430,7 @@
   EXPECT_TRUE (server.paths.empty ());
 }
 
-TEST (HttpServer, BoundsTheConnectionsOfOneCaller)
+TEST (HttpServer, LimitsTheConnectionsOfOneCaller)
 {
   struct http_limits limits = test_server::ordinary_limits ();
 
@@ -461,9 +462,9 @@
   EXPECT_TRUE (target.wait_for (" 404 "));
 }
 
-// More callers connect than the process may serve.  Those over the bound are closed at once; those
-// that are in go on, and room that becomes free is used again.
-TEST (HttpServer, BoundsItsConnections)
+// More callers connect than the process may serve.  Those over the limit are closed at once;
+// accepted ones are served, and freed capacity is reused.
+TEST (HttpServer, LimitsItsConnections)
 {
   struct test_server server (test_server::ordinary_limits (), nullptr, nullptr, 3);
   auto first = std::make_unique<raw_caller> (server.loop, server.port ());
@@ -471,7 +472,7 @@
   struct raw_caller third (server.loop, server.port (HTTP_LISTENER_TARGETS));
   struct raw_caller fourth (server.loop, server.port ());
 
-  // Two listeners: which of them is served first is open, that one connection is too many is not.
+  // Two listeners: which is served first is unspecified, but one connection is over the limit.
   ASSERT_TRUE (run_until (
       server.loop, [&] { return server.counted ("cherryarch_http_connections_refused") == 1; }));
   EXPECT_EQ (server.counted ("cherryarch_http_connections_accepted"), 3);
@@ -496,9 +497,9 @@
   }));
 }
 
-// Shutdown: no new connections; what is in flight gets its whole answer, told that it is the last
-// of its connection.
-TEST (HttpServer, FinishesWhatIsInFlightAfterItStopsListening)
+// Shutdown: no new connections; requests in flight get their complete answer with an indication
+// that the connection closes after it.
+TEST (HttpServer, CompletesRequestsInFlightAfterItStopsListening)
 {
   struct test_server server;
   struct raw_caller caller (server.loop, server.port ());
@@ -523,9 +524,10 @@
   EXPECT_NE (caller.got.find ("POST /work? body"), std::string::npos) << caller.got;
 }
 
-// A caller was told by the kernel that it is connected and has sent its request, and the host
-// closes its port before it took the connection.  The request is answered, not cut.
-TEST (HttpServer, AnswersTheConnectionsThatWaitedWhenItStopsListening)
+// The kernel has completed the connection of a caller, which has sent its request, and the host
+// closes its listener before it accepted the connection.  The request must be answered and the
+// connection not reset.
+TEST (HttpServer, AnswersConnectionsInTheAcceptQueueWhenItStopsListening)
 {
   struct test_server server;
   struct raw_caller caller (server.loop, server.port ());
--- a/tests/unit_edges_support.h
+++ b/tests/unit_edges_support.h
@@ -1,5 +1,5 @@
-// What the tests of the edges share: a server with a route under the test's control, and a caller
-// that speaks raw bytes, both on one loop in one thread.
+// Shared by the tests of the edges: a server with a route controlled by the test, and a caller that
+// sends raw bytes, both on one loop in one thread.
 #ifndef UNIT_EDGES_SUPPORT_H
 #define UNIT_EDGES_SUPPORT_H
 
@@ -18,7 +18,7 @@
 #include <unistd.h>
 #include <vector>
 
-// An event that never comes ends a test after this; no verdict depends on how long one takes.
+// Ends a test whose expected event never arrives; no result depends on how long an event takes.
 const int64_t EVENT_WAIT = 20 * USEC_PER_SEC;
 
 inline bool
@@ -35,13 +35,13 @@
   return true;
 }
 
-// Connects to a port on loopback and keeps what comes.
+// Connects to a loopback port and stores the received data.
 struct raw_caller
 {
   struct loop *loop;
   int fd;
   std::string got;
-  bool closed = false; // by the other side, in order or by a reset
+  bool closed = false; // by the peer, in order or by a reset
   bool reset = false;
 
   raw_caller (struct loop *on, uint16_t port) : loop (on)
@@ -117,7 +117,7 @@
     });
   }
 
-  // The last chunk, or the connection's end.
+  // Waits for the last chunk or the end of the connection.
   bool
   wait_end ()
   {
@@ -138,14 +138,14 @@
   }
 };
 
-// A target that speaks bytes: for answers that no server of ours would give.
+// A target that sends raw bytes, for answers that our server would not produce.
 struct raw_target
 {
   struct loop *loop;
   int listener;
   int peer = -1; // the newest connection
   int connections = 0;
-  std::string got; // over it
+  std::string got; // received on it
 
   explicit raw_target (struct loop *on) : loop (on)
   {
@@ -186,7 +186,7 @@
 
         hang_up ();
         peer = next;
-        // What is said in two goes arrives so.
+        // Two writes arrive as two segments.
         setsockopt (peer, IPPROTO_TCP, TCP_NODELAY, &yes, sizeof yes);
         connections++;
         got.clear ();
@@ -211,7 +211,7 @@
                static_cast<ssize_t> (bytes.size ()));
   }
 
-  // Close in order, or by a reset.
+  // Closes the connection in order, or by a reset.
   void
   hang_up (bool reset = false)
   {
@@ -228,7 +228,7 @@
 // A server whose route calls `on_request`.
 struct test_server
 {
-  struct http_route route; // first
+  struct http_route route; // must be the first member
   struct loop *loop;
   struct counters *counters;
   struct http_server *server;
--- a/tests/unit_edges_tcp.cc
+++ b/tests/unit_edges_tcp.cc
@@ -1,4 +1,4 @@
-// Streams over TCP: more is sent than buffers hold, and how a connection's end is told.
+// TCP streams: sending more than the buffers hold, and how the end of a connection is reported.
 #include "loop.h"
 #include "tcp.h"
 #include "unit_edges_support.h"
@@ -17,10 +17,10 @@
   .ended = [] (struct tcp_stream *, enum tcp_end, int64_t) {},
 };
 
-// A configuration of some hundred routes is read back over a link whose buffers hold half of it.
-// The answer's first two buffers arrive, and nothing more: the loop forgot that there was a rest,
-// as it was asked to go on from within the call that says that one may.  The reader gives up.
-TEST (Tcp, SendsTheRestHoweverOftenTheBufferIsFull)
+// A configuration of some hundred routes is read over a link whose buffers hold half of it.  The
+// first two buffers of the answer arrive and nothing more, because the loop lost a writable request
+// that was made within the writable callback.  The reader gives up.
+TEST (Tcp, SendsAllDataHoweverOftenTheBufferIsFull)
 {
   struct loop *loop = loop_new_plain (nullptr, 16);
   struct tcp_stream stream = {};
@@ -53,7 +53,7 @@
   talloc_free (loop);
 }
 
-// A stream of ours and the socket at its other side, over loopback.
+// A local stream and the socket of its peer, over loopback.
 class TcpEnd : public testing::Test
 {
 protected:
@@ -86,7 +86,7 @@
     tcp_write (&ours.stream, bytes.data (), bytes.size ());
   }
 
-  // More than the kernel's buffers take.
+  // Writes more than the kernel buffers take.
   void
   fill ()
   {
@@ -109,7 +109,7 @@
     return run_until (loop, [this] { return n_ends > 0; });
   }
 
-  // Read at the other side to the end; true where that is a reset.
+  // Reads at the peer to the end; true where that is a reset.
   bool
   sees_reset ()
   {
@@ -120,7 +120,7 @@
   struct loop *loop = loop_new_plain (nullptr, 16);
   struct
   {
-    struct tcp_stream stream; // first
+    struct tcp_stream stream; // must be the first member
     TcpEnd *test;
   } ours = {};
   std::unique_ptr<raw_caller> peer;
@@ -150,8 +150,8 @@
   };
 };
 
-// A send reads the error of a reset, after which a read tells the end as if it were orderly.
-TEST_F (TcpEnd, IsAResetWhereASendMetItFirst)
+// A send consumes the error of a reset, after which a read reports the end as orderly.
+TEST_F (TcpEnd, IsAResetWhenASendSeesItFirst)
 {
   peer->send ("half");
   reset_by_peer ();
@@ -162,9 +162,9 @@
   EXPECT_EQ (got, "half");
 }
 
-// A whole answer that came before a reset, on a connection whose user may use it again: what a send
-// lost must count as unsent, or the next request goes into it.
-TEST_F (TcpEnd, LeavesBytesUnsentWhereASendFailed)
+// A complete answer arrived before a reset, on a connection that its user may reuse: data lost by a
+// failed send must count as unsent, or the next request would be sent on this connection.
+TEST_F (TcpEnd, CountsBytesOfAFailedSendAsUnsent)
 {
   peer->send ("whole");
   reset_by_peer ();
@@ -174,8 +174,8 @@
   EXPECT_TRUE (wait_ended ());
 }
 
-// A reset where the bytes were kept and the loop sends them.
-TEST_F (TcpEnd, IsAResetWhereTheLoopsSendMetItFirst)
+// A reset that occurs while the loop sends buffered bytes.
+TEST_F (TcpEnd, IsAResetWhenTheSendOfTheLoopSeesItFirst)
 {
   fill ();
   peer->send ("half");
@@ -185,8 +185,9 @@
   EXPECT_EQ (got, "half");
 }
 
-// Nothing else happens on the connection: the user must not wait for ever for a stream that failed.
-TEST_F (TcpEnd, IsToldSoonWhereTheOtherSideDoesNothing)
+// No other event occurs on the connection: the user must be notified of the failed stream
+// nevertheless.
+TEST_F (TcpEnd, IsReportedSoonWhenThePeerIsIdle)
 {
   fill ();
   write (std::string (TCP_UNSENT_MAX, 'x'));
@@ -195,8 +196,8 @@
   EXPECT_EQ (n_ends, 1);
 }
 
-// A stream that was cut at the limit of what is kept ends in order for the other side.
-TEST_F (TcpEnd, OfAnOverflowIsAResetForTheOtherSide)
+// Guards against a stream truncated at the buffer limit that ends in order for the peer.
+TEST_F (TcpEnd, OfAnOverflowIsAResetForThePeer)
 {
   fill ();
   write (std::string (TCP_UNSENT_MAX, 'x'));
@@ -207,8 +208,8 @@
   EXPECT_EQ (peer->got.find_first_not_of ('f'), std::string::npos);
 }
 
-// The same, with our end asked for before the loop has told of the failure.
-TEST_F (TcpEnd, OfAnOverflowIsAResetAlsoWhereTheUserEndsTheStream)
+// The same, with our end requested before the loop has reported the failure.
+TEST_F (TcpEnd, OfAnOverflowIsAResetAlsoWhenTheUserEndsTheStream)
 {
   fill ();
   write (std::string (TCP_UNSENT_MAX, 'x'));
@@ -218,11 +219,11 @@
   EXPECT_TRUE (sees_reset ());
 }
 
-// Bytes that cannot be kept leave a gap in the stream, with later bytes behind it.
-TEST_F (TcpEnd, OfMemoryIsAResetForTheOtherSide)
+// Bytes that cannot be buffered leave a gap in the stream, followed by later bytes.
+TEST_F (TcpEnd, OutOfMemoryIsAResetForThePeer)
 {
   fill ();
-  ours.stream.unsent->failed = true; // as a failed allocation leaves it
+  ours.stream.unsent->failed = true; // state after a failed allocation
   write (std::string (4u << 20, 'x'));
   write ("behind the gap");
   EXPECT_TRUE (wait_ended ());
@@ -231,7 +232,7 @@
   EXPECT_EQ (peer->got.find_first_not_of ('f'), std::string::npos);
 }
 
-// Bytes dropped by a close in the middle of a stream look like an orderly end to the other side.
+// Bytes discarded by a close in the middle of a stream would look like an orderly end to the peer.
 TEST_F (TcpEnd, OfACloseWithUnsentBytesIsAReset)
 {
   fill ();
@@ -261,8 +262,8 @@
   EXPECT_EQ (peer->got, "text");
 }
 
-// Both sides have ended: the hang-up that the loop tells comes with bytes that are still unread.
-TEST_F (TcpEnd, IsOrderlyBehindBytesThatCameAfterOurEnd)
+// Both sides have ended: the loop reports the hang-up while received bytes are still unread.
+TEST_F (TcpEnd, IsOrderlyAfterBytesReceivedAfterOurEnd)
 {
   std::string much (100000, 'm');
 
@@ -275,8 +276,8 @@
   EXPECT_EQ (got.size (), much.size ());
 }
 
-// A reset behind bytes that are still unread is never told as an orderly end.
-TEST_F (TcpEnd, IsAResetBehindUnreadBytes)
+// A reset after bytes that are still unread must not be reported as an orderly end.
+TEST_F (TcpEnd, IsAResetAfterUnreadBytes)
 {
   peer->send (std::string (100000, 'm'));
   reset_by_peer ();
@@ -284,8 +285,8 @@
   EXPECT_EQ (end, TCP_END_RESET);
 }
 
-// What is sent as a whole arrives, whatever the other side does with its own end meanwhile.
-TEST_F (TcpEnd, ComesBehindAllThatWasSent)
+// All data of a stream that ends in order arrives, even when the peer ends its side meanwhile.
+TEST_F (TcpEnd, FollowsAllSentData)
 {
   fill ();
   size_t unsent = tcp_unsent (&ours.stream);
--- a/tests/unit_edges_tls.cc
+++ b/tests/unit_edges_tls.cc
@@ -1,4 +1,4 @@
-// TLS towards callers and operators, with a certificate made for the test.
+// TLS for callers and operators, with a certificate created by the test.
 #include "certificate.h"
 #include "http_client.h"
 #include "unit_edges_support.h"
@@ -8,7 +8,7 @@
 
 struct tls_call
 {
-  struct http_call_sink sink; // first
+  struct http_call_sink sink; // must be the first member
   std::string body;
   int ends = 0;
   int failures = 0;
@@ -70,9 +70,9 @@
   ASSERT_TRUE (run_until (server.loop, [&] { return out.ends + out.failures > 0; }));
 }
 
-// A caller that trusts the certificate gets its whole answer; one that trusts another does not
-// speak to the server; one without TLS gets nothing from a route.
-TEST (HttpTls, ServesWhoTrustsTheCertificate)
+// A caller that trusts the certificate gets its complete answer; one that trusts another
+// certificate refuses the server; one without TLS gets no answer of a route.
+TEST (HttpTls, ServesCallersThatTrustTheCertificate)
 {
   struct certificate own;
   struct certificate other;
@@ -91,12 +91,12 @@
   EXPECT_TRUE (plain.wait_closed ());
   struct raw_caller target (server.loop, server.port (HTTP_LISTENER_TARGETS));
   target.send ("GET /plain HTTP/1.1\r\nhost: h\r\n\r\n");
-  EXPECT_TRUE (target.wait_for (" 404 ")); // targets speak plain HTTP
+  EXPECT_TRUE (target.wait_for (" 404 ")); // targets use plain HTTP
   EXPECT_EQ (server.paths, std::vector<std::string>{ "/tls" });
 }
 
-// The files of the settings are wrong: the server says so instead of serving without TLS.
-TEST (HttpTls, RefusesToStartWithoutAGoodCertificate)
+// The configured files are invalid: the server reports an error instead of serving without TLS.
+TEST (HttpTls, RefusesToStartWithoutAValidCertificate)
 {
   struct loop *loop = loop_new (nullptr, 64);
   struct http_server_config config = {};
--- a/tests/unit_product_log.cc
+++ b/tests/unit_product_log.cc
@@ -1,4 +1,4 @@
-// Log lines and counters, as an operator's tools read them.
+// Log lines and counters, in the formats read by operator tools.
 #include "bytes.h"
 #include "counter.h"
 #include "log.h"
@@ -67,7 +67,7 @@
 using Log = log_file;
 
 // A request id with quotes and line feeds must not be able to forge a second log line.
-TEST_F (Log, EachEventIsExactlyOneJsonObjectWhateverItsFieldsHold)
+TEST_F (Log, EachEventIsOneJsonObjectWhateverItsFieldsContain)
 {
   ASSERT_EQ (log_open (path.c_str (), LOG_LEVEL_INFO), STATUS_OK);
   log_event (LOG_MODULE_FLOW, LOG_LEVEL_INFO, "request", "{s:s}", "id", "a\"}\n{\"level\":\"x");
@@ -82,8 +82,9 @@
   EXPECT_EQ (field (all[1], "level"), "error");
 }
 
-// A caller sends an id that is not UTF-8; the outcome's line would be lost with the bad field.
-TEST_F (Log, AFieldThatIsNotTextCostsTheFieldsAndNotTheEvent)
+// A caller sends an id that is not UTF-8; the log line of the outcome would be lost with the
+// invalid field.
+TEST_F (Log, InvalidUtf8FieldDropsTheFieldsAndNotTheEvent)
 {
   ASSERT_EQ (log_open (path.c_str (), LOG_LEVEL_INFO), STATUS_OK);
   log_event (LOG_MODULE_FLOW, LOG_LEVEL_INFO, "request", "{s:s}", "id", "\xff\xfe");
@@ -93,14 +94,14 @@
   EXPECT_NE (field (all[0], "fields_error"), "(none)");
 }
 
-TEST_F (Log, AFieldCannotReplaceTheLevelOrTheTime)
+TEST_F (Log, FieldCannotReplaceTheLevelOrTheTime)
 {
   ASSERT_EQ (log_open (path.c_str (), LOG_LEVEL_INFO), STATUS_OK);
   log_event (LOG_MODULE_FLOW, LOG_LEVEL_INFO, "e", "{s:s}", "level", "error");
   EXPECT_EQ (field (lines ().at (0), "level"), "info");
 }
 
-TEST_F (Log, LevelsHoldByModule)
+TEST_F (Log, LevelsArePerModule)
 {
   ASSERT_EQ (log_open (path.c_str (), LOG_LEVEL_WARNING), STATUS_OK);
   log_set_level (LOG_MODULE_PEER, LOG_LEVEL_DEBUG);
@@ -112,7 +113,7 @@
   EXPECT_EQ (field (lines ()[0], "event"), "seen");
 }
 
-TEST_F (Log, BeforeItIsOpenedEventsGoNowhere)
+TEST_F (Log, EventsBeforeOpenAreDiscarded)
 {
   log_event (LOG_MODULE_HOST, LOG_LEVEL_ERROR, "early", nullptr);
   EXPECT_FALSE (log_enabled (LOG_MODULE_HOST, LOG_LEVEL_ERROR));
@@ -120,9 +121,10 @@
   EXPECT_EQ (log_open ("/nonexistent/folder/log", LOG_LEVEL_INFO), STATUS_IO);
 }
 
-// The log collector stops reading: its pipe fills.  A host that waited for it would stop serving.
-// Lines are dropped instead, no line is torn, and the number lost is in the log once it is read.
-TEST_F (Log, AReaderThatStopsCostsLinesAndNeverTime)
+// The log collector stops reading and its pipe fills.  A host that blocked on it would stop
+// serving.  Lines are dropped instead, no line is truncated, and the number of dropped lines is
+// logged once the pipe is read again.
+TEST_F (Log, StalledReaderDropsLinesAndNeverBlocks)
 {
   unlink (path.c_str ());
   ASSERT_EQ (mkfifo (path.c_str (), 0600), 0);
@@ -163,10 +165,9 @@
   EXPECT_EQ (fillers + dropped, 200);
 }
 
-// The disk under the log fills up.  The host must go on and say it, once and not once a request.
-// A flood of requests, each with its lines: beyond the bound of a second they are counted in place
-// of written, and warnings are written all the same.
-TEST_F (Log, BoundsTheLinesOfASecond)
+// A flood of requests, each with its log lines: lines beyond the limit per second are counted
+// instead of written, and warnings are always written.
+TEST_F (Log, LimitsTheLinesPerSecond)
 {
   const int lines = 3 * LOG_LINES_PER_SECOND;
   std::ifstream in;
@@ -186,14 +187,16 @@
       warned = warned || line.find ("\"warned\"") != std::string::npos;
       counted = counted || line.find ("log_lines_dropped") != std::string::npos;
     }
-  // The loop may cross into another second, on a slow machine into several.
+  // The loop may span two seconds, on a slow machine several.
   EXPECT_LE (flood, lines);
   EXPECT_GE (flood, LOG_LINES_PER_SECOND);
   EXPECT_TRUE (warned);
   EXPECT_EQ (counted, flood < lines);
 }
 
-TEST_F (Log, AFullDiskIsSaidOnceAndServingGoesOn)
+// The disk of the log is full.  The host must continue and report the failure once, not once per
+// request.
+TEST_F (Log, FullDiskIsReportedOnceAndServingContinues)
 {
   ASSERT_EQ (log_open ("/dev/full", LOG_LEVEL_INFO), STATUS_OK);
   testing::internal::CaptureStderr ();
@@ -215,7 +218,7 @@
   return text;
 }
 
-TEST (Counter, WritesTheTextFormatWithOneHeadForEachName)
+TEST (Counter, WritesTheTextFormatWithOneHeaderPerName)
 {
   struct counters *counters = counters_new (nullptr);
 
@@ -229,7 +232,7 @@
   talloc_free (counters);
 }
 
-TEST (Counter, HistogramBucketsAreCumulativeAndEndWithAll)
+TEST (Counter, HistogramBucketsAreCumulativeAndEndWithInf)
 {
   struct counters *counters = counters_new (nullptr);
   struct histogram *histogram = histogram_get (counters, "h", "Spans", "k=\"v\"");
@@ -261,8 +264,8 @@
   EXPECT_NEAR (histogram_quantile (histogram.get (), 0.99), 990, 32);
 }
 
-// A clock that steps or a faulty figure from outside must not write beyond the buckets.
-TEST (Counter, ValuesOutsideTheRangeCountInTheEndBuckets)
+// A clock step or an invalid value from outside must not write outside the buckets.
+TEST (Counter, ValuesOutOfRangeCountInTheEndBuckets)
 {
   auto histogram = std::make_unique<struct histogram> ();
 
--- a/tests/unit_product_session.cc
+++ b/tests/unit_product_session.cc
@@ -1,4 +1,4 @@
-// The operators' client against hosts that lose answers, have no leader or are not there.
+// The operator client against hosts that lose answers, have no leader or are not reachable.
 #include "cli_session.h"
 #include <arpa/inet.h>
 #include <gtest/gtest.h>
@@ -13,7 +13,7 @@
 namespace
 {
 
-// Answers one connection after the other with the texts it was given; "" closes without a word.
+// Answers successive connections with the given texts; "" closes the connection without an answer.
 struct scripted_host
 {
   int fd = -1;
@@ -142,9 +142,9 @@
 
 using Session = session_fixture;
 
-// An operator applies a change; the host takes it and dies before its answer.  Without a resend the
-// operator does not know; with a resend under another id it would count twice.
-TEST_F (Session, AChangeWhoseAnswerIsLostGoesToTheNextHostUnderTheSameId)
+// An operator applies a change; the host accepts it and fails before its answer.  Without a retry
+// the outcome is unknown; a retry under another id would apply the change twice.
+TEST_F (Session, ChangeWithALostAnswerIsRetriedAtTheNextHostUnderTheSameId)
 {
   scripted_host dies ({ "" });
   scripted_host lives ({ answer (200, "{\"a\":1}") });
@@ -162,7 +162,7 @@
   EXPECT_NE (lives.requests[0].find ("\r\n\r\n{\"x\":2}"), std::string::npos);
 }
 
-TEST_F (Session, AHostWithoutALeaderIsPassedOverAndAConflictIsNot)
+TEST_F (Session, HostWithoutALeaderIsSkippedAndAConflictIsReported)
 {
   scripted_host leaderless ({ answer (503, "{}") });
   scripted_host refuses ({ answer (409, "{}") });
@@ -176,8 +176,8 @@
   EXPECT_EQ (unused.requests.size (), 0u);
 }
 
-// No leader for a moment, as after a host was lost: the client asks again and does not fail.
-TEST_F (Session, ALeaderThatComesBackIsWaitedFor)
+// No leader for a short time, as after the loss of a host: the client retries and does not fail.
+TEST_F (Session, RetriesWhileThereIsNoLeader)
 {
   scripted_host host ({ answer (503, "{}"), answer (200, "{}") });
 
@@ -186,7 +186,7 @@
   EXPECT_EQ (got.code, 200);
 }
 
-TEST_F (Session, HostsThatAreNotThereAreNamedAtOnce)
+TEST_F (Session, UnreachableHostsAreReportedAtOnce)
 {
   std::string gone;
   {
@@ -198,7 +198,7 @@
   EXPECT_NE (std::string (status_message ()).find (gone), std::string::npos) << status_message ();
 }
 
-TEST_F (Session, TheTokenIsSentAsABearer)
+TEST_F (Session, TokenIsSentAsABearerToken)
 {
   scripted_host host ({ answer (200, "{}") });
 
@@ -226,7 +226,7 @@
 
 const struct cli_stream_ops take_ops = { .event = take };
 
-TEST_F (Session, AStreamGivesItsEventsAndStopsWhenTold)
+TEST_F (Session, StreamDeliversItsEventsAndStopsOnRequest)
 {
   scripted_host host ({ answer (200, "data: 1\n\ndata: 2\n\ndata: 3\n\n", "text/event-stream"),
                         answer (410, "{\"error\":{}}") });
