--- a/src/access.c
+++ b/src/access.c
@@ -1,9 +1,9 @@
-/* Tokens to organisations and operators.
+/* Maps tokens to organisations and operators.
  *
- * Only hashes of tokens are kept.  A caller's token is found by its hash through an index that is
- * built anew when a configuration comes into force: a walk over 560 organisations would cost each
- * request more than its routing.  The look-up's time depends on the hash of what was sent, of which
- * nobody can choose enough bytes to learn another's. */
+ * Only hashes of tokens are stored.  A caller's token is looked up by its hash in an index that is
+ * rebuilt whenever a configuration comes into force: a linear scan of 560 organisations would cost
+ * each request more than its routing.  The look-up time depends on the hash of the token sent; a
+ * sender cannot choose enough bytes of a hash for a timing attack on another's token. */
 #include "access.h"
 #include "text.h"
 #include <sodium.h>
@@ -16,7 +16,7 @@
 #define DEFAULT_ORGANISATION "default"
 #define ADMIN_NAME "admin"
 #define ANONYMOUS_NAME "anonymous"
-/* Longer than any token of ours; a longer one is wrong whatever it holds. */
+/* Bytes.  Longer than any token that keygen generates; a longer one is rejected unhashed. */
 #define TOKEN_MAX 256
 
 struct token
@@ -57,8 +57,8 @@
   struct token *token;
 
   HASH_FIND (hh, access->tokens, hash, RESOURCE_TOKEN_HASH_SIZE, token);
-  /* Two organisations with one token: the token would speak for whichever came first, so it
-   * speaks for neither. */
+  /* A token shared by two organisations would authenticate as whichever came first, so it
+   * authenticates neither. */
   if (token != NULL)
     {
       if (!handle_equal (token->organisation, organisation))
@@ -183,7 +183,7 @@
   return access;
 }
 
-/* The hash of the bearer token; false when there is none of a possible length. */
+/* Hashes the bearer token; false when it is missing, empty or longer than TOKEN_MAX. */
 static bool
 bearer_hash (const struct http_exchange *exchange, uint8_t out[RESOURCE_TOKEN_HASH_SIZE])
 {
@@ -198,7 +198,7 @@
   return true;
 }
 
-/* `named` is the organisation that the header names, NULL for none. */
+/* `named` is the value of the x-organisation header, NULL when absent. */
 static enum status
 caller_by_token (struct access *access,
                  const struct http_exchange *exchange,
--- a/src/access_token.c
+++ b/src/access_token.c
@@ -1,4 +1,4 @@
-/* The stored form of tokens, for the host that checks them and the command that makes them. */
+/* Hashing of tokens, shared by the host that checks them and the command that generates them. */
 #include "access.h"
 #include <sodium.h>
 #include <string.h>
--- a/src/board.c
+++ b/src/board.c
@@ -1,4 +1,4 @@
-/* The blackboard's tables, look-ups by name, and its subscribers. */
+/* The blackboard: tables, look-ups by name, and subscribers. */
 #include "board.h"
 #include <string.h>
 #include <talloc.h>
@@ -53,7 +53,7 @@
     subscriber->ops->changed (subscriber, event, handle, now);
 }
 
-/* XXX: a walk over the table; an index by name is due when look-ups show in a profile. */
+/* XXX: linear scan; add an index by name when look-ups show up in a profile. */
 static void *
 find (const struct table *table, size_t name_offset, const char *name, struct handle *out)
 {
--- a/src/board.h
+++ b/src/board.h
@@ -1,7 +1,7 @@
-/* The blackboard: the tables that controllers read and write.
+/* The blackboard: tables shared by the modules of a host.
  *
- * Each field says who writes it.  Everyone else only reads.  A controller that needs to know of a
- * change subscribes with board_subscribe() or looks on its own timer. */
+ * Each field has one writer, named in its comment; all other modules only read it.  A module that
+ * needs to react to changes subscribes with board_subscribe() or polls on a timer of its own. */
 #ifndef BOARD_H
 #define BOARD_H
 
@@ -40,7 +40,7 @@
 
 const char *host_state_text (enum host_state state);
 
-/* A host of the system, ourselves among them.  Writer: member.c. */
+/* A host of the system, this one included.  Writer: member.c. */
 struct board_host
 {
   char name[RESOURCE_NAME_SIZE];
@@ -54,12 +54,12 @@
   enum host_state state;
   bool self;
   bool voter;           /* has a data folder and may vote */
-  bool behind;          /* says that its configuration is old or not confirmed */
-  bool cut_off;         /* says that it reaches less than half of the hosts */
-  uint64_t incarnation; /* grows at each start of its process */
+  bool behind;          /* reports that its configuration is stale or unconfirmed */
+  bool cut_off;         /* reports that it reaches less than half of the hosts */
+  uint64_t incarnation; /* increases at each start of its process */
   uint64_t revision;    /* of the configuration it has in force */
   double load;          /* 0 idle to 1 full */
-  int64_t heard_at;     /* USEC monotonic, ours */
+  int64_t heard_at;     /* last message received; USEC, monotonic, this host's clock */
 };
 
 /* name, text */
@@ -75,11 +75,11 @@
       TARGET_STATE_COUNT
 };
 
-/* What a target last said of its load; late and with gaps.  Writer: directory.c. */
+/* The last load report of a target; reports are delayed and may be lost.  Writer: directory.c. */
 struct load_report
 {
   int64_t received_at; /* 0: none yet */
-  int64_t measured_at; /* our clock, from the age the target gives */
+  int64_t measured_at; /* this host's clock, from the age that the target reports */
   uint32_t running;
   uint32_t waiting;
   double kv_used; /* share of the KV cache in use */
@@ -87,7 +87,7 @@
 
 struct decide_target;
 
-/* A target that announced itself.  Writer: directory.c, but for the fields marked. */
+/* A target that announced itself.  Writer: directory.c, except for the fields marked. */
 struct board_target
 {
   char name[RESOURCE_NAME_SIZE];
@@ -100,21 +100,21 @@
   char adapters[BOARD_MODELS_MAX][RESOURCE_NAME_SIZE];
   uint32_t n_adapters;
   char version[RESOURCE_NAME_SIZE];
-  char home[RESOURCE_NAME_SIZE]; /* the host it announces itself to */
-  bool checks_orders;            /* refuses an old fencing number */
+  char home[RESOURCE_NAME_SIZE]; /* the host to which it announces itself */
+  bool checks_orders;            /* rejects an outdated fencing token */
   bool reports_load;
   uint32_t slots;       /* concurrent calls, 0 when not announced */
   uint64_t incarnation; /* of the target's process */
   uint64_t sequence;    /* of its announcements within the incarnation */
   enum target_state state;
-  int64_t lease_until; /* no new work after this, whatever else is known */
+  int64_t lease_until; /* USEC; no new work after this, whatever its state */
   struct load_report report;
-  uint32_t in_flight;           /* our own attempts on it.  Writer: flow.c */
-  struct decide_target *decide; /* what was learned of it.  Writer: decide.c */
+  uint32_t in_flight;           /* this host's attempts in progress on it.  Writer: flow.c */
+  struct decide_target *decide; /* learned routing state.  Writer: decide.c */
   struct handle pool_handle;    /* none while the pool is not declared */
 };
 
-/* Writer of pools, pipelines and organisations: config.c, revision by revision. */
+/* Pools, pipelines and organisations are written by config.c, one revision at a time. */
 struct board_pool
 {
   struct pool_spec spec;
@@ -138,7 +138,7 @@
 #define BOARD_EVENT_LIST(X)                                                                        \
   X (TARGET_ADDED)                                                                                 \
   X (TARGET_CHANGED)                                                                               \
-  X (TARGET_REMOVED) /* sent before the entry goes */                                              \
+  X (TARGET_REMOVED) /* sent before the entry is removed */                                        \
   X (HOST_ADDED)                                                                                   \
   X (HOST_CHANGED)                                                                                 \
   X (CONFIG_CHANGED) /* a revision came into force; the handle is none */
@@ -174,22 +174,22 @@
   struct table *organisations; /* struct board_organisation */
   struct handle self;          /* our own entry in hosts */
   uint64_t revision;           /* of the configuration in force here.  Writer: config.c */
-  int64_t confirmed_at;        /* when a quorum last confirmed it, 0 never.  Writer: config.c */
-  bool config_ready;           /* a confirmed revision is in force: may serve.  Writer: config.c */
-  bool targets_unknown;        /* just started, homes not heard yet.  Writer: directory.c */
-  bool leaving;                /* we are shutting down.  Writer: drain.c */
-  bool refusing;               /* new requests are refused as not run.  Writer: drain.c */
+  int64_t confirmed_at; /* last confirmation by a quorum, USEC; 0: never.  Writer: config.c */
+  bool config_ready;    /* a confirmed revision is in force: may serve.  Writer: config.c */
+  bool targets_unknown; /* just started, target lists incomplete.  Writer: directory.c */
+  bool leaving;         /* this host is shutting down.  Writer: drain.c */
+  bool refusing;        /* new requests are rejected as not run.  Writer: drain.c */
   uint32_t requests_in_flight; /* Writer: flow.c */
-  double load;                 /* ours, 0 to 1.  Writer: flow.c */
+  double load;                 /* of this host, 0 to 1.  Writer: flow.c */
   struct board_subscriber *subscribers;
 };
 
-/* Freed with `parent`.  NULL when memory is out. */
+/* Freed with `parent`.  NULL when out of memory. */
 struct board *board_new (void *parent);
 void board_subscribe (struct board *board, struct board_subscriber *subscriber);
 void board_publish (struct board *board, enum board_event event, struct handle handle, int64_t now);
 
-/* By name; NULL when there is none. */
+/* Look up by name; NULL when there is none.  `out` may be NULL. */
 struct board_host *board_find_host (const struct board *board,
                                     const char *name,
                                     struct handle *out);
@@ -206,7 +206,7 @@
                                                     const char *name,
                                                     struct handle *out);
 
-/* May new work go to this target at `now`? */
+/* May new work be sent to this target at `now`? */
 static inline bool
 board_target_usable (const struct board_target *target, int64_t now)
 {
--- a/src/budget.h
+++ b/src/budget.h
@@ -1,9 +1,9 @@
-/* A budget that recent events fill and extra work empties: retries as a share of successes, hedges
- * as a share of requests.
+/* A token bucket for extra attempts, refilled by recent events: retries are limited to a share of
+ * successes, hedges to a share of requests.
  *
- * Guards against a retry storm: when a pool fails, every request would be sent again and the load
- * doubles just as capacity is lost.  Successes stop, so the budget stops filling, and the extra
- * load is bounded by the share whatever fails. */
+ * Prevents retry storms: when a pool fails, retrying every request would double the load just as
+ * capacity is lost.  Without successes the bucket is not refilled, so the extra load stays bounded
+ * by the share. */
 #ifndef BUDGET_H
 #define BUDGET_H
 
@@ -12,8 +12,8 @@
 
 BEGIN_DECLS
 
-#define BUDGET_START 2.0 /* what a fresh budget holds, so that the first failure may be retried */
-#define BUDGET_MAX 20.0  /* saved up at most: bounds the extra load of one moment */
+#define BUDGET_START 2.0 /* initial tokens, so that the first failure may be retried */
+#define BUDGET_MAX 20.0  /* bucket size: bounds a burst of extra attempts */
 
 struct budget
 {
@@ -26,7 +26,7 @@
   return (struct budget){ .held = BUDGET_START };
 }
 
-/* An event that earns `share` of one retry. */
+/* Adds `share` of one attempt, up to BUDGET_MAX. */
 static inline void
 budget_earn (struct budget *budget, double share)
 {
--- a/src/caller.c
+++ b/src/caller.c
@@ -1,4 +1,4 @@
-/* Reading and checking callers' requests. */
+/* Parsing and validation of callers' requests. */
 #include "caller.h"
 #include "stage.h"
 #include "text.h"
@@ -42,7 +42,7 @@
   return true;
 }
 
-/* "PREFIX/NAME/requests" gives NAME. */
+/* Extracts NAME from "PREFIX/NAME/requests". */
 static enum status
 read_path (const char *path, struct caller_request *out, struct caller_error *error)
 {
@@ -66,7 +66,7 @@
   return STATUS_OK;
 }
 
-/* A whole number from `min` to `max`; `out` stays when the header is absent. */
+/* Reads an integer from `min` to `max`; `out` is unchanged when the header is absent. */
 static enum status
 read_number (const struct http_exchange *exchange,
              const char *name,
--- a/src/caller.h
+++ b/src/caller.h
@@ -1,4 +1,4 @@
-/* A caller's request as it comes over HTTP: its path, headers and body, checked. */
+/* Parsing and validation of a caller's HTTP request: path, headers and body. */
 #ifndef CALLER_H
 #define CALLER_H
 
@@ -16,9 +16,9 @@
 #define CALLER_ID_SIZE 129 /* with the NUL */
 #define CALLER_PREFIX_PIPELINES "/v1/pipelines"
 #define CALLER_PREFIX_SERVICES "/v1/services"
-#define CALLER_TOKENS_MAX 1000000 /* asked for at most */
+#define CALLER_TOKENS_MAX 1000000 /* upper limit of max_tokens */
 
-/* yes, no, or not said */
+/* A yes/no header that may be absent. */
 enum caller_choice
 {
   CALLER_NOT_SAID,
@@ -31,15 +31,15 @@
   char pipeline[RESOURCE_NAME_SIZE];
   bool service;
   char id[CALLER_ID_SIZE]; /* "" when the caller gave none */
-  int64_t window;          /* span, USEC; 0 when not said */
+  int64_t window;          /* time until the deadline, USEC; 0 when not given */
   enum caller_choice repeatable;
-  int priority; /* -1 when not said */
+  int priority; /* -1 when not given */
   bool stream;
-  uint32_t max_tokens; /* 0 when not said */
+  uint32_t max_tokens; /* 0 when not given */
   json_t *input;       /* a new reference; NULL for a service */
 };
 
-/* Why a request is not taken: an HTTP status, the field at fault (NULL for none), a message. */
+/* Why a request is rejected: HTTP status, the field at fault (NULL for none) and a message. */
 struct caller_error
 {
   int code;
@@ -47,7 +47,7 @@
   char message[160];
 };
 
-/* Read all of a request; STATUS_INVALID fills `error`. */
+/* Parses and validates a request; on STATUS_INVALID `error` is filled in. */
 enum status caller_read (const struct http_exchange *exchange,
                          const struct settings *settings,
                          struct caller_request *out,
