--- a/src/controller.c
+++ b/src/controller.c
@@ -1,4 +1,4 @@
-/* A controller: the feed to the entry hosts, and the parts around it. */
+/* A controller: state replication to the entry hosts. */
 #include "container.h"
 #include "controller_private.h"
 #include "log.h"
@@ -10,18 +10,18 @@
 
 #define TICK_PERIOD (250 * USEC_PER_MSEC)
 
-/* A quorum is asked for so long; then the state goes out unconfirmed. */
+/* Timeout of a quorum read; after it the state is sent unconfirmed. */
 #define CONFIRM_WAIT (800 * USEC_PER_MSEC)
 
-/* Pushes wait this long, so that a run of changes makes one message. */
+/* Delay of a push, so that a burst of changes is sent as one message. */
 #define PUSH_DELAY (5 * USEC_PER_MSEC)
 
 /* ---- confirmation by a quorum ---- */
 
 static void ask_quorum (struct controller *controller, int64_t now);
 
-/* Only asks that were here before the question are confirmed by it: the answer says nothing of what
- * was committed since. */
+/* A quorum read confirms only requests that arrived before it started: its result does not cover
+ * what was committed since. */
 static void
 answer_asks (struct controller *controller, bool confirmed, int64_t now)
 {
@@ -96,7 +96,8 @@
   return NULL;
 }
 
-/* The record of a host that asks; when all are taken, in place of one that is long gone. */
+/* Finds or creates the record of a host; when all records are in use, replaces one whose lease has
+ * expired.  NULL when there is none. */
 static struct fed_host *
 take_host (struct controller *controller, const char *name, int64_t now)
 {
@@ -115,7 +116,7 @@
   return host;
 }
 
-/* A host without a record is never confirmed: it serves nobody. */
+/* A host without a record gets no confirmation and therefore serves no requests. */
 static void
 refuse_host (struct controller *controller, const char *name)
 {
@@ -130,7 +131,7 @@
   return controller_host_lives (host, now) && !host->self.leaving;
 }
 
-/* The list's revision grows when a host comes, goes, or begins anew. */
+/* Updates the list of entry hosts; its revision increases whenever a host is added or removed. */
 static void
 update_list (struct controller *controller, int64_t now)
 {
@@ -169,7 +170,7 @@
       return;
     }
   counter_add (controller->asks, 1);
-  /* What it holds of an earlier start of ours means nothing now. */
+  /* Revisions that it holds from an earlier incarnation of this controller are void. */
   if (ask.controller != controller->config.incarnation)
     {
       ask.targets = 0;
@@ -197,7 +198,7 @@
   return n;
 }
 
-/* An entry host in the order of a list. */
+/* Sort key of an entry host in a client's list. */
 struct listed
 {
   const struct sync_host *host;
@@ -266,7 +267,7 @@
         continue;
       host->nonce = 0;
       controller_send_state (controller, host, false, now);
-      /* The ask is still to be answered: a push confirms nothing. */
+      /* Keep the request pending: a push is no confirmation. */
       host->nonce = nonce;
       counter_add (controller->pushes, 1);
     }
@@ -290,7 +291,7 @@
   controller_push_soon (controller, now);
 }
 
-/* ---- the whole ---- */
+/* ---- messages, timers and construction ---- */
 
 static void
 received (
--- a/src/controller.h
+++ b/src/controller.h
@@ -1,5 +1,5 @@
-/* A controller: a host that follows the log, takes the operators' document and the targets'
- * registrations, and keeps the entry hosts up to date. */
+/* A controller: a host that replicates the log, accepts the operators' document and the targets'
+ * registrations, and sends both to the entry hosts. */
 #ifndef CONTROLLER_H
 #define CONTROLLER_H
 
@@ -14,17 +14,19 @@
 
 BEGIN_DECLS
 
-/* An entry host not heard for so long is no longer named to clients.  It asks every
- * SYNC_REQUEST_PERIOD, so that two asks may be lost. */
+/* Lease of an entry host: one not heard from for this long is no longer listed to clients.  It
+ * sends a request every SYNC_REQUEST_PERIOD, so two may be lost. */
 #define CONTROLLER_HOST_LEASE (1800 * USEC_PER_MSEC)
 
-/* After its start a controller counts on entry hosts to ask within so long; they try a controller
- * that did not answer yet several times a second.  Where all hosts start at once, a target that was
- * turned away meanwhile would come back a heartbeat later, and get no work until then. */
+/* After its start a controller accepts targets for this long although no entry host has sent a
+ * request yet; entry hosts retry a controller that has not answered several times a second.  When
+ * all hosts start at once, a target rejected in that time would retry only a heartbeat later and
+ * get no work until then. */
 #define CONTROLLER_START_GRACE (3 * USEC_PER_SEC)
 
-/* A leaving target's word must be on a majority of the controllers before it is acknowledged, by
- * then at the latest: who gets no answer within a second asks the next controller. */
+/* Timeout for replicating a leaving target's registration to a majority of the controllers, which
+ * precedes the acknowledgement.  It is below one second, after which a target without an answer
+ * tries the next controller. */
 #define CONTROLLER_LEAVE_WAIT (700 * USEC_PER_MSEC)
 
 struct controller;
@@ -32,7 +34,7 @@
 struct controller_member
 {
   const char *name; /* its peer address */
-  bool voter;       /* else a learner: it follows the log and serves like the others */
+  bool voter;       /* else a learner, which replicates the log and serves but does not vote */
 };
 
 struct controller_config
@@ -44,17 +46,17 @@
   struct timer_service *timers;
   struct counters *counters;
   uint64_t incarnation;
-  int64_t now; /* of the loop, at the start */
+  int64_t now; /* loop time at the start, USEC */
 
-  /* The controllers that follow the log, as it knows them; the count. */
+  /* Writes the log's member list (voters and learners) to `out`; returns the count. */
   uint32_t (*members) (void *context, struct controller_member out[SYNC_CONTROLLERS_MAX]);
   void *members_context;
 };
 
-/* Freed with `parent`.  NULL when memory is out. */
+/* Freed with `parent`.  NULL when out of memory. */
 struct controller *controller_new (void *parent, const struct controller_config *config);
 
-/* Embedded by who waits for a word to be taken. */
+/* A pending replication of a registration; embedded by its owner. */
 struct controller_wait
 {
   const struct controller_wait_ops *ops;
@@ -62,30 +64,31 @@
   struct timer timer;
   struct controller *controller;
   uint64_t number;
-  uint32_t wanted; /* acknowledgements of other controllers still to come */
+  uint32_t wanted; /* acknowledgements needed from other voters */
   char seen[SYNC_CONTROLLERS_MAX][ROUTING_NAME_SIZE];
   uint32_t n_seen;
 };
 
 struct controller_wait_ops
 {
-  /* OK: known to as many controllers as a majority of the voters.  STATUS_TIMEOUT: perhaps not. */
+  /* STATUS_OK: held by a majority of the voters.  STATUS_TIMEOUT: perhaps not. */
   void (*done) (struct controller_wait *wait, enum status status, int64_t now);
 };
 
-/* May a target register here?  Not at a controller that does not follow the log, or that no entry
- * host asks, while others are there: entry hosts would never hear of the target, which would wait
- * for work that does not come. */
+/* May a target register here?  False at a controller that is not a member of the log and, where
+ * there are other controllers, at one without a live entry host after CONTROLLER_START_GRACE: entry
+ * hosts would never learn of the target, and it would get no work. */
 bool controller_reaches_entries (const struct controller *controller, int64_t now);
 
-/* A target renewed, leaves, or is gone.  True: taken, and done() will not come. */
+/* Stores a target's registration: a renewal, leaving or gone.  True: accepted, and done() will not
+ * be called. */
 bool controller_register (struct controller *controller,
                           const struct registry_registration *word,
                           struct controller_wait *wait,
                           int64_t now);
 
-/* A target says that it is gone, by its identity and the time of its start (0: not told).  The
- * same, and true for one not known. */
+/* Marks a target as gone, by its identity and start time (0: not given).  Returns as
+ * controller_register() does; also accepts an unknown target. */
 bool controller_deregister (struct controller *controller,
                             const char *id,
                             uint64_t started,
@@ -93,27 +96,27 @@
                             int64_t now);
 void controller_withdraw (struct controller *controller, struct controller_wait *wait);
 
-/* The entry hosts that clients of a failure domain ("" for any) may use now, `most` at most; the
- * count.
+/* Lists the entry hosts that clients of a failure domain ("" for any) may use now, at most `most`;
+ * returns the count.
  *
- * Load pattern: more entry hosts than a list may name.  Were the first ones named to all, the
- * others would get nothing and those all the load.  Hosts of the clients' own domain go first, so
- * that each is named to somebody, and the rest in an order that differs from domain to domain.  It
- * is the same at all controllers and at all times: a client that was named other hosts at each
- * question would give up its connections each time. */
+ * There may be more entry hosts than a list can hold.  If all clients got the same ones, these
+ * would take all the load and the others none.  Hosts of the clients' own domain come first, so
+ * that each host is in some list, then the rest in an order that differs between domains.  The
+ * order is the same at all controllers and at all times: a client that got different hosts at each
+ * request would drop its connections each time. */
 uint32_t controller_entries (const struct controller *controller,
                              const char *domain,
                              uint32_t most,
                              const struct sync_host *out[SYNC_HOSTS_MAX],
                              int64_t now);
 
-/* The entry hosts that were heard lately, by name; the count.  The names hold until the next
- * message is handled. */
+/* Lists the names of the entry hosts whose leases are valid; returns the count.  The names stay
+ * valid until the next message is handled. */
 uint32_t controller_hosts (const struct controller *controller,
                            const char *out[SYNC_HOSTS_MAX],
                            int64_t now);
 
-/* The document changed: tell the entry hosts now. */
+/* Logs the new document version and schedules a push to the entry hosts. */
 void controller_document_changed (struct controller *controller, int64_t now);
 
 END_DECLS
--- a/src/controller_host.c
+++ b/src/controller_host.c
@@ -1,4 +1,4 @@
-/* A controller's process: the log, the document, the registrations. */
+/* A controller's process: log, document and registrations. */
 #include "controller_host.h"
 #include "consensus_voter.h"
 #include "container.h"
@@ -9,26 +9,27 @@
 #include <string.h>
 #include <talloc.h>
 
-/* A leader that is silent for this long is replaced.  Its own sync of a slow disk, and a process
- * that gets a seventh of a core, must fit in: a heartbeat every 80 ms leaves room for four lost or
- * late ones.  After a loss of power of all, half a second of service hangs on it. */
+/* Raft timing.  The election timeout must cover the leader's sync to a slow disk and a process that
+ * gets a seventh of a core: a heartbeat every 80 ms allows for four lost or late ones.  After a
+ * power loss of all hosts the election delays service by about half a second. */
 #define HEARTBEAT (80 * USEC_PER_MSEC)
 #define ELECTION_MIN (350 * USEC_PER_MSEC)
 #define ELECTION_MAX (700 * USEC_PER_MSEC)
 
-/* A voter silent for so long gives way to one that waits.  A reboot takes about as long, and costs
- * nothing where nobody waits. */
+/* A voter silent for this long is replaced by a waiting learner.  A reboot takes about as long; it
+ * causes no replacement where no learner waits. */
 #define REPLACE_AFTER (1500 * USEC_PER_MSEC)
 #define REPAIR_PERIOD (100 * USEC_PER_MSEC)
 #define HELLO_PERIOD (300 * USEC_PER_MSEC)
 #define HELLO_SILENCE (1500 * USEC_PER_MSEC)
 
-/* The disk is small: keep a twentieth of what the product keeps elsewhere. */
+/* The disk is small: a twentieth of the sizes used elsewhere in the product. */
 #define RESERVE_BYTES (4u << 20)
 #define SEGMENT_BYTES (1u << 20)
 #define SNAPSHOT_ENTRIES 256
 
-/* A shutdown waits so long for leadership to go over and for answers that are due. */
+/* Limits of the time that a shutdown waits for the transfer of leadership and for pending
+ * responses. */
 #define DRAIN_BOUND (1500 * USEC_PER_MSEC)
 #define DRAIN_LEAST (400 * USEC_PER_MSEC)
 #define DRAIN_LOOK (50 * USEC_PER_MSEC)
@@ -55,7 +56,7 @@
   struct controller_host *host = CONTAINER_OF (listener, struct controller_host, listener);
 
   (void) document;
-  /* A restart replays the log before there is a controller. */
+  /* A restart replays the log before the controller is created. */
   if (host->controller != NULL)
     controller_document_changed (host->controller, loop_now (host->base.loop));
 }
@@ -87,7 +88,7 @@
 
 static const struct quarantine_peers_ops peers_ops = { .list = list_hosts };
 
-/* ---- the end ---- */
+/* ---- shutdown ---- */
 
 static void
 drain_fired (struct timer *timer, int64_t now)
@@ -140,7 +141,7 @@
 
 static const struct dump_source_ops dump_ops = { .describe = describe };
 
-/* ---- building ---- */
+/* ---- construction ---- */
 
 static enum status
 build_consensus (struct controller_host *host)
@@ -167,7 +168,7 @@
                 .repair_period = REPAIR_PERIOD,
                 .hello_period = HELLO_PERIOD,
                 .hello_after = HELLO_SILENCE },
-    /* A lease rests on a clock that stands still while the host is suspended. */
+    /* A leader lease relies on a clock that stops while the host is suspended. */
     .no_lease = true,
     .snapshot_entries = SNAPSHOT_ENTRIES,
     .segment_bytes = SEGMENT_BYTES,
--- a/src/controller_host.h
+++ b/src/controller_host.h
@@ -1,4 +1,5 @@
-/* A controller: keeps the configuration with others of its kind, knows targets and entry hosts. */
+/* The process of a controller: replicates the configuration with the other controllers and tracks
+ * targets and entry hosts. */
 #ifndef CONTROLLER_HOST_H
 #define CONTROLLER_HOST_H
 
@@ -14,14 +15,14 @@
 struct controller_host_config
 {
   const struct role_settings *settings;
-  struct h1_handler *control; /* serve the addresses of those names */
+  struct h1_handler *control; /* serve control_address and entries_address */
   struct h1_handler *entries;
 };
 
-/* A talloc root.  NULL after a log line. */
+/* A talloc root.  NULL on failure, which has been logged. */
 struct controller_host *controller_host_new (const struct controller_host_config *config);
 
-/* Until a signal ends it; the exit code. */
+/* Runs until a signal stops the loop, then frees `host`; returns the exit code. */
 int controller_host_run (struct controller_host *host);
 struct role_base *controller_host_base (struct controller_host *host);
 struct controller *controller_host_controller (struct controller_host *host);
--- a/src/controller_private.h
+++ b/src/controller_private.h
@@ -1,31 +1,31 @@
-/* What the files of a controller share. */
+/* Internal interface of the controller's source files. */
 #ifndef CONTROLLER_PRIVATE_H
 #define CONTROLLER_PRIVATE_H
 
 #include "controller.h"
 #include "pack.h"
 
-/* An entry host, and what it has. */
+/* An entry host and the revisions that it holds. */
 struct fed_host
 {
   struct sync_host self;
   int64_t heard;
-  int64_t renewed_until; /* renewals up to then were sent */
+  int64_t renewed_until; /* renewals up to this time have been sent */
   uint64_t document;
   uint64_t targets;
   uint64_t hosts;
-  uint64_t nonce;    /* of an ask to be answered; 0: none */
-  uint64_t question; /* the nonce when the quorum was asked last */
-  bool listed;       /* is in the list sent to entry hosts */
+  uint64_t nonce;    /* of a request to be answered; 0: none */
+  uint64_t question; /* the nonce when the last quorum read started */
+  bool listed;       /* in the list that is sent to entry hosts */
 };
 
 struct controller
 {
   struct controller_config config;
   struct peer_listener listener;
-  struct proposal read; /* the one question to the quorum that is under way */
+  struct proposal read; /* the one quorum read in progress */
   bool reading;
-  bool in_touch; /* the quorum answered the last question */
+  bool in_touch; /* the last quorum read succeeded */
   int64_t started;
   struct timer tick;
   struct timer push;
@@ -44,12 +44,13 @@
   struct counter *n_entries;
 };
 
-/* ---- controller_state.c: what an entry host lacks ---- */
+/* ---- controller_state.c: state updates for entry hosts ---- */
 
-/* Was the host heard within its lease? */
+/* Is the host's lease valid? */
 bool controller_host_lives (const struct fed_host *host, int64_t now);
 
-/* Send what changed since what the host has; answers its question where there is one. */
+/* Sends what changed since the revisions that the host holds, and answers its pending request, if
+ * any. */
 void controller_send_state (struct controller *controller,
                             struct fed_host *host,
                             bool confirmed,
@@ -57,7 +58,7 @@
 
 /* ---- controller_target.c: registrations ---- */
 
-/* Messages of other controllers: a registration; that one of ours was received. */
+/* Messages of other controllers: a registration, and the acknowledgement of one. */
 void controller_got_target (struct controller *controller,
                             struct pack_reader *in,
                             const char *from,
@@ -69,7 +70,7 @@
 
 /* ---- controller.c ---- */
 
-/* The entry hosts are told of changes in a moment. */
+/* Schedules a push of changes to the entry hosts after PUSH_DELAY. */
 void controller_push_soon (struct controller *controller, int64_t now);
 
 #endif
--- a/src/controller_state.c
+++ b/src/controller_state.c
@@ -1,4 +1,4 @@
-/* What an entry host lacks, as a message. */
+/* Encodes the state that an entry host lacks as a message. */
 #include "controller_private.h"
 #include <string.h>
 
@@ -127,8 +127,8 @@
                                              PEER_CHANNEL_SYNC, out.data, out.length)
              == STATUS_OK)
     {
-      /* Taken as held until the next ask says what is: a message that was lost is made good then.
-       */
+      /* Assume delivery; the next request states what the host holds, so a lost message is sent
+       * again then. */
       host->renewed_until = now;
       host->document = state.document;
       host->targets = state.targets;
--- a/src/controller_target.c
+++ b/src/controller_target.c
@@ -1,4 +1,4 @@
-/* Registrations of targets at a controller, and their way to the others. */
+/* Registration of targets at a controller and replication to the other controllers. */
 #include "container.h"
 #include "controller_private.h"
 #include "log.h"
@@ -77,7 +77,8 @@
   return member != NULL && member->voter;
 }
 
-/* How many others must hold a word, so that with us it outlives as many losses as the log does. */
+/* The number of other voters that must hold a registration so that, with this controller, it
+ * survives as many losses as the log does. */
 static uint32_t
 others_wanted (const struct controller *controller,
                const struct controller_member *members,
@@ -90,7 +91,7 @@
   return voters / 2 + (is_voter (members, n, controller->config.name) ? 0 : 1);
 }
 
-/* Tell the other controllers; true when none is needed for a majority. */
+/* Sends a registration to the other controllers; true when none is needed for a majority. */
 static bool
 replicate (struct controller *controller,
            const struct registry_target *target,
@@ -138,8 +139,8 @@
   return n == 1 || now - controller->started < CONTROLLER_START_GRACE;
 }
 
-/* A target that leaves must get no new work even if this host dies right after it acknowledged:
- * the word goes to a majority first.  A renewal that is lost is repeated by the target. */
+/* A leaving target must get no new work even if this host fails right after the acknowledgement, so
+ * the registration is replicated to a majority first.  A lost renewal is repeated by the target. */
 bool
 controller_register (struct controller *controller,
                      const struct registry_registration *word,
@@ -210,7 +211,8 @@
   bytes_clear (&out);
 }
 
-/* Did this host acknowledge already?  A message may come twice. */
+/* Records an acknowledgement; true when the host had acknowledged already, as messages may be
+ * duplicated. */
 static bool
 note_seen (struct controller_wait *wait, const char *from)
 {
