--- a/src/dialect.h
+++ b/src/dialect.h
@@ -1,7 +1,7 @@
-/* How clients and targets say things on the wire, behind a vtable.
+/* The wire protocol of clients and targets, behind a vtable.
  *
- * The forwarding path works on these typed facts; whoever speaks the users' platform maps header
- * names and bodies to them and back. */
+ * The forwarding path works on these typed fields; the platform's implementation maps header names
+ * and bodies to them and back. */
 #ifndef DIALECT_H
 #define DIALECT_H
 
@@ -27,12 +27,12 @@
   uint32_t tokens;
 };
 
-/* What a client's request says beside its route. */
+/* Fields of a client's request other than its route.  Times are in USEC. */
 struct request_facts
 {
   char id[DIALECT_ID_SIZE];
   bool has_deadline;
-  int64_t time_left; /* the client waits no longer */
+  int64_t time_left; /* until the client's deadline */
   char key[ROUTING_KEY_SIZE];
   bool has_key;
   uint32_t input_tokens;
@@ -40,28 +40,28 @@
   uint32_t n_parts;
   struct prompt_part parts[DIALECT_PARTS_MAX];
   uint32_t n_stages;
-  uint32_t pieces[ROUTING_STAGES_MAX]; /* of each stage; 0 leaves it out */
+  uint32_t pieces[ROUTING_STAGES_MAX]; /* of each stage; 0 skips the stage */
   char piece_key[DIALECT_ID_SIZE];
-  char last_event[DIALECT_ID_SIZE]; /* the client has this one and those before; "" for none */
+  char last_event[DIALECT_ID_SIZE]; /* the last event that the client received; "" for none */
 };
 
-/* What we say to a target beside the client's own headers. */
+/* Fields sent to a target in addition to the client's own headers. */
 struct call_facts
 {
   int64_t time_left;
-  const char *target;       /* identity of the incarnation meant; any other refuses */
-  const char *organisation; /* NULL where requests carry no keys */
+  const char *target;       /* identity of the intended incarnation; any other rejects the call */
+  const char *organisation; /* NULL where requests have no keys */
   const char *inputs;       /* handles of stage results, separated by commas; NULL for none */
-  const char *last_event;   /* a stream goes on behind this event; NULL from its start */
+  const char *last_event;   /* resume the stream after this event; NULL: from its start */
 };
 
-/* What a target's answer says beside its status. */
+/* Fields of a target's response other than its status. */
 struct answer_facts
 {
-  const char *id;     /* of the request it answers; NULL when it does not say */
-  bool is_signed;     /* bears the target's signature */
-  bool not_run;       /* the target promises that the request has not run */
-  const char *target; /* identity of who answers; NULL when it does not say */
+  const char *id;     /* of the request it answers; NULL when not given */
+  bool is_signed;     /* has the target's signature */
+  bool not_run;       /* the target guarantees that the request has not run */
+  const char *target; /* identity of the responder; NULL when not given */
 };
 
 /* One piece of stage work. */
@@ -71,7 +71,7 @@
   uint32_t stage;
   uint32_t piece;
   int64_t time_left;
-  const char *key;    /* of a stage that needs no other; NULL else */
+  const char *key;    /* of a stage without inputs; else NULL */
   const char *inputs; /* handles separated by commas; NULL with a key */
 };
 
@@ -95,17 +95,17 @@
 
 const char *piece_end_text (enum piece_end end);
 
-/* A result that lies at the target that made it. */
+/* A result stored at the target that produced it. */
 struct stage_result
 {
-  char target[ROUTING_NAME_SIZE]; /* the maker's identity */
+  char target[ROUTING_NAME_SIZE]; /* identity of the producer */
   char handle[DIALECT_HANDLE_SIZE];
 };
 
 struct piece_result
 {
   enum piece_end end;
-  struct stage_result result; /* its target is not the dialect's to fill */
+  struct stage_result result; /* its target is not filled in by the dialect */
 };
 
 struct dialect
@@ -115,19 +115,19 @@
 
 struct dialect_ops
 {
-  /* STATUS_INVALID with a message naming the header. */
+  /* STATUS_INVALID with a message that names the header. */
   enum status (*read_request) (struct dialect *dialect,
                                const struct h1_head *head,
                                struct request_facts *out);
 
-  /* Is a client's header passed on?  Not those that we set ourselves. */
+  /* Is a client's header forwarded?  Not those that this host sets itself. */
   bool (*passes) (struct dialect *dialect, const char *name);
   void (*write_call) (struct dialect *dialect, const struct call_facts *facts, struct bytes *out);
   void (*read_answer) (struct dialect *dialect,
                        const struct h1_head *head,
                        struct answer_facts *out);
 
-  /* Whole requests to a target that runs pieces. */
+  /* Write complete HTTP requests to a target that runs pieces, and read its responses. */
   void (*write_pieces) (struct dialect *dialect,
                         const char *address,
                         const char *target,
--- a/src/entries.c
+++ b/src/entries.c
@@ -1,10 +1,10 @@
-/* Choosing the hosts that callers are named. */
+/* Selection of the hosts that are listed to callers. */
 #include "entries.h"
 #include "rng.h"
 #include <stdlib.h>
 #include <string.h>
 
-/* A host that says it is full is still drawn now and then: what it says may be old. */
+/* A host that reports full load is still drawn at times: its report may be stale. */
 #define WEIGHT_MIN 0.05
 
 struct candidate
@@ -49,8 +49,8 @@
   return false;
 }
 
-/* Keys that put the hosts in the order of a weighted draw without putting back (Efraimidis and
- * Spirakis, Weighted random sampling with a reservoir, 2006). */
+/* Assigns each host of the tier a key.  Sorted by key they are a weighted random sample without
+ * replacement (Efraimidis and Spirakis, Weighted random sampling with a reservoir, 2006). */
 static uint32_t
 collect (const struct board *board,
          enum entries_tier tier,
@@ -100,8 +100,8 @@
   return false;
 }
 
-/* Rounds over the hosts by key, each taking one of every failure domain: a caller that goes down
- * the list leaves a failed domain with its next step. */
+/* Goes over the hosts by key in rounds, each taking one host of every failure domain, so that a
+ * caller whose host failed with its domain finds the next host in another one. */
 static void
 deal (struct candidate *candidates, uint32_t count, struct entries_choice *out)
 {
--- a/src/entries.h
+++ b/src/entries.h
@@ -1,4 +1,4 @@
-/* Which hosts callers are named, and in which order. */
+/* Selection and order of the hosts that are listed to callers. */
 #ifndef ENTRIES_H
 #define ENTRIES_H
 
@@ -9,11 +9,12 @@
 
 #define ENTRIES_MAX 16
 
-/* Which hosts the list was made of, worse ones only where there is nothing better.  name, text */
+/* The set of hosts a list was drawn from; a worse tier is used only when all better ones are empty.
+ * name, text */
 #define ENTRIES_TIER_LIST(X)                                                                       \
-  X (SOUND, "sound")         /* alive, in touch, and with the configuration in force */            \
-  X (BEHIND, "behind")       /* alive, but all are behind in configuration or cut off */           \
-  X (ELSEWHERE, "elsewhere") /* we are cut off: what we hold against others is worth nothing */    \
+  X (SOUND, "sound")         /* alive, connected, with the configuration in force */               \
+  X (BEHIND, "behind")       /* alive, but all have a stale configuration or are cut off */        \
+  X (ELSEWHERE, "elsewhere") /* this host is cut off, so its view of others is stale */            \
   X (NONE, "none")
 
 enum entries_tier
@@ -33,10 +34,10 @@
   uint32_t n_hosts;
 };
 
-/* Pure: the same board and seed give the same list.  Each place is drawn at random, weighted by how
- * idle a host says it is, and neighbours in the list are of different failure domains.  The first
- * is not "the best host": every caller would take it, and the load it was named for is old by then.
- * A caller's address has no part in it, because many callers share one. */
+/* Deterministic: the same board and seed give the same list.  Each place is drawn at random,
+ * weighted by the reported idle capacity; neighbours in the list are of different failure domains.
+ * Always listing the least loaded host first would send all callers to it, and its load report is
+ * stale by then.  The caller's address is not used, because many callers share one. */
 void entries_choose (const struct board *board, uint64_t seed, struct entries_choice *out);
 
 END_DECLS
--- a/src/entries_api.c
+++ b/src/entries_api.c
@@ -1,4 +1,4 @@
-/* The call that names hosts to callers: GET /v1/entries. */
+/* GET /v1/entries: lists hosts to callers. */
 #include "entries_api.h"
 #include "entries.h"
 #include "rng.h"
--- a/src/entries_api.h
+++ b/src/entries_api.h
@@ -1,5 +1,5 @@
-/* The callers' list of hosts: GET /v1/entries names whom to connect to, best first, and for how
- * long the list may be kept. */
+/* GET /v1/entries: lists the hosts that callers may connect to, in order of preference, and how
+ * long the list may be cached. */
 #ifndef ENTRIES_API_H
 #define ENTRIES_API_H
 
@@ -14,13 +14,13 @@
 {
   struct board *board;
   struct counters *counters;
-  int64_t list_keep; /* at most; callers get a little less each, so as not to ask in step */
+  int64_t list_keep; /* maximum, USEC; random jitter keeps callers from asking in step */
   uint64_t seed;
 };
 
 struct entries;
 
-/* NULL when out of memory. */
+/* Freed with `parent`.  NULL when out of memory. */
 struct entries *entries_new (void *parent, const struct entries_config *config);
 
 /* For HTTP_LISTENER_CALLERS, "/v1/entries". */
--- a/src/entry_host.c
+++ b/src/entry_host.c
@@ -11,20 +11,21 @@
 #include <string.h>
 #include <talloc.h>
 
-/* On a shutdown requests are taken for so long, while clients drop this host from their lists; then
- * they are refused as not run, to be sent elsewhere.  The time must leave a stream room to end
- * inside the bound. */
+/* On a shutdown requests are accepted for this long, while clients remove this host from their
+ * lists; then they are rejected as not run, for a retry at another host.  What remains of
+ * shutdown_bound must be enough for a stream to end. */
 #define TAKE_ON (2000 * USEC_PER_MSEC)
 
-/* Not earlier than this, so that a client with an old list meets a refusal, not a closed port. */
+/* The process does not exit earlier, so that a client with a stale list gets a rejection instead of
+ * a closed port. */
 #define STAY_AT_LEAST (3000 * USEC_PER_MSEC)
 
-/* Before the bound, what is left is cut. */
+/* Remaining requests are aborted this long before shutdown_bound. */
 #define END_MARGIN (400 * USEC_PER_MSEC)
 
 #define DRAIN_LOOK (50 * USEC_PER_MSEC)
 
-/* A target that takes no connection for so long is not tried further. */
+/* Timeout of a connection attempt to a target. */
 #define TARGET_CONNECT_TIMEOUT (1000 * USEC_PER_MSEC)
 
 struct entry_host
@@ -48,7 +49,7 @@
   struct dump_source dump;
 };
 
-/* ---- news ---- */
+/* ---- routing and target updates ---- */
 
 static void
 routing_changed (struct subscriber_listener *listener, const struct routing *routing, int64_t now)
@@ -79,7 +80,7 @@
   .target = target_changed,
 };
 
-/* ---- the end ---- */
+/* ---- shutdown ---- */
 
 static void
 end (struct entry_host *host, bool whole)
@@ -159,7 +160,7 @@
 
 static const struct dump_source_ops dump_ops = { .describe = describe };
 
-/* ---- building ---- */
+/* ---- construction ---- */
 
 static enum status
 build_work (struct entry_host *host)
--- a/src/entry_host.h
+++ b/src/entry_host.h
@@ -18,16 +18,16 @@
   struct h1_handler *ready; /* serves the ready address */
 };
 
-/* A talloc root.  NULL after a log line. */
+/* A talloc root.  NULL on failure, which has been logged. */
 struct entry_host *entry_host_new (const struct entry_host_config *config);
 bool entry_host_is_ready (const struct entry_host *host);
 
-/* Until a signal ends it; the exit code. */
+/* Runs until a signal stops the loop, then frees `host`; returns the exit code. */
 int entry_host_run (struct entry_host *host);
 
 struct role_base *entry_host_base (struct entry_host *host);
 
-/* New settings: only the seeds may change while the process runs. */
+/* Applies new settings: only the seeds may change while the process runs. */
 void entry_host_reload (struct entry_host *host, const struct role_settings *settings);
 
 END_DECLS
--- a/src/role_base.c
+++ b/src/role_base.c
@@ -1,4 +1,4 @@
-/* What entry hosts and controllers are both built on. */
+/* The common part of entry hosts and controllers. */
 #include "role_base.h"
 #include "container.h"
 #include "log.h"
@@ -9,16 +9,16 @@
 #include <string.h>
 #include <talloc.h>
 
-/* A few messages of each kind may wait for a peer that is slow; more would be old when sent. */
+/* Messages queued for a slow peer; more would be stale when sent. */
 #define PEER_QUEUE 200
 
-/* Peers are found again within half a second of their return: a controller that came back empty has
- * to hold everything anew a few seconds later, its reconnection included. */
+/* Peers reconnect within half a second of their restart: a controller that restarts without data
+ * must have received all state a few seconds later, reconnection included. */
 #define PEER_RECONNECT_MAX_MS 300
 #define PEER_CONNECT_TIMEOUT_MS 500
 #define PEER_RETRANSMIT_MAX_MS 2000
 
-/* Our own interfaces: idle callers are kept this long. */
+/* Idle timeout of connections to this host's own interfaces. */
 #define OWN_IDLE_TIMEOUT (30 * USEC_PER_SEC)
 
 static void
@@ -151,9 +151,9 @@
   enum status status;
 
   if (sodium_init () < 0)
-    return status_fail (STATUS_UNAVAILABLE, "libsodium does not start");
+    return status_fail (STATUS_UNAVAILABLE, "libsodium failed to initialise");
   base->settings = *settings;
-  /* Told apart by chance, not by a clock that may step back. */
+  /* Random, because a clock may step back. */
   randombytes_buf (&base->incarnation, sizeof base->incarnation);
   randombytes_buf (&base->seed, sizeof base->seed);
   base->limits = (struct h1_limits){
--- a/src/role_base.h
+++ b/src/role_base.h
@@ -1,8 +1,8 @@
-/* A host of a system whose hosts know of each other only by a few seeds: either an entry host,
- * which forwards requests, or a controller.
+/* The common part of the two kinds of host: entry hosts, which forward requests, and controllers.
+ * Hosts discover each other through a few seed addresses.
  *
- * Both are built from settings that name addresses alone; who speaks to the outside hands in how
- * its interfaces are spelled (`routing_codec`, `dialect`, HTTP handlers). */
+ * The settings hold addresses only; the platform supplies the external protocols (`routing_codec`,
+ * `dialect`, HTTP handlers). */
 #ifndef ROLE_BASE_H
 #define ROLE_BASE_H
 
@@ -17,13 +17,13 @@
 
 BEGIN_DECLS
 
-/* Seeds that the settings may name, and the longest path in them, in bytes. */
+/* Maximum number of seeds, and the size of a path in bytes, in the settings. */
 #define ROLE_SEEDS_MAX 8
 #define ROLE_PATH_SIZE 256
 
 struct role_settings
 {
-  char name[ROUTING_NAME_SIZE]; /* for people, in logs */
+  char name[ROUTING_NAME_SIZE]; /* for logs only */
   char domain[ROUTING_NAME_SIZE];
   char region[ROUTING_NAME_SIZE];
   char peer_address[ROUTING_NAME_SIZE];
@@ -36,7 +36,7 @@
   char client_address[ROUTING_NAME_SIZE];
   char ready_address[ROUTING_NAME_SIZE];
   int64_t target_lease;
-  int64_t confirmed_for; /* keyed requests need a confirmation no older than this */
+  int64_t confirmed_for; /* maximum age of the confirmation for keyed requests, USEC */
   int64_t ready_for;
   double retry_share;
   double retry_spare;
@@ -46,11 +46,11 @@
   char control_address[ROUTING_NAME_SIZE];
   char entries_address[ROUTING_NAME_SIZE];
   char data_folder[ROLE_PATH_SIZE];
-  uint32_t losses; /* of controllers to be borne at once: twice as many voters and one */
-  bool may_form;   /* the first start of all: a group may be formed */
+  uint32_t losses; /* simultaneous controller failures to tolerate; 2 * losses + 1 voters */
+  bool may_form;   /* first start of the system: a new group may be formed */
 };
 
-/* What both kinds are built on. */
+/* Common state of entry hosts and controllers. */
 struct role_base
 {
   struct role_settings settings;
@@ -61,7 +61,7 @@
   struct counters *counters;
   struct dump dump;
   struct peer_port *port;
-  struct h1_limits limits; /* of our own interfaces; an entry host's clients have the routing's */
+  struct h1_limits limits; /* of this host's own interfaces; the routing sets those of clients */
   struct h1_handler metrics;
   struct quarantine_control *quarantine; /* NULL until it is made */
   int exit;
@@ -69,14 +69,14 @@
 
 enum status role_base_build (struct role_base *base, const struct role_settings *settings);
 
-/* Serve an interface of ours.  Freed with `base`. */
+/* Serves an HTTP interface at `address`.  Freed with `base`.  STATUS_IO when it cannot listen. */
 enum status role_base_listen (struct role_base *base,
                               const char *address,
                               struct h1_handler *handler,
                               const char *label,
                               struct h1_server **out);
 
-/* Log what failed when a part could not be made. */
+/* Logs why the start failed: `status` and its message. */
 void role_log_start_failed (enum status status);
 
 END_DECLS
--- a/src/target_api.c
+++ b/src/target_api.c
@@ -1,4 +1,4 @@
-/* The targets' calls: what a body says (target_body.c) goes to the directory. */
+/* The HTTP API for targets: passes the parsed bodies (target_body.c) to the directory. */
 #include "target_api.h"
 #include "rng.h"
 #include "target_body.h"
@@ -19,7 +19,7 @@
   struct rng rng;
 };
 
-/* ---- answering ---- */
+/* ---- responses ---- */
 
 static void
 reply_json (struct http_exchange *exchange, int code, json_t *body)
@@ -47,8 +47,8 @@
   return list;
 }
 
-/* Where else to announce: from a random place on, so that the targets of a host that dies do not
- * all go to the same one. */
+/* Lists other hosts to announce to, starting at a random one so that the targets of a failed host
+ * do not all move to the same one. */
 static json_t *
 other_hosts (struct target_api *api)
 {
@@ -85,7 +85,7 @@
   http_reply_error (exchange, code, NULL, status_message ());
 }
 
-/* Of what has nothing to tell when it went well. */
+/* Replies to a call whose success has no result. */
 static void
 reply_done (struct http_exchange *exchange, enum status status)
 {
@@ -101,7 +101,7 @@
   http_reply_error (exchange, 400, fault->field, fault->message);
 }
 
-/* A host that leaves is no home to come to; the answer names others. */
+/* A leaving host accepts no targets; the response lists other hosts. */
 static void
 reply_leaving (struct target_api *api, struct http_exchange *exchange, int code)
 {
@@ -150,7 +150,7 @@
       return;
     }
   status = directory_renew (api->directory, &key, now);
-  /* The renewal counts, so that work goes on until the target has its new home. */
+  /* The renewal is applied, so that the target gets work until it has moved to another host. */
   if (status == STATUS_OK && api->board->leaving)
     reply_leaving (api, exchange, 404);
   else if (status == STATUS_OK)
--- a/src/target_api.h
+++ b/src/target_api.h
@@ -1,4 +1,4 @@
-/* The targets' calls to a host: /v1/targets/announce, renew, leave, load and cache. */
+/* The HTTP API for targets: /v1/targets/announce, renew, leave, load and cache. */
 #ifndef TARGET_API_H
 #define TARGET_API_H
 
@@ -13,13 +13,13 @@
 {
   struct board *board;
   struct directory *directory;
-  uint32_t json_depth; /* of a body */
+  uint32_t json_depth; /* maximum nesting of a body */
   uint64_t seed;
 };
 
 struct target_api;
 
-/* NULL when out of memory. */
+/* Freed with `parent`.  NULL when out of memory. */
 struct target_api *target_api_new (void *parent, const struct target_api_config *config);
 
 /* For HTTP_LISTENER_TARGETS, prefix "/v1/targets/". */
--- a/src/target_body.c
+++ b/src/target_body.c
@@ -1,4 +1,4 @@
-/* JSON bodies of the targets' calls, checked field by field. */
+/* Parsing and validation of the JSON bodies of the targets' calls. */
 #include "target_body.h"
 #include "text.h"
 #include <stdlib.h>
@@ -7,7 +7,7 @@
 
 #define CACHE_EVENTS_MAX 4096
 
-/* Nesting at most `limit`: checked before the parser, whose own limit is far above ours. */
+/* Checked before the parser runs, whose own limit is far higher. */
 bool
 target_body_depth_within (const char *text, size_t length, uint32_t limit)
 {
@@ -31,7 +31,7 @@
 static bool
 fail (struct target_fault *fault, const char *field, const char *message)
 {
-  /* The first fault is told. */
+  /* Report the first fault only. */
   if (fault->message == NULL)
     *fault = (struct target_fault){ .field = field, .message = message };
   return false;
@@ -70,7 +70,7 @@
 {
   const char *text = json_string_value (json_object_get (body, "address"));
 
-  /* XXX: only the form is checked; that it is an IP number shows when we connect. */
+  /* XXX: only the form is checked; an invalid IP address is found when connecting. */
   if (text != NULL && strchr (text, ':') != NULL
       && strspn (text, "0123456789abcdefABCDEF.:[]") == strlen (text)
       && text_copy (out, RESOURCE_ADDRESS_SIZE, text))
--- a/src/target_body.h
+++ b/src/target_body.h
@@ -1,4 +1,4 @@
-/* JSON bodies of the targets' calls, as the types of the directory. */
+/* Parses JSON bodies of the targets' calls into the directory's types. */
 #ifndef TARGET_BODY_H
 #define TARGET_BODY_H
 
@@ -11,17 +11,17 @@
 
 BEGIN_DECLS
 
-/* What was wrong with a body. */
+/* Why a body is rejected. */
 struct target_fault
 {
   const char *field;
   const char *message;
 };
 
-/* Is the text nested no deeper than this?  Asked before it is parsed, which recurses. */
+/* Is the text nested at most `limit` deep?  Checked before parsing, which recurses. */
 bool target_body_depth_within (const char *text, size_t length, uint32_t limit);
 
-/* Each read is false, or NULL, with `fault` filled, for a body that is not one of the call's. */
+/* The readers return false, or NULL, and fill in `fault` for an invalid body. */
 bool target_body_read_number (
     const json_t *body, const char *field, uint64_t max, uint64_t *out, struct target_fault *fault);
 
