--- a/tests/unit_controller.cc
+++ b/tests/unit_controller.cc
@@ -1,4 +1,4 @@
-// A controller's registrations and its answers to entry hosts, with the log and the peers played.
+// Registrations at a controller and its responses to entry hosts, with a fake log and fake peers.
 #include "controller.h"
 #include "document.h"
 #include "sync_harness.h"
@@ -9,7 +9,7 @@
 namespace
 {
 
-// A log that answers reads when the test says so.
+// A fake log whose reads complete when the test calls answer().
 struct played_log
 {
   struct consensus consensus;
@@ -147,7 +147,7 @@
     bytes_clear (&message);
   }
 
-  // The head of the newest state sent to the host; false when none was.
+  // Reads the header of the latest state sent to the host; false when there is none.
   bool
   last_state (const std::string &host, struct sync_state *out)
   {
@@ -188,7 +188,7 @@
   }
 };
 
-TEST_F (ControllerTest, TakesARenewalAtOnce)
+TEST_F (ControllerTest, AcceptsARenewalImmediately)
 {
   kept_wait wait;
   struct registry_registration word = make_word ("i", "p", "a:1", REGISTRY_READY, 1);
@@ -197,10 +197,9 @@
   EXPECT_EQ (wait.done, 0);
 }
 
-// A target reports that it leaves and takes the acknowledgement for granted.  The controller that
-// gave it loses power right after.  Unless another controller holds the word, entry hosts go on
-// sending work to the target.
-TEST_F (ControllerTest, AcknowledgesALeavingTargetOnceAMajorityKnows)
+// A controller acknowledges that a target leaves and loses power right after.  Unless another
+// controller holds the registration, entry hosts go on sending work to the target.
+TEST_F (ControllerTest, AcknowledgesALeavingTargetOnceAMajorityHoldsIt)
 {
   kept_wait wait;
   struct registry_registration word = make_word ("i", "p", "a:1", REGISTRY_LEAVING, 1);
@@ -214,7 +213,7 @@
   EXPECT_EQ (wait.done, 1);
 }
 
-// The controller is cut off with a minority: it must not acknowledge, so that the target asks
+// A controller in the minority side of a partition must not acknowledge, so that the target tries
 // another one.
 TEST_F (ControllerTest, DoesNotAcknowledgeALeavingTargetAlone)
 {
@@ -228,8 +227,8 @@
   EXPECT_EQ (wait.status, STATUS_TIMEOUT);
 }
 
-// A learner takes the word of a leaving target.  Another learner holding it as well is not enough:
-// with one voter lost, nobody who can lead would know.
+// A learner accepts the registration of a leaving target.  A copy at another learner does not
+// count: after the loss of one voter, no possible leader would hold the registration.
 TEST_F (ControllerTest, LearnersDoNotCountForAMajority)
 {
   kept_wait wait;
@@ -245,10 +244,10 @@
   EXPECT_EQ (wait.status, STATUS_OK);
 }
 
-// Four controllers are started and three are seeds.  The fourth was in no group, yet it
-// acknowledged the targets of its failure domain, and no entry host ever heard of them: a quarter
-// of the targets got no request.
-TEST_F (ControllerTest, TakesNoTargetsWhereEntryHostsDoNotHearOfThem)
+// Four controllers are started and three are seeds.  The fourth joined no group, yet acknowledged
+// the targets of its failure domain.  No entry host learned of them: a quarter of the targets got
+// no request.
+TEST_F (ControllerTest, RejectsTargetsThatEntryHostsWouldNotLearnOf)
 {
   now += CONTROLLER_START_GRACE;
   EXPECT_FALSE (controller_reaches_entries (controller, now));
@@ -263,26 +262,26 @@
   EXPECT_FALSE (controller_reaches_entries (controller, now));
 }
 
-// All hosts lost power and start.  A target that renews before the entry hosts have asked is taken:
-// turned away, it would come back a heartbeat later and get no work until then.
-TEST_F (ControllerTest, TakesTargetsRightAfterItsStart)
+// All hosts restart after a power loss.  A target that renews before the first request of an entry
+// host is accepted: if rejected, it would retry a heartbeat later and get no work until then.
+TEST_F (ControllerTest, AcceptsTargetsDuringStartGrace)
 {
   EXPECT_TRUE (controller_reaches_entries (controller, now));
   now += CONTROLLER_START_GRACE;
   EXPECT_FALSE (controller_reaches_entries (controller, now));
 }
 
-// The only controller takes targets while the entry hosts start: there is nobody else to ask.
-TEST_F (ControllerTest, OnlyControllerTakesTargetsBeforeEntryHostsAsk)
+// The only controller accepts targets while the entry hosts start, as targets have no other to try.
+TEST_F (ControllerTest, SingleControllerAcceptsTargetsWithoutEntryHosts)
 {
   members = { { "c1", true } };
   now += CONTROLLER_START_GRACE;
   EXPECT_TRUE (controller_reaches_entries (controller, now));
 }
 
-// An entry host asks while the quorum is already being asked.  What the quorum says then may be
-// older than the question, so it confirms nothing to this host; the next answer does.
-TEST_F (ControllerTest, ConfirmsOnlyQuestionsThatWereThereBefore)
+// An entry host sends a request during a quorum read.  The result may be older than the request, so
+// it confirms nothing to this host; the next read does.
+TEST_F (ControllerTest, QuorumReadConfirmsOnlyEarlierRequests)
 {
   struct sync_state state;
 
@@ -300,7 +299,7 @@
   EXPECT_TRUE (state.confirmed);
 }
 
-TEST_F (ControllerTest, SaysSoWhenNoQuorumAnswers)
+TEST_F (ControllerTest, SendsUnconfirmedStateWithoutQuorum)
 {
   struct sync_state state;
 
@@ -315,7 +314,7 @@
   EXPECT_FALSE (state.confirmed);
 }
 
-TEST_F (ControllerTest, PushesANewDocumentAtOnce)
+TEST_F (ControllerTest, PushesANewDocumentWithoutARequest)
 {
   struct sync_state state;
 
@@ -332,7 +331,7 @@
   EXPECT_FALSE (state.confirmed);
 }
 
-TEST_F (ControllerTest, NamesOnlyEntryHostsThatAreThere)
+TEST_F (ControllerTest, ListsOnlyLiveEntryHosts)
 {
   const struct sync_host *out[SYNC_HOSTS_MAX];
 
@@ -346,9 +345,9 @@
   EXPECT_EQ (controller_entries (controller, "a", 64, out, now), 0u);
 }
 
-// There are more entry hosts than a list may name.  With the first 64 named to everybody a third of
-// the hosts would get no client, and the rest half as many again.
-TEST_F (ControllerTest, NamesEachEntryHostToSomeDomain)
+// There are more entry hosts than a list can hold.  If all clients got the same 64, a third of the
+// hosts would get no client and the rest half as many again.
+TEST_F (ControllerTest, ListsEachEntryHostToSomeDomain)
 {
   const struct sync_host *out[SYNC_HOSTS_MAX];
   const struct sync_host *again[SYNC_HOSTS_MAX];
@@ -373,9 +372,9 @@
   EXPECT_EQ (named.size (), 100u);
 }
 
-// A fleet of the size that was asked for, 360 entry hosts, is rolled: all are there twice for a
-// while. A host without a place would never be confirmed, and serve nobody.
-TEST_F (ControllerTest, FeedsAFleetOfTheLargestSize)
+// A rolling update of 360 entry hosts, the required maximum: each is present twice for a while.  A
+// host without a record would never be confirmed and serve no requests.
+TEST_F (ControllerTest, ListsAllHostsOfARollingUpdate)
 {
   for (int i = 0; i < 720; i++)
     ask (("e" + std::to_string (i)).c_str (), 11);
@@ -384,8 +383,9 @@
   EXPECT_EQ (refused_hosts (), 0);
 }
 
-// More hosts ask than a controller has places for.  It says so; nobody would look for it else.
-TEST_F (ControllerTest, SaysThatItHasNoPlaceForAHost)
+// More hosts send requests than a controller has records for.  Without the counter the cause would
+// go unnoticed.
+TEST_F (ControllerTest, CountsHostsRejectedForLackOfRecords)
 {
   for (int i = 0; i < SYNC_HOSTS_MAX + 3; i++)
     ask (("e" + std::to_string (i)).c_str (), 11);
--- a/tests/unit_entries.cc
+++ b/tests/unit_entries.cc
@@ -1,4 +1,4 @@
-// The list of hosts for callers: who is left out, and that not all callers take the same host.
+// The list of hosts for callers: which hosts it excludes, and how callers are spread.
 #include "entries.h"
 #include "text.h"
 #include <gtest/gtest.h>
@@ -64,9 +64,9 @@
   }
 };
 
-// A caller keeps a list for a while.  A host on it that is dead, suspect, leaving, cut off or
-// behind would hang the caller, cut it, or serve it an old configuration.
-TEST (Entries, LeaveOutHostsThatWouldNotServeWell)
+// A caller caches a list.  A listed host that is dead, suspect, leaving, cut off or behind would
+// time out, close the connection, or serve an old configuration.
+TEST (Entries, ExcludeUnhealthyHosts)
 {
   struct view v;
 
@@ -85,8 +85,8 @@
 }
 
 // The voters lost their quorum, so every host's configuration is unconfirmed.  No new one can be
-// accepted either; an empty list would stop all service for nothing.
-TEST (Entries, HostsBehindAreNamedWhereAllAreBehind)
+// accepted either; an empty list would stop all service without need.
+TEST (Entries, HostsBehindAreListedWhenAllAreBehind)
 {
   struct view v;
 
@@ -97,9 +97,9 @@
   EXPECT_EQ (v.names (1), (std::set<std::string>{ "self", "other" }));
 }
 
-// A caller asks a host that is cut off from its peers and takes all of them for dead.  Naming only
-// itself would hold the caller on the wrong side of the partition.
-TEST (Entries, AHostThatIsCutOffNamesTheOthers)
+// A caller asks a host that is cut off from its peers and considers all of them dead.  A list of
+// only this host would keep the caller on the wrong side of the partition.
+TEST (Entries, AHostThatIsCutOffListsTheOthers)
 {
   struct view v;
 
@@ -111,9 +111,9 @@
   EXPECT_EQ (v.names (1), (std::set<std::string>{ "x", "y" }));
 }
 
-// A thousand callers ask within a second, on the same reports of load.  If the list named the
-// idlest host first to all, they would all go there.
-TEST (Entries, CallersAreSpreadByLoadNotHerded)
+// A thousand callers ask within a second, with the same load reports.  If every list began with the
+// least loaded host, all callers would connect to it.
+TEST (Entries, CallersAreSpreadByLoad)
 {
   struct view v;
   std::map<std::string, unsigned> first;
@@ -128,14 +128,14 @@
       ASSERT_EQ (choice.n_hosts, 3u);
       first[v.at (choice, 0)->name]++;
     }
-  // By weight 1, 0.5 and 0.05 of 1.55: 1935, 968 and 97 are expected.
+  // Weights 1, 0.5 and 0.05 of 1.55: 1935, 968 and 97 of 3000 are expected.
   EXPECT_NEAR (first["idle"], 1935, 120);
   EXPECT_NEAR (first["half"], 968, 120);
   EXPECT_NEAR (first["full"], 97, 60);
 }
 
-// A failure domain goes while a caller holds its list.  Going down the list, the next host it
-// tries must not be in the same domain.
+// A failure domain fails while a caller has a cached list.  The next host in the list must not be
+// in the same domain.
 TEST (Entries, NeighboursInTheListAreOfDifferentDomains)
 {
   struct view v;
@@ -158,7 +158,7 @@
     }
 }
 
-TEST (Entries, OfManyHostsSomeAreNamed)
+TEST (Entries, ListsAreASampleOfManyHosts)
 {
   struct view v;
   std::set<std::string> seen;
--- a/tests/unit_product_access.cc
+++ b/tests/unit_product_access.cc
@@ -1,4 +1,4 @@
-// Who may do what, by token.
+// Access control by token: organisations of callers and roles of operators.
 #include "access.h"
 #include <gtest/gtest.h>
 #include <sodium.h>
@@ -107,8 +107,8 @@
   EXPECT_EQ (caller (), STATUS_INVALID);
 }
 
-// A caller shows a valid token and names another organisation, to spend that one's share.
-TEST_F (Access, ATokenSpeaksForItsOwnOrganisationAlone)
+// A caller sends a valid token and another organisation's name, to use up that one's share.
+TEST_F (Access, ATokenAuthenticatesOnlyItsOwnOrganisation)
 {
   settings.require_tokens = true;
   start ();
@@ -132,8 +132,9 @@
     }
 }
 
-// An operator replaces a leaked token; the old one must stop at that revision, on every request.
-TEST_F (Access, ARevokedTokenStopsWhenTheConfigurationChanges)
+// An operator replaces a leaked token; from that revision on the old one must be rejected on every
+// request.
+TEST_F (Access, ARevokedTokenIsRejectedAfterTheConfigurationChange)
 {
   settings.require_tokens = true;
   start ();
@@ -148,9 +149,9 @@
   EXPECT_EQ (caller (), STATUS_OK);
 }
 
-// Two organisations are declared with one token by mistake: their requests would be charged to
-// whichever stands first.
-TEST_F (Access, ATokenOfTwoOrganisationsSpeaksForNeither)
+// Two organisations are declared with the same token by mistake: their requests would be charged to
+// whichever is stored first.
+TEST_F (Access, ATokenOfTwoOrganisationsAuthenticatesNeither)
 {
   settings.require_tokens = true;
   start ();
@@ -160,7 +161,7 @@
   EXPECT_EQ (caller (), STATUS_DENIED);
 }
 
-TEST_F (Access, OperatorsAreOpenUntilTheFirstOneIsDeclared)
+TEST_F (Access, OperatorsAreAnonymousAdminsUntilOneIsDeclared)
 {
   start ();
   EXPECT_EQ (role (), ACCESS_ADMIN);
@@ -178,7 +179,7 @@
   EXPECT_EQ (role (), ACCESS_ADMIN);
 }
 
-TEST_F (Access, TheAdminOfTheSettingsIsThereBeforeAnyResource)
+TEST_F (Access, TheAdminTokenOfTheSettingsNeedsNoResource)
 {
   uint8_t hash[RESOURCE_TOKEN_HASH_SIZE];
 
