--- a/src/cli.c
+++ b/src/cli.c
@@ -1,4 +1,4 @@
-/* Finds the command and gives it its arguments. */
+/* Command-line entry point: parses the command name and runs the command. */
 #include "cli.h"
 #include <argp.h>
 #include <stdio.h>
@@ -24,7 +24,7 @@
   return NULL;
 }
 
-/* What follows the command's name is the command's own. */
+/* Arguments after the command name are left for the command's own parser. */
 static error_t
 parse_option (int key, char *arg, struct argp_state *argp)
 {
@@ -34,7 +34,7 @@
     {
     case ARGP_KEY_ARG:
       if (find_command (arg) == NULL)
-        argp_error (argp, "no command \"%s\"", arg);
+        argp_error (argp, "unknown command \"%s\"", arg);
       *first = argp->next - 1;
       argp->next = argp->argc;
       return 0;
@@ -46,7 +46,7 @@
     }
 }
 
-/* The text after the options in --help: the commands and the exit codes. */
+/* Appends the commands and the exit codes to the --help text. */
 static char *
 help_filter (int key, const char *text, void *input)
 {
--- a/src/cli.h
+++ b/src/cli.h
@@ -1,4 +1,4 @@
-/* The command line: one binary, one command a job. */
+/* The command-line interface: one binary with one subcommand for each task. */
 #ifndef CLI_H
 #define CLI_H
 
@@ -35,10 +35,10 @@
   enum cli_exit (*run) (int argc, char **argv);
 };
 
-/* The commands, ended by one without a name. */
+/* The commands; the last entry has a NULL name. */
 extern const struct cli_command cli_commands[];
 
-/* The commands, one a file. */
+/* Each command is implemented in its own file. */
 enum cli_exit cli_check (int argc, char **argv);
 enum cli_exit cli_dump (int argc, char **argv);
 enum cli_exit cli_quarantine (int argc, char **argv);
@@ -49,7 +49,7 @@
 enum cli_exit cli_run (int argc, char **argv);
 enum cli_exit cli_keygen (int argc, char **argv);
 
-/* Run the command that `argv` names. */
+/* Runs the command that `argv` names and returns its exit code. */
 int cli_main (int argc, char **argv);
 
 END_DECLS
--- a/src/cli_apply.c
+++ b/src/cli_apply.c
@@ -1,4 +1,4 @@
-/* `cherryarch apply`: declare the resources of files. */
+/* `cherryarch apply`: creates or replaces the resources in files. */
 #include "cli_object.h"
 #include <stdio.h>
 #include <stdlib.h>
@@ -15,7 +15,7 @@
 {
   struct cli_options common;
   const char *path;
-  int64_t wait; /* span, 0 for none */
+  int64_t wait; /* microseconds, 0 for no wait */
 };
 
 static void
@@ -44,18 +44,18 @@
       return 0;
     case OPTION_FILE:
       if (options->path != NULL)
-        argp_error (argp, "one file or folder at a time");
+        argp_error (argp, "-f: expected one file or folder, got more than one");
       options->path = arg;
       return 0;
     case OPTION_WAIT:
       take_wait (options, arg, argp);
       return 0;
     case ARGP_KEY_ARG:
-      argp_error (argp, "name the file or folder with -f: \"%s\"", arg);
+      argp_error (argp, "expected the file or folder after -f, got argument \"%s\"", arg);
       return 0;
     case ARGP_KEY_END:
       if (options->path == NULL)
-        argp_error (argp, "which file or folder? -f FILE");
+        argp_error (argp, "-f: expected a file or folder");
       return 0;
     default:
       return ARGP_ERR_UNKNOWN;
@@ -82,7 +82,8 @@
             answer->code == 201 ? "created" : "applied", (long long) version_of (applied));
 }
 
-/* Apply one object under one change id, whichever host takes it; `version` grows to its own. */
+/* Applies one object.  Resends to other hosts use the same change id.  `version` is raised to the
+ * object's resourceVersion if that is higher. */
 static enum cli_exit
 apply_object (struct cli_session *session,
               const struct apply_options *options,
@@ -127,8 +128,8 @@
 struct progress
 {
   size_t behind;      /* reachable hosts with an older revision */
-  size_t unreachable; /* hosts of which nothing is known */
-  char names[256];    /* of the ones behind, then the ones not reachable */
+  size_t unreachable; /* unreachable hosts, whose revision is unknown */
+  char names[256];    /* of the hosts counted above, each with the reason */
 };
 
 static void
@@ -167,7 +168,8 @@
     }
 }
 
-/* One look at how far the hosts are; false when it failed and was reported. */
+/* Reads the revision of every host once; false, with the error reported and `code` set, on
+ * failure. */
 static bool
 look (struct cli_session *session,
       json_int_t wanted,
@@ -199,8 +201,8 @@
   return true;
 }
 
-/* Until every host that can be reached has `wanted` in force.  A host that cannot be reached takes
- * the revision before it serves again, so it is named and not waited for. */
+/* Polls until every reachable host has revision `wanted` in force.  An unreachable host applies the
+ * revision before it serves again, so it is reported and not waited for. */
 static enum cli_exit
 wait_in_force (struct cli_session *session, const struct apply_options *options, json_int_t wanted)
 {
@@ -216,7 +218,7 @@
             printf ("version %lld is in force on every host that can be reached\n",
                     (long long) wanted);
           if (progress.unreachable > 0)
-            fprintf (stderr, "left out: %s\n", progress.names);
+            fprintf (stderr, "not waited for: %s\n", progress.names);
           return CLI_EXIT_OK;
         }
       if (cli_now (session) >= deadline)
--- a/src/cli_check.c
+++ b/src/cli_check.c
@@ -1,4 +1,4 @@
-/* `cherryarch check`: is the settings file in order? */
+/* `cherryarch check`: checks a settings file and the files it names. */
 #include "cli.h"
 #include "keyfile.h"
 #include "settings.h"
@@ -34,12 +34,12 @@
       return 0;
     case ARGP_KEY_ARG:
       if (options->path != NULL)
-        argp_error (argp, "one settings file at a time");
+        argp_error (argp, "expected one settings file, got more than one");
       options->path = arg;
       return 0;
     case ARGP_KEY_END:
       if (options->path == NULL && !options->keys)
-        argp_error (argp, "which settings file?");
+        argp_error (argp, "expected a settings file");
       return 0;
     default:
       return ARGP_ERR_UNKNOWN;
@@ -54,7 +54,8 @@
   bytes_clear (text);
 }
 
-/* A file that the settings name must be there, or `run` fails where `check` did not. */
+/* Checks that a file named in the settings is accessible, so that `run` does not fail where `check`
+ * passed. */
 static bool
 check_access (const char *path, int mode, const char *what)
 {
@@ -64,7 +65,8 @@
   return false;
 }
 
-/* Read as `run` reads it: a lax mode or torn halves show here. */
+/* Reads the key file as `run` does, to detect a mode that lets others read it and keys that do not
+ * form a pair. */
 static bool
 check_key (const char *path)
 {
@@ -94,7 +96,7 @@
           settings->domain, settings->region, settings->listen_callers, settings->listen_operators,
           settings->listen_targets, settings->listen_peers);
   if (settings->n_voters > 0 && settings->n_voters % 2 == 0)
-    printf ("note: %u voters stand no more losses than %u\n", settings->n_voters,
+    printf ("note: %u voters tolerate no more failures than %u\n", settings->n_voters,
             settings->n_voters - 1);
   if (settings->key_file[0] == '\0')
     printf ("note: no [keys] file, so messages between hosts are not encrypted\n");
--- a/src/cli_commands.c
+++ b/src/cli_commands.c
@@ -12,7 +12,7 @@
   { "delete", "delete a resource", cli_delete },
   { "watch", "print changes of resources as they come", cli_watch },
   { "dump", "print the state of a host's process", cli_dump },
-  { "quarantine", "requests under which targets ended", cli_quarantine },
+  { "quarantine", "list or release requests under which targets ended", cli_quarantine },
   { "entry", "run an entry host on the users' platform", platform_entry_command },
   { "controller", "run a controller on the users' platform", platform_controller_command },
   { NULL, NULL, NULL },
--- a/src/cli_delete.c
+++ b/src/cli_delete.c
@@ -1,4 +1,4 @@
-/* `cherryarch delete`: take a resource away. */
+/* `cherryarch delete`: deletes a resource. */
 #include "cli_object.h"
 #include <stdio.h>
 #include <stdlib.h>
@@ -13,7 +13,7 @@
   struct cli_options common;
   enum resource_kind kind;
   const char *name;
-  const char *version; /* NULL for whichever is current */
+  const char *version; /* NULL to delete whatever the current version */
   int arguments;
 };
 
--- a/src/cli_dump.c
+++ b/src/cli_dump.c
@@ -1,4 +1,4 @@
-/* `cherryarch dump`: the state of a host's process. */
+/* `cherryarch dump`: prints the internal state of a host's process. */
 #include "cli_object.h"
 #include <stdio.h>
 #include <string.h>
@@ -28,26 +28,26 @@
       return 0;
     case ARGP_KEY_ARG:
       if (options->part != NULL)
-        argp_error (argp, "one PART at a time");
+        argp_error (argp, "expected one PART, got more than one");
       options->part = arg;
       return 0;
     case ARGP_KEY_END:
       if (options->part != NULL && options->metrics)
-        argp_error (argp, "--metrics has no parts");
+        argp_error (argp, "--metrics cannot be combined with PART");
       return 0;
     default:
       return ARGP_ERR_UNKNOWN;
     }
 }
 
-/* The parts' names, for one that is not there. */
+/* Reports an unknown part and lists the known ones. */
 static enum cli_exit
 say_parts (const json_t *dump, const char *part)
 {
   const char *key;
   json_t *value;
 
-  fprintf (stderr, "no part \"%s\"; there are:", part);
+  fprintf (stderr, "unknown part \"%s\"; expected one of:", part);
   json_object_foreach ((json_t *) dump, key, value)
     {
       fprintf (stderr, " %s", key);
--- a/src/cli_get.c
+++ b/src/cli_get.c
@@ -1,4 +1,4 @@
-/* `cherryarch get`: resources as they are declared. */
+/* `cherryarch get`: prints declared resources. */
 #include "cli_object.h"
 #include <stdio.h>
 #include <string.h>
@@ -40,7 +40,7 @@
     }
 }
 
-/* How far the object's revision has come. */
+/* Prints on how many hosts the object's revision is in force, and which are behind. */
 static void
 print_in_force (const json_t *object)
 {
@@ -91,7 +91,8 @@
   return CLI_EXIT_OK;
 }
 
-/* One page into `items`; `next` takes the token of the page after it, "" at the end. */
+/* Appends one page to `items`.  `next` holds the token of the page to read and receives that of
+ * the following page, "" after the last. */
 static enum cli_exit
 get_page (struct cli_session *session,
           enum resource_kind kind,
--- a/src/cli_keygen.c
+++ b/src/cli_keygen.c
@@ -1,4 +1,4 @@
-/* `cherryarch keygen`: a host's key pair, or a token and its hash. */
+/* `cherryarch keygen`: generates a host's key pair, or a token and its hash. */
 #include "access.h"
 #include "cli.h"
 #include "keyfile.h"
@@ -46,14 +46,14 @@
       return 0;
     case ARGP_KEY_ARG:
       if (options->path != NULL)
-        argp_error (argp, "one file at a time");
+        argp_error (argp, "expected one file, got more than one");
       options->path = arg;
       return 0;
     case ARGP_KEY_END:
       if (options->token && (options->path != NULL || options->public_only))
-        argp_error (argp, "--token goes without a file and without --public");
+        argp_error (argp, "--token cannot be combined with a file or --public");
       if (!options->token && options->path == NULL)
-        argp_error (argp, "which file is the key to be in? (or --token)");
+        argp_error (argp, "expected a key file, or --token");
       return 0;
     default:
       return ARGP_ERR_UNKNOWN;
--- a/src/cli_object.c
+++ b/src/cli_object.c
@@ -1,4 +1,4 @@
-/* Files of resources, and answers about them. */
+/* Reads resource files and reports the responses of hosts. */
 #include "cli_object.h"
 #include "text.h"
 #include <dirent.h>
@@ -56,7 +56,7 @@
     return kind;
   cli_kind_list (list, sizeof list);
   if (text == NULL)
-    argp_error (argp, "which kind? One of %s", list);
+    argp_error (argp, "expected a kind: one of %s", list);
   else
     argp_error (argp, "expected one of %s, got \"%s\"", list, text);
   return kind;
@@ -190,7 +190,7 @@
   const char *field = json_string_value (json_object_get (error, "field"));
   const char *message = json_string_value (json_object_get (error, "message"));
 
-  /* Many messages begin with the field's name. */
+  /* Many messages already begin with the field's name; print it once. */
   if (field != NULL && message != NULL && strncmp (message, field, strlen (field)) == 0)
     field = NULL;
   fprintf (stderr, "%s: %s%s%s (%d from %s)\n", about, field == NULL ? "" : field,
@@ -226,7 +226,7 @@
                              answer->body.length, JSON_REJECT_DUPLICATES, &error);
 
   if (json == NULL)
-    fprintf (stderr, "%s: the answer is no JSON: %s\n", answer->host, error.text);
+    fprintf (stderr, "%s: the response is not valid JSON: %s\n", answer->host, error.text);
   return json;
 }
 
--- a/src/cli_object.h
+++ b/src/cli_object.h
@@ -1,4 +1,4 @@
-/* Resources as operators write them in files, and the reporting of answers about them. */
+/* Reading of resource files, and reporting of the responses of hosts. */
 #ifndef CLI_OBJECT_H
 #define CLI_OBJECT_H
 
@@ -25,28 +25,29 @@
   size_t count;
 };
 
-/* The objects of a JSON file (one object or an array of them), or of the *.json files of a folder
- * in the order of their names.  All of them are read before any is used; status_message() names
- * the file and the fault. */
+/* Reads the objects of a JSON file (one object or an array of them), or of the *.json files of a
+ * folder in the order of their names.  On an error `out` is empty and status_message() names the
+ * file and the error. */
 enum status cli_objects_read (void *parent, const char *path, struct cli_objects *out);
 void cli_objects_clear (struct cli_objects *objects);
 
-/* The kind of that plural; false when there is none. */
+/* Finds the kind with this plural; false when there is none. */
 bool cli_kind_find (const char *plural, enum resource_kind *out);
 
-/* "pipelines, services, ...". */
+/* Writes the plurals of all kinds: "pipelines, services, ...". */
 void cli_kind_list (char *out, size_t size);
 
-/* The kind named by a command's argument, or the end of the process with a usage message. */
+/* Returns the kind that a command's argument names; exits with a usage message if there is none. */
 enum resource_kind cli_kind_argument (const char *text, struct argp_state *argp);
 
-/* Say on standard error what an answer with an error code holds; the exit code for it. */
+/* Prints an error response on standard error and returns the exit code for it. */
 enum cli_exit cli_report_error (const struct cli_answer *answer, const char *about);
 
-/* For a call without an answer: print status_message(). */
+/* Prints status_message() for a call that got no response; returns CLI_EXIT_UNREACHABLE. */
 enum cli_exit cli_report_failure (void);
 
-/* The answer's body as JSON, a new reference; NULL, reported, when it is none. */
+/* Returns a new reference to the response body as JSON; NULL, with the error printed, if it is not
+ * JSON. */
 json_t *cli_answer_json (const struct cli_answer *answer);
 
 /* Print `json` on standard output with a line feed. */
--- a/src/cli_options.c
+++ b/src/cli_options.c
@@ -23,7 +23,7 @@
   { "token-file", OPTION_TOKEN_FILE, "FILE", 0,
     "The operator's token (default: $" TOKEN_FILE_VARIABLE ")", 1 },
   { "ca", OPTION_CA, "FILE", 0, "PEM certificate to trust; turns TLS on", 1 },
-  { "timeout", OPTION_TIMEOUT, "SECONDS", 0, "Give up after it (default: 10)", 1 },
+  { "timeout", OPTION_TIMEOUT, "SECONDS", 0, "Fail after this many seconds (default: 10)", 1 },
   { "output", OPTION_OUTPUT, "FORMAT", 0, "table (default) or json", 1 },
   { 0 },
 };
@@ -47,7 +47,7 @@
       if (length > 0)
         {
           if (!setting_is_address (address, false))
-            argp_error (argp, "--host: expected IP:PORT with an IPv4 number, got \"%s\"", address);
+            argp_error (argp, "--host: expected IP:PORT with an IPv4 address, got \"%s\"", address);
           options->n_hosts++;
         }
       from += length;
@@ -55,7 +55,8 @@
     }
 }
 
-/* The first line of the file; a token on the command line would show in the list of processes. */
+/* Reads the token from the first line of a file: on the command line it would be visible in the
+ * process list. */
 static void
 read_token (struct argp_state *argp, struct cli_options *options, const char *path)
 {
@@ -90,7 +91,7 @@
   if (options->n_hosts == 0 && hosts != NULL)
     add_hosts (argp, options, hosts);
   if (options->n_hosts == 0)
-    argp_error (argp, "which host? --host IP:PORT, or $" HOSTS_VARIABLE);
+    argp_error (argp, "expected --host IP:PORT or $" HOSTS_VARIABLE);
   if (options->token[0] == '\0' && token_file != NULL && token_file[0] != '\0')
     read_token (argp, options, token_file);
   if (options->timeout == 0)
--- a/src/cli_quarantine.c
+++ b/src/cli_quarantine.c
@@ -1,5 +1,5 @@
-/* `cherryarch quarantine`: requests under which targets ended, and an operator's word that one may
- * be sent again. */
+/* `cherryarch quarantine`: lists the requests under which targets ended, and releases one so that
+ * it may be sent again. */
 #include "cli_object.h"
 #include "request_digest.h"
 #include <stdio.h>
@@ -9,7 +9,7 @@
 struct quarantine_options
 {
   struct cli_options common;
-  const char *release; /* content; NULL to list */
+  const char *release; /* request digest in hex; NULL to list */
 };
 
 static error_t
@@ -25,8 +25,9 @@
       return 0;
     case 'r':
       if (!request_digest_parse (arg, &digest))
-        argp_error (argp, "\"%s\" is no content: %d hexadecimal digits, as the list has them", arg,
-                    REQUEST_DIGEST_TEXT_SIZE - 1);
+        argp_error (argp,
+                    "--release: \"%s\": expected %d hexadecimal digits, as listed under CONTENT",
+                    arg, REQUEST_DIGEST_TEXT_SIZE - 1);
       options->release = arg;
       return 0;
     default:
--- a/src/cli_run.c
+++ b/src/cli_run.c
@@ -1,4 +1,4 @@
-/* `cherryarch run`: the host's process. */
+/* `cherryarch run`: runs a host in the foreground. */
 #include "cli.h"
 #include "host.h"
 #include "log.h"
@@ -15,11 +15,11 @@
     {
     case ARGP_KEY_ARG:
       if (*path != NULL)
-        argp_error (argp, "one settings file at a time");
+        argp_error (argp, "expected one settings file, got more than one");
       *path = arg;
       return 0;
     case ARGP_KEY_NO_ARGS:
-      argp_error (argp, "which settings file?");
+      argp_error (argp, "expected a settings file");
       return 0;
     default:
       return ARGP_ERR_UNKNOWN;
@@ -54,7 +54,7 @@
   return STATUS_OK;
 }
 
-/* One list of codes for all commands: the host's own numbers stay inside. */
+/* Maps the exit code of host_run() to the codes that all commands share. */
 static enum cli_exit
 exit_code (int host_exit)
 {
--- a/src/cli_session.c
+++ b/src/cli_session.c
@@ -1,4 +1,4 @@
-/* Calls on the loop, run until their end. */
+/* Synchronous HTTP calls on an event loop. */
 #include "cli_session.h"
 #include "counter.h"
 #include "http_client.h"
@@ -14,7 +14,7 @@
 #define CLI_ANSWER_MAX (64u << 20)
 #define CLI_EVENT_MAX (4u << 20)
 #define CONNECT_TIMEOUT (2 * USEC_PER_SEC)
-/* Longer than a host tries a change itself, so that its answer is heard. */
+/* Longer than a host retries a change itself (8 s), so that its response is received. */
 #define ONE_HOST_TIMEOUT (9 * USEC_PER_SEC)
 #define ROUND_PAUSE (200 * USEC_PER_MSEC)
 #define LOOP_STEP (100 * USEC_PER_MSEC)
@@ -26,21 +26,21 @@
   struct cli_options options;
   struct loop *loop;
   struct http_client *http;
-  uint32_t current; /* the host to ask next; the one that answered stays */
+  uint32_t current; /* index of the host to call next; unchanged after a response */
   char authorization[CLI_TOKEN_SIZE + 8];
 };
 
-/* One call on its way. */
+/* A call in flight. */
 struct call
 {
   struct http_call_sink sink;
   struct bytes *body;
-  struct sse_decoder *events; /* of a stream, once its head said 200 */
+  struct sse_decoder *events; /* of a stream; used only for a 200 response */
   struct sse_sink *event_sink;
   int code;
   bool ended;
   enum status status;
-  bool stopped; /* by the stream's sink */
+  bool stopped; /* ended by the stream's sink */
 };
 
 static void
@@ -177,7 +177,7 @@
   return n;
 }
 
-/* Run one call to its end; its status. */
+/* Runs one call to completion and returns its status. */
 static enum status
 run_call (struct cli_session *session,
           const struct cli_request *request,
@@ -195,7 +195,7 @@
     .body = request->body,
     .body_length = request->length,
     .deadline = deadline,
-    .max_body_bytes = call->events == NULL ? 0 : SIZE_MAX, /* a watch has no length */
+    .max_body_bytes = call->events == NULL ? 0 : SIZE_MAX, /* a watch has no length limit */
   };
   struct http_call *handle;
   enum status status;
@@ -212,14 +212,14 @@
   return call->status;
 }
 
-/* Would another host, or the same one later, answer better? */
+/* True for codes on which the request is retried, on another host or later. */
 static bool
 is_transient (int code)
 {
   return code == 502 || code == 503 || code == 504;
 }
 
-/* One host; true when its answer is the one to keep.  `failure` takes why not. */
+/* Calls the current host; true when its response is final, else `failure` receives the reason. */
 static bool
 try_host (struct cli_session *session,
           const struct cli_request *request,
@@ -250,7 +250,7 @@
   return false;
 }
 
-/* Every host in turn; true when one answered for good. */
+/* Calls the hosts in turn; true when one gave a final response. */
 static bool
 try_round (struct cli_session *session,
            const struct cli_request *request,
@@ -289,8 +289,8 @@
   for (;;)
     {
       answered = try_round (session, request, deadline, out, &failures, &reached);
-      /* Hosts without a leader get one in a moment; hosts that cannot be reached are a matter for
-       * whoever gave the addresses. */
+      /* Retry while hosts that were reached elect a leader.  If no host was reached, fail at once
+       * and leave it to the user to check the addresses. */
       if (answered || !reached || cli_now (session) + ROUND_PAUSE >= deadline)
         break;
       cli_pause (session, ROUND_PAUSE);
--- a/src/cli_session.h
+++ b/src/cli_session.h
@@ -1,4 +1,4 @@
-/* The operators' client: one call at a time, to whichever of the hosts answers. */
+/* HTTP client of the operator commands: one call at a time, with failover between hosts. */
 #ifndef CLI_SESSION_H
 #define CLI_SESSION_H
 
@@ -18,23 +18,23 @@
 #define CLI_TOKEN_SIZE 257
 #define CLI_CHANGE_ID_SIZE 33
 
-/* What every command that talks to a host takes. */
+/* Options common to all commands that call hosts. */
 struct cli_options
 {
   char hosts[CLI_HOSTS_MAX][RESOURCE_ADDRESS_SIZE]; /* operator addresses */
   uint32_t n_hosts;
   char token[CLI_TOKEN_SIZE]; /* "" for none */
   const char *ca;             /* file; NULL for plain HTTP */
-  int64_t timeout;
+  int64_t timeout;            /* microseconds */
   bool json;
 };
 
-/* Argp child for these options; its input is a struct cli_options that was zeroed. */
+/* Argp child for these options; its input is a zeroed struct cli_options. */
 extern const struct argp cli_argp;
 
 struct cli_session;
 
-/* NULL with status_message(). */
+/* NULL on an error, described by status_message(). */
 struct cli_session *cli_session_new (void *parent, const struct cli_options *options);
 
 struct cli_request
@@ -43,20 +43,19 @@
   const char *path;
   const void *body; /* NULL for none */
   size_t length;
-  const char *change_id; /* NULL where nothing is changed; the same for each resend */
+  const char *change_id; /* idempotency key, the same for each resend; NULL for reads */
 };
 
 struct cli_answer
 {
   int code;
   struct bytes body;
-  char host[RESOURCE_ADDRESS_SIZE]; /* which answered */
+  char host[RESOURCE_ADDRESS_SIZE]; /* the host that answered */
 };
 
-/* Ask the hosts in turn until one gives an answer that asking another would not better (anything
- * but 502, 503 and 504), or the options' timeout is over.  OK for any answer, also one with an
- * error code; STATUS_UNAVAILABLE when no host gave one, with each host's failure in
- * status_message(). */
+/* Calls the hosts in turn until one gives a final response (any code but 502, 503 and 504) or the
+ * options' timeout expires.  Returns OK for any final response, also one with an error code, and
+ * STATUS_UNAVAILABLE otherwise, with the failure of each host in status_message(). */
 enum status cli_call (struct cli_session *session,
                       const struct cli_request *request,
                       struct cli_answer *out);
@@ -68,23 +67,23 @@
 
 struct cli_stream_ops
 {
-  /* One event's data; false ends the stream. */
+  /* Called with the data of one event; returns false to end the stream. */
   bool (*event) (struct cli_stream *stream, const char *data, size_t length);
 };
 
-/* Read an event stream until it ends, the connection fails or the sink ends it.  `code` takes the
- * answer's; one other than 200 has its body in `error`. */
+/* Reads an event stream until it ends, the connection fails or the sink ends it.  `code` receives
+ * the HTTP status; the body of a response other than 200 is in `error`. */
 enum status cli_read_stream (struct cli_session *session,
                              const char *path,
                              struct cli_stream *stream,
                              int *code,
                              struct bytes *error);
 
-/* Let time pass without a call. */
+/* Runs the event loop for `span` microseconds without a call. */
 void cli_pause (struct cli_session *session, int64_t span);
 int64_t cli_now (const struct cli_session *session);
 
-/* A change id that nobody else makes: 128 random bits in hex. */
+/* Generates a unique change id: 128 random bits in hex. */
 void cli_make_change_id (char out[CLI_CHANGE_ID_SIZE]);
 
 END_DECLS
--- a/src/cli_table.c
+++ b/src/cli_table.c
@@ -1,4 +1,4 @@
-/* Objects as tables: which fields a kind shows, and columns as wide as their widest cell. */
+/* Prints objects as tables; each column is as wide as its widest cell. */
 #include "cli_object.h"
 #include "text.h"
 #include <stdio.h>
@@ -10,7 +10,7 @@
 struct column
 {
   const char *title;
-  const char *path; /* keys parted by dots; "[]" joins what an array holds */
+  const char *path; /* keys separated by dots; "[]" joins the elements of an array */
 };
 
 static const struct column columns[RESOURCE_KIND_COUNT][COLUMNS_MAX] = {
@@ -132,7 +132,7 @@
     }
 }
 
-/* A row; `object` NULL for the titles.  The last cell is not padded. */
+/* Prints a row, or the titles if `object` is NULL.  The last cell is not padded. */
 static void
 print_row (const struct column *shown, const int widths[COLUMNS_MAX], const json_t *object)
 {
--- a/src/cli_watch.c
+++ b/src/cli_watch.c
@@ -1,4 +1,4 @@
-/* `cherryarch watch`: changes of resources as they come into force. */
+/* `cherryarch watch`: prints changes of resources as they come into force. */
 #include "cli_object.h"
 #include "text.h"
 #include <stdio.h>
@@ -8,13 +8,13 @@
 
 #define OPTION_FROM 'r'
 #define RECONNECT_PAUSE (500 * USEC_PER_MSEC)
-#define RECONNECTS_MAX 20 /* in a row, without an event between them */
+#define RECONNECTS_MAX 20 /* consecutive, without an event between them */
 
 struct watch_options
 {
   struct cli_options common;
   enum resource_kind kind;
-  long long from; /* resourceVersion; -1 for from now on */
+  long long from; /* resourceVersion; -1 to start at the current one */
   int arguments;
 };
 
@@ -22,8 +22,8 @@
 {
   struct cli_stream stream;
   const struct watch_options *options;
-  long long seen; /* the last resourceVersion */
-  int failures;   /* in a row */
+  long long seen; /* the highest resourceVersion received */
+  int failures;   /* consecutive connections without an event */
 };
 
 static error_t
@@ -44,7 +44,7 @@
       return 0;
     case ARGP_KEY_ARG:
       if (options->arguments++ > 0)
-        argp_error (argp, "one KIND at a time");
+        argp_error (argp, "expected one KIND, got more than one");
       options->kind = cli_kind_argument (arg, argp);
       return 0;
     case ARGP_KEY_END:
@@ -69,7 +69,7 @@
 
   if (type == NULL)
     {
-      /* The last thing watched is known; the next connection goes on from there. */
+      /* Not a valid event: reconnect and resume from the last version seen. */
       json_decref (event);
       return false;
     }
@@ -88,7 +88,7 @@
 
 static const struct cli_stream_ops stream_ops = { .event = take_event };
 
-/* The revision to watch from: what a list of now gives. */
+/* Sets the revision to watch from to that of a list request. */
 static enum cli_exit
 find_start (struct cli_session *session, struct watch *watch)
 {
@@ -109,7 +109,7 @@
   return list == NULL ? CLI_EXIT_FAILED : CLI_EXIT_OK;
 }
 
-/* One connection; true when another is worth a try. */
+/* Watches over one connection; true when the caller should reconnect. */
 static bool
 watch_once (struct cli_session *session, struct watch *watch, enum cli_exit *exit_code)
 {
@@ -127,8 +127,10 @@
       return false;
     }
   if (answer.code == 410)
-    fprintf (stderr, "version %lld is too old to go on from: list again and watch from there\n",
-             watch->seen);
+    fprintf (
+        stderr,
+        "version %lld is no longer in the history: list again and watch from the new version\n",
+        watch->seen);
   if (answer.code >= 400 && answer.code < 500)
     {
       *exit_code = cli_report_error (&answer, "watch");
@@ -136,7 +138,7 @@
     }
   if (++watch->failures <= RECONNECTS_MAX)
     return true;
-  fprintf (stderr, "no host keeps the watch: %s\n", status_text (status));
+  fprintf (stderr, "no host keeps the watch open: %s\n", status_text (status));
   *exit_code = CLI_EXIT_UNREACHABLE;
   return false;
 }
