--- a/src/document.c
+++ b/src/document.c
@@ -1,4 +1,4 @@
-/* One configuration document under a version. */
+/* A versioned configuration document as a replicated state machine. */
 #include "document.h"
 #include "container.h"
 #include "log.h"
@@ -51,8 +51,8 @@
   if (!pack_read_end (&in))
     log_event (LOG_MODULE_STORE, LOG_LEVEL_ERROR, "entry-not-read", "{s:I}", "index",
                (json_int_t) index);
-  /* A machine that skipped an entry for want of memory would answer with an older document than the
-   * log says that it holds, until its next start. */
+  /* Running on after a failed allocation would leave this replica with an older document than the
+   * log implies, until the next start. */
   else if (!document_take (document, version, text, text_length))
     INVARIANT (document->version >= version);
   pack_uint (result, document->version);
--- a/src/document.h
+++ b/src/document.h
@@ -1,8 +1,7 @@
-/* One configuration document under a version, as a replicated state machine: the highest version
- * stays.
+/* A versioned configuration document as a replicated state machine: the highest version wins.
  *
- * A change whose version is not higher than the one held changes nothing and is still a success:
- * its operator resends what it got no answer for, and must not be told to stop. */
+ * A change whose version is not higher than the current one has no effect but still succeeds: an
+ * operator resends a change that got no response, and the resend must not be refused. */
 #ifndef DOCUMENT_H
 #define DOCUMENT_H
 
@@ -27,14 +26,15 @@
 struct document *document_new (void *parent, struct document_listener *listener);
 struct machine *document_machine (struct document *document);
 
-/* 0 while there is none. */
+/* 0 while there is no document. */
 uint64_t document_version (const struct document *document);
 const struct bytes *document_text (const struct document *document);
 
-/* An entry for the log. */
+/* Appends the log entry for a change to `out`. */
 void document_write_change (uint64_t version, const void *text, size_t length, struct bytes *out);
 
-/* Take a newer version from a host that has it; for hosts that are no members of the log. */
+/* Replaces the document with a newer version; false if `version` is not newer or memory is out.
+ * Also used directly by hosts that are not members of the log. */
 bool document_take (struct document *document, uint64_t version, const void *text, size_t length);
 
 END_DECLS
--- a/src/keyfile.c
+++ b/src/keyfile.c
@@ -1,4 +1,4 @@
-/* The key file: two lines, public_key and secret_key, in INI. */
+/* The key file, in INI format: two lines, public_key and secret_key. */
 #include "keyfile.h"
 #include "text.h"
 #include <errno.h>
@@ -54,7 +54,7 @@
   enum status status = STATUS_OK;
 
   if (fd < 0 && errno == EEXIST)
-    return status_fail (STATUS_EXISTS, "%s: there is a file already, and it is kept", path);
+    return status_fail (STATUS_EXISTS, "%s: the file already exists and was not changed", path);
   if (fd < 0)
     return status_fail (STATUS_IO, "%s: %s", path, strerror (errno));
   if (!write_whole (fd, text, (size_t) length) || fsync (fd) != 0)
@@ -90,8 +90,10 @@
   memset (out, 0, sizeof *out);
   bad_line = ini_parse_string (text, take_value, out);
   if (bad_line != 0)
-    return status_fail (STATUS_CORRUPT, "%s:%d: expected public_key or secret_key = 40 of Z85",
-                        path, bad_line);
+    return status_fail (
+        STATUS_CORRUPT,
+        "%s:%d: expected public_key or secret_key, once each, with 40 characters of Z85", path,
+        bad_line);
   if (out->public_key[0] == '\0' || out->secret_key[0] == '\0')
     return status_fail (STATUS_CORRUPT, "%s: expected public_key and secret_key", path);
   if (zmq_curve_public (derived, out->secret_key) != 0 || strcmp (derived, out->public_key) != 0)
@@ -99,7 +101,8 @@
   return STATUS_OK;
 }
 
-/* The open file's content; its mode is read from the same descriptor. */
+/* Reads the content of the open file.  The mode is checked on the same descriptor, so that both
+ * belong to the same file. */
 static enum status
 read_text (int fd, const char *path, char *text, size_t size)
 {
@@ -109,7 +112,8 @@
   if (fstat (fd, &about) != 0)
     return status_fail (STATUS_IO, "%s: %s", path, strerror (errno));
   if ((about.st_mode & (S_IRWXG | S_IRWXO)) != 0)
-    return status_fail (STATUS_DENIED, "%s: expected mode 0600, others may open it (0%o)", path,
+    return status_fail (STATUS_DENIED,
+                        "%s: expected mode 0600, got 0%o, which lets other users open it", path,
                         about.st_mode & 0777);
   length = read (fd, text, size - 1);
   if (length < 0)
--- a/src/keyfile.h
+++ b/src/keyfile.h
@@ -1,4 +1,4 @@
-/* A host's long-term CURVE key pair and the file it is kept in. */
+/* A host's long-term CURVE key pair and the file that stores it. */
 #ifndef KEYFILE_H
 #define KEYFILE_H
 
@@ -17,15 +17,15 @@
 
 enum status key_pair_make (struct key_pair *out);
 
-/* Make the file, readable by its owner alone and synced.  STATUS_EXISTS when there is one: an
- * overwritten key could not be had back. */
+/* Creates the file with mode 0600 and syncs it.  STATUS_EXISTS if the file exists: an overwritten
+ * key could not be recovered. */
 enum status keyfile_write (const char *path, const struct key_pair *pair);
 
-/* STATUS_DENIED for a file that others may read, STATUS_CORRUPT for one that holds no pair or one
- * whose halves do not belong together. */
+/* STATUS_DENIED if the group or others have any access to the file, STATUS_CORRUPT if it does not
+ * hold a pair or its two keys do not match. */
 enum status keyfile_read (const char *path, struct key_pair *out);
 
-/* Read from memory; `path` stands in messages. */
+/* Parses a key file in memory; `path` is used in messages only. */
 enum status keyfile_parse (const char *path, const char *text, struct key_pair *out);
 
 END_DECLS
--- a/src/main.c
+++ b/src/main.c
@@ -1,4 +1,4 @@
-/* cherryarch: the host's process and its operators' commands in one binary. */
+/* cherryarch: the host process and the operator commands in one binary. */
 #include "cli.h"
 
 int
--- a/src/operator.c
+++ b/src/operator.c
@@ -1,8 +1,8 @@
-/* The operators' interface: routes, rights, and what is not a resource. */
+/* The operator API: routing, authorization, and the paths that are not resources. */
 #include "operator_private.h"
 #include <string.h>
 
-/* name, path: the routes that are not of a kind, after those of the kinds */
+/* Routes that do not belong to a resource kind; they follow the routes of the kinds.  name, path */
 #define OTHER_ROUTE_LIST(X)                                                                        \
   X (REVISION, "/v1/revision")                                                                     \
   X (DUMP, "/v1/dump")                                                                             \
@@ -78,7 +78,7 @@
   operator_reply_json (api, exchange, code, body, now);
 }
 
-/* Changes of who may do what need the highest role. */
+/* Changes of operators and hosts grant access, so they need the highest role. */
 static enum access_role
 role_needed (enum resource_kind kind, const char *method)
 {
@@ -87,7 +87,7 @@
   return kind == RESOURCE_OPERATOR || kind == RESOURCE_HOST ? ACCESS_ADMIN : ACCESS_WRITE;
 }
 
-/* False when the exchange was answered with a refusal. */
+/* Authenticates and authorizes the request; false if it was refused and answered. */
 static bool
 allowed (struct operator_request *request)
 {
@@ -106,7 +106,8 @@
   return false;
 }
 
-/* The object's name from "/v1/KIND/NAME"; false when the path is neither that nor the kind's. */
+/* Reads the object's name from "/v1/KIND/NAME"; false if the path is neither that nor "/v1/KIND".
+ */
 static bool
 parse_path (struct operator_request *request, const char *prefix)
 {
@@ -213,7 +214,7 @@
   struct operator_request request = {
     .api = own->api, .exchange = exchange, .kind = own->kind, .now = now
   };
-  int which = (int) (own - own->api->routes) - RESOURCE_KIND_COUNT; /* below 0 for a kind */
+  int which = (int) (own - own->api->routes) - RESOURCE_KIND_COUNT; /* negative for a kind */
 
   if (own->kind == RESOURCE_KIND_COUNT && strcmp (exchange->method, "GET") != 0)
     http_reply_error (exchange, 405, NULL, "GET only");
--- a/src/operator.h
+++ b/src/operator.h
@@ -1,4 +1,4 @@
-/* The operators' interface: resources, watches, revision, dump, counters, health. */
+/* The operator API: resources, watches, revision, dump, metrics and health. */
 #ifndef OPERATOR_H
 #define OPERATOR_H
 
@@ -22,20 +22,21 @@
 {
   struct store *store;
   struct board *board;
-  struct access *access; /* NULL: every operator may do all */
+  struct access *access; /* NULL: no authentication, everybody is an admin */
   struct consensus *consensus;
-  struct config_wait *wait; /* NULL: `wait` knows of this host alone */
+  struct config_wait *wait; /* NULL: the `wait` parameter is ignored */
   struct timer_service *timers;
   struct counters *counters;
   struct dump *dump;
-  const char *host;       /* our name, */
-  int64_t wall_offset_ms; /* wall clock minus monotonic clock at the start, milliseconds */
+  const char *host;       /* name of this host */
+  int64_t wall_offset_ms; /* wall clock minus monotonic clock at start, milliseconds */
 };
 
-/* Freed with `parent`.  NULL when memory is out. */
+/* Freed with `parent`.  NULL when out of memory. */
 struct operator_api *operator_api_new (void *parent, const struct operator_api_config *config);
 
-/* The routes to add to the server; their count.  They live as long as the interface. */
+/* Sets `out` to the routes to add to the server and returns their count.  They live as long as
+ * `api`. */
 uint32_t operator_api_routes (struct operator_api *api, struct http_route ***out);
 
 END_DECLS
--- a/src/operator_body.c
+++ b/src/operator_body.c
@@ -1,4 +1,4 @@
-/* From an operator's request to a change of the store. */
+/* Parses the body of an operator's request into a change of the store. */
 #include "operator_body.h"
 #include "resource_parse.h"
 #include <stdlib.h>
@@ -13,7 +13,7 @@
   return false;
 }
 
-/* The parser recurses: text that nests deeper is refused before it. */
+/* Checks the nesting depth before parsing, because the JSON parser is recursive. */
 static bool
 depth_within (const char *text, size_t length, int max)
 {
@@ -35,7 +35,7 @@
   return depth <= max;
 }
 
-/* The number may come as a string, as other resource interfaces write it. */
+/* Accepts a number or a decimal string, the form that other resource APIs use. */
 static bool
 read_version (const json_t *value, uint64_t *out)
 {
--- a/src/operator_change.c
+++ b/src/operator_change.c
@@ -1,4 +1,5 @@
-/* Changes of resources: proposed, repeated where that is safe, answered, audited. */
+/* Changes of resources: proposes them to the log, retries where that is safe, replies and writes
+ * the audit log. */
 #include "config_wait.h"
 #include "container.h"
 #include "log.h"
@@ -8,32 +9,33 @@
 #include <stdlib.h>
 #include <string.h>
 
-#define CHANGE_WITHIN (8 * USEC_PER_SEC) /* from the request to its answer, without the wait */
-#define CHANGE_TRY (2 * USEC_PER_SEC)    /* of one proposal */
-#define CHANGE_PAUSE (USEC_PER_SEC / 10) /* between tries */
+#define CHANGE_WITHIN                                                                              \
+  (8 * USEC_PER_SEC) /* from the request to its response, excluding the wait for hosts */
+#define CHANGE_TRY (2 * USEC_PER_SEC)    /* timeout of one proposal */
+#define CHANGE_PAUSE (USEC_PER_SEC / 10) /* between proposals */
 #define PATCH_CONFLICTS_MAX 8
 #define WAIT_MAX_MS 60000
 
-/* One change between its request and its answer. */
+/* A change that has not been answered yet. */
 struct operator_pending
 {
   struct http_watcher watcher;
   struct operator_api *api;
-  struct http_exchange *exchange; /* NULL once the operator went away */
+  struct http_exchange *exchange; /* NULL once the operator has disconnected */
   struct proposal proposal;
   struct timer retry;
   struct config_waiter waiter;
   struct store_change change;
   char who[RESOURCE_NAME_SIZE];
-  json_t *patch; /* NULL but for a PATCH */
-  bool pinned;   /* the PATCH names the version it is of, */
+  json_t *patch; /* NULL unless the request is a PATCH */
+  bool pinned;   /* the PATCH names the resourceVersion it applies to, `version` */
   uint64_t version;
   uint32_t conflicts;
   bool proposed;
   bool waiting;
   int64_t deadline;
-  int64_t wait; /* span, 0 for none */
-  int code;     /* of the answer while waiting for hosts */
+  int64_t wait; /* for hosts to apply the change, microseconds; 0 for none */
+  int code;     /* HTTP status of the response, kept while waiting for hosts */
   struct bytes object;
 };
 
@@ -70,7 +72,7 @@
              pending->change.change_id, "result", result, "revision", (json_int_t) revision);
 }
 
-/* The operator went away; the change runs on, and a resend gets its answer. */
+/* The operator disconnected: the change continues, and a resend gets its result. */
 static void
 closed (struct http_watcher *watcher, int64_t now)
 {
@@ -129,7 +131,7 @@
                answer->text, answer->length, now);
 }
 
-/* Build the spec of a PATCH from `current`; false when the change was answered. */
+/* Builds the spec of a PATCH from `current`; false if an error was sent and `pending` freed. */
 static bool
 merge_patch (struct operator_pending *pending, const char *current, size_t length, int64_t now)
 {
@@ -151,7 +153,7 @@
   return good;
 }
 
-/* Another change came between this host's copy and ours: merge onto the current object. */
+/* The object has changed since the patch was merged: merge it into the current object. */
 static void
 patch_conflict (struct operator_pending *pending, const struct store_answer *answer, int64_t now)
 {
@@ -237,8 +239,9 @@
   end_problem (pending, store_verdict_code (answer->verdict), NULL, message, NULL, 0, now);
 }
 
-/* It is open whether the entry was or will be applied.  With a change id the machine knows a
- * repeat; without one only the operator can decide. */
+/* A proposal failed.  After a timeout or STATUS_UNAVAILABLE the entry may have been applied or may
+ * still be.  With a change id it is retried, since the state machine recognises a duplicate;
+ * without one the operator has to decide. */
 static void
 left_open (struct operator_pending *pending, enum status status, int64_t now)
 {
@@ -305,7 +308,7 @@
 
 static const struct timer_ops retry_ops = { .fire = retry_due };
 
-/* The change id and the hash of what was asked under it; false when the exchange was answered. */
+/* Reads the change id and hashes the request; false if an error was sent. */
 static bool
 read_change_id (const struct operator_request *request, struct store_change *change)
 {
@@ -338,9 +341,10 @@
   return false;
 }
 
-/* Merged onto this host's copy where that is of the version named; else the log tells: as a resend
- * the change has a first answer, and this host may lag.  No object has the version UINT64_MAX, so
- * the empty spec is never put. */
+/* Merges the patch into this host's copy of the object if it has the version named.  Otherwise the
+ * outcome is left to the log, since the request may be a resend of an applied change and this host
+ * may lag behind: an empty spec is proposed with version UINT64_MAX, which no object has, so it
+ * conflicts and is never stored. */
 static bool
 read_patch (struct operator_pending *pending,
             const struct operator_body *body,
@@ -384,7 +388,7 @@
   return true;
 }
 
-/* False when the exchange was answered. */
+/* Reads the request into `pending->change`; false if an error was sent. */
 static bool
 read_change (struct operator_request *request, struct operator_pending *pending)
 {
--- a/src/operator_list.c
+++ b/src/operator_list.c
@@ -1,4 +1,4 @@
-/* Reading resources: one, or a list in pages. */
+/* Reading of resources: a single object, or a list in pages. */
 #include "operator_private.h"
 #include <stdlib.h>
 #include <string.h>
@@ -7,8 +7,8 @@
 #define LIST_LIMIT_MAX 5000
 #define BEHIND_NAMED_MAX 16
 
-/* Where a list goes on: the revision of its first page and the last name given.  A watch from that
- * revision misses nothing that changed while the pages were read. */
+/* Continuation token of a list: the revision of its first page and the last name returned.  A watch
+ * from that revision reports every change made while the pages were read. */
 struct list_token
 {
   uint64_t revision;
@@ -25,7 +25,7 @@
          && text_copy (out->after, sizeof out->after, end + 1);
 }
 
-/* Which hosts have the object's revision in force. */
+/* Describes on how many hosts `revision` is in force and which hosts are behind. */
 static json_t *
 in_force (const struct operator_api *api, uint64_t revision)
 {
--- a/src/operator_private.h
+++ b/src/operator_private.h
@@ -1,4 +1,4 @@
-/* What the parts of the operators' interface share. */
+/* Internal declarations shared by the operator_*.c files. */
 #ifndef OPERATOR_PRIVATE_H
 #define OPERATOR_PRIVATE_H
 
@@ -16,7 +16,7 @@
 {
   struct http_route route;
   struct operator_api *api;
-  enum resource_kind kind; /* RESOURCE_KIND_COUNT for the others */
+  enum resource_kind kind; /* RESOURCE_KIND_COUNT for a path that is not a kind */
   char prefix[RESOURCE_NAME_SIZE];
 };
 
@@ -31,18 +31,19 @@
   struct counter *resent;
 };
 
-/* A request to one kind or one of its objects, its rights checked. */
+/* A request for a resource kind or one of its objects. */
 struct operator_request
 {
   struct operator_api *api;
   struct http_exchange *exchange;
   enum resource_kind kind;
-  char name[RESOURCE_NAME_SIZE]; /* of the object, "" for the kind */
-  char who[RESOURCE_NAME_SIZE];  /* the operator */
+  char name[RESOURCE_NAME_SIZE]; /* of the object, "" for the whole kind */
+  char who[RESOURCE_NAME_SIZE];  /* name of the operator, for the audit log */
   int64_t now;
 };
 
-/* Answer with JSON, the revision in force here and whether it was confirmed lately. */
+/* Replies with a JSON body, and headers with the revision in force on this host and whether it was
+ * confirmed recently. */
 void operator_reply (struct operator_api *api,
                      struct http_exchange *exchange,
                      int code,
@@ -50,11 +51,11 @@
                      size_t length,
                      int64_t now);
 
-/* The same of a value, whose reference is taken. */
+/* Same as operator_reply() for a JSON value; steals the reference to `body`. */
 void operator_reply_json (
     struct operator_api *api, struct http_exchange *exchange, int code, json_t *body, int64_t now);
 
-/* {"error": ...} and, when not NULL, "object". */
+/* Replies with {"error": ...} and, if `object_length` > 0, the current "object". */
 void operator_reply_problem (struct operator_api *api,
                              struct http_exchange *exchange,
                              int code,
--- a/src/operator_watch.c
+++ b/src/operator_watch.c
@@ -1,4 +1,4 @@
-/* Watches: a stream of changes from a revision on, with bookmarks. */
+/* Watches: event streams of the changes after a revision, with bookmarks. */
 #include "container.h"
 #include "log.h"
 #include "operator_private.h"
@@ -7,8 +7,9 @@
 #include <utlist.h>
 
 #define WATCHES_MAX 256
-#define WATCH_UNSENT_MAX (1u << 20)     /* a slow watcher waits above this */
-#define WATCH_PERIOD (2 * USEC_PER_SEC) /* of bookmarks, and of looking at slow watchers again */
+#define WATCH_UNSENT_MAX (1u << 20) /* bytes; sending to a slow client pauses above this */
+#define WATCH_PERIOD                                                                               \
+  (2 * USEC_PER_SEC) /* between bookmarks, and between retries for slow clients */
 
 struct operator_one_watch
 {
@@ -18,7 +19,7 @@
   struct operator_one_watch *next;
   struct http_exchange *exchange;
   enum resource_kind kind;
-  uint64_t revision; /* sent up to here */
+  uint64_t revision; /* of the last change sent or skipped */
 };
 
 struct operator_watches
@@ -52,7 +53,8 @@
 
 static const struct http_watcher_ops watcher_ops = { .closed = closed };
 
-/* A watch that lacks a change must not go on, nor end as if it had told all. */
+/* Aborts a watch that could not send a change: continuing or ending it normally would hide the gap
+ * from the client. */
 static void
 break_off (struct operator_one_watch *watch)
 {
@@ -65,8 +67,7 @@
   exchange->ops->abort (exchange);
 }
 
-/* One event of the stream around an object's JSON.  False: there was no memory for it, and the
- * watch is gone. */
+/* Sends one event with an object's JSON; false if memory is out and the watch was freed. */
 static bool
 send_object (struct operator_one_watch *watch, const char *type, const struct bytes *object)
 {
@@ -86,7 +87,7 @@
   return whole;
 }
 
-/* False when the watch is gone, as above. */
+/* Same return value as send_object(). */
 static bool
 send_bookmark (struct operator_one_watch *watch)
 {
@@ -101,7 +102,7 @@
   return sent;
 }
 
-/* The watcher was slower than the history is long. */
+/* Ends a watch whose next change is no longer in the history. */
 static void
 end_too_old (struct operator_one_watch *watch)
 {
@@ -159,8 +160,9 @@
   pump_all (CONTAINER_OF (timer, struct operator_watches, pump));
 }
 
-/* Failure: a watch never ends by itself, so one that is open would hold a shutdown up to its bound.
- * The last bookmark says from where the watcher goes on at another host. */
+/* Ends all watches when the host shuts down: a watch never ends by itself, so an open one would
+ * delay the shutdown until its time limit.  The last bookmark tells the client from which revision
+ * to resume on another host. */
 static void
 end_all (struct operator_watches *watches)
 {
@@ -212,7 +214,7 @@
   store_changed (listener, NULL);
 }
 
-/* A watch without a revision begins with all objects as they are. */
+/* Sends the current state of all objects; a watch without a revision begins with it. */
 static bool
 send_all (struct operator_one_watch *watch, const struct store *store)
 {
