--- a/src/resource.c
+++ b/src/resource.c
@@ -1,4 +1,4 @@
-/* The resources' names, and the fields of each kind. */
+/* Resource kinds and names, and the fields of each kind. */
 #include "resource_field.h"
 #include "text.h"
 #include <ctype.h>
@@ -168,7 +168,7 @@
                       problem);
 }
 
-/* What pipelines and services share. */
+/* Fields common to pipelines and services. */
 #define POLICY_FIELDS                                                                              \
   { .name = "deadlineMs",                                                                          \
     .type = FIELD_MSEC,                                                                            \
@@ -288,7 +288,7 @@
   [RESOURCE_ASSIGNMENT] = assignment_fields,
 };
 
-/* Every spec begins with its name. */
+/* The name is the first member of every spec, so it can be set through any of them. */
 static void
 set_defaults (enum resource_kind kind, const char *name, union resource_spec *out)
 {
@@ -318,7 +318,7 @@
     out->organisation.weight = 1;
 }
 
-/* Rules over more than one field. */
+/* Checks the rules that involve more than one field. */
 static enum status
 check_whole (enum resource_kind kind,
              const union resource_spec *spec,
--- a/src/resource.h
+++ b/src/resource.h
@@ -1,7 +1,7 @@
-/* The resources operators declare, as typed specs.
+/* Typed specs of the resources that operators declare.
  *
- * The store keeps each resource as JSON; these are what it parses them to, and what the board and
- * the decisions read. */
+ * The store keeps each resource as JSON and parses it to one of these, which the board and the
+ * scheduling decisions read. */
 #ifndef RESOURCE_H
 #define RESOURCE_H
 
@@ -28,7 +28,7 @@
   X (ORGANISATION, "organisations")                                                                \
   X (HOST, "hosts")                                                                                \
   X (OPERATOR, "operators")                                                                        \
-  X (ASSIGNMENT, "assignments") /* models, adapters, versions and roles targets should have */
+  X (ASSIGNMENT, "assignments") /* models, adapters, version and role that targets should have */
 
 enum resource_kind
 {
@@ -44,7 +44,7 @@
   X (RETRIEVE, "retrieve")                                                                         \
   X (RERANK, "rerank")                                                                             \
   X (GENERATE, "generate")                                                                         \
-  X (CALL, "call") /* a plain service */
+  X (CALL, "call") /* a service without model stages */
 
 enum stage_kind
 {
@@ -63,7 +63,7 @@
 /* 1 to 63 letters, digits, '-' and '.', the first a letter or digit. */
 bool resource_name_valid (const char *name);
 
-/* What a pipeline's owner weighs more. */
+/* The primary objective of a pipeline. */
 enum objective
 {
   OBJECTIVE_ATTAINMENT,
@@ -75,9 +75,9 @@
   char name[RESOURCE_NAME_SIZE];
   enum stage_kind kind;
   char pool[RESOURCE_NAME_SIZE];
-  char model[RESOURCE_NAME_SIZE];   /* "" for any the pool has */
+  char model[RESOURCE_NAME_SIZE];   /* "" for any model of the pool */
   char adapter[RESOURCE_NAME_SIZE]; /* "" for none */
-  uint32_t max_tokens;              /* generated at most, for STAGE_GENERATE */
+  uint32_t max_tokens;              /* maximum generated, for STAGE_GENERATE */
   uint32_t top;                     /* documents kept, for STAGE_RETRIEVE and STAGE_RERANK */
 };
 
@@ -88,48 +88,48 @@
   bool service;
   struct stage_spec stages[RESOURCE_STAGES_MAX];
   uint32_t n_stages;
-  int64_t deadline; /* a request's window when it names none, and the longest it may name */
+  int64_t deadline; /* default and maximum of a request's time limit, microseconds */
   enum objective objective;
-  uint32_t max_attempts; /* of one stage, from 1 */
-  double retry_share;    /* retries at most, as a share of recent successes */
-  double hedge_share;    /* hedges at most, as a share of recent requests; 0 turns them off */
-  uint32_t priority;     /* 0 lowest to 9; the request's default and ceiling */
-  bool repeatable;       /* a request's default: false marks it unrepeatable */
+  uint32_t max_attempts; /* of one stage, at least 1 */
+  double retry_share;    /* maximum retries, as a share of recent successes */
+  double hedge_share;    /* maximum hedges, as a share of recent requests; 0 disables hedging */
+  uint32_t priority;     /* 0 (lowest) to 9; default and maximum of a request's priority */
+  bool repeatable;       /* default of a request; false: it must not be executed twice */
 };
 
 struct pool_spec
 {
   char name[RESOURCE_NAME_SIZE];
   enum stage_kind kind;
-  double cost_per_second; /* of one busy slot, in the operator's money */
-  uint32_t slots;         /* concurrent calls of one target where it announces none */
-  double eject_share_max; /* of the pool's targets ejected at one time */
+  double cost_per_second; /* of one busy slot, in the operator's currency */
+  uint32_t slots;         /* concurrent calls of a target that announces no number */
+  double eject_share_max; /* maximum share of the pool's targets ejected at the same time */
 };
 
 struct organisation_spec
 {
   char name[RESOURCE_NAME_SIZE];
-  double weight;           /* its share when there is not enough for all */
+  double weight;           /* its relative share of the capacity under overload */
   double requests_per_sec; /* 0 for no limit, over all hosts */
-  double burst;            /* requests above the rate at once */
-  double tokens_per_sec;   /* 0 for no limit; input and generated */
+  double burst;            /* requests allowed at once above the rate */
+  double tokens_per_sec;   /* input and generated tokens; 0 for no limit */
   uint32_t concurrency;    /* 0 for no limit, over all hosts */
   uint8_t token_hashes[RESOURCE_TOKENS_MAX][RESOURCE_TOKEN_HASH_SIZE];
   uint32_t n_tokens;
 };
 
-/* A host that operators have declared: what others may trust of it. */
+/* A host as declared by operators: the attributes that other hosts may trust. */
 struct host_spec
 {
   char name[RESOURCE_NAME_SIZE];
   char domain[RESOURCE_NAME_SIZE];
   char region[RESOURCE_NAME_SIZE];
-  char address[RESOURCE_ADDRESS_SIZE]; /* for peers */
+  char address[RESOURCE_ADDRESS_SIZE]; /* where peers connect */
   char public_key[RESOURCE_NAME_SIZE]; /* Z85 */
-  bool voter;                          /* may become a voter: it has a disk */
+  bool voter;                          /* may become a voter, because it has a disk */
 };
 
-/* name, text: what an operator may do */
+/* Access roles of an operator.  name, text */
 #define OPERATOR_ROLE_LIST(X)                                                                      \
   X (READ, "read")                                                                                 \
   X (WRITE, "write")                                                                               \
@@ -152,7 +152,7 @@
 
 #define RESOURCE_ASSIGNED_MAX 8
 
-/* What targets should have loaded: of one target, or of every target of a pool. */
+/* What one target, or every target of a pool, should have loaded. */
 struct assignment_spec
 {
   char name[RESOURCE_NAME_SIZE];
@@ -162,8 +162,8 @@
   uint32_t n_models;
   char adapters[RESOURCE_ASSIGNED_MAX][RESOURCE_NAME_SIZE];
   uint32_t n_adapters;
-  char version[RESOURCE_NAME_SIZE]; /* "" leaves it */
-  char role[RESOURCE_NAME_SIZE];    /* "" leaves it */
+  char version[RESOURCE_NAME_SIZE]; /* "" leaves it unchanged */
+  char role[RESOURCE_NAME_SIZE];    /* "" leaves it unchanged */
 };
 
 END_DECLS
--- a/src/resource_field.c
+++ b/src/resource_field.c
@@ -1,4 +1,4 @@
-/* Tables of JSON fields, read into structs. */
+/* Reads JSON objects into structs, driven by tables of fields. */
 #include "resource_field.h"
 #include "text.h"
 #include <math.h>
@@ -118,7 +118,7 @@
   return field->read (value, out, path, problem);
 }
 
-/* A misspelt optional field would otherwise be taken for absent. */
+/* Rejects unknown fields, since a misspelt optional field would otherwise count as absent. */
 static enum status
 refuse_unknown (const struct field *fields,
                 const json_t *object,
--- a/src/settings.c
+++ b/src/settings.c
@@ -1,7 +1,7 @@
-/* Settings: a file's keys against the table, and the checks that concern several keys.
+/* Reads a settings file: checks each key against the table, then the rules over several keys.
  *
- * inih splits the lines.  They come to it through a reader of ours, which counts them, so that
- * every problem names its line. */
+ * inih splits the lines.  A custom reader passes them to inih and counts them, so that each problem
+ * names its line. */
 #include "settings.h"
 #include "settings_private.h"
 #include "text.h"
@@ -16,7 +16,7 @@
 #define SETTINGS_LINE_MAX 8192
 #define SETTINGS_SHOWN_VALUE 60
 
-/* Values come from a file that may hold anything: only printable characters are shown. */
+/* Replaces unprintable characters by '?', since the file may contain arbitrary bytes. */
 static void
 make_printable (char *text)
 {
@@ -51,7 +51,8 @@
     }
 }
 
-/* inih's fgets(). */
+/* Replacement of fgets() for inih: counts lines, and passes a line that is too long or contains NUL
+ * as an empty one. */
 static char *
 read_line (char *out, int size, void *stream)
 {
@@ -103,7 +104,7 @@
   return i;
 }
 
-/* The names a section may hold, for the message about one it may not. */
+/* Lists the keys of a section, or all sections if it is NULL, for error messages. */
 static void
 list_names (const char *section, char *out, size_t size)
 {
@@ -124,7 +125,8 @@
     }
 }
 
-/* inih's handler: problems are noted by the parser, so that the rest of the file is checked too. */
+/* Callback of inih.  Returns 1 (success) even for an invalid key, so that the rest of the file is
+ * checked too; problems are recorded in the parser. */
 static int
 take_value (void *user, const char *section, const char *name, const char *value)
 {
@@ -199,7 +201,7 @@
     }
 }
 
-/* Module levels that were not given are the general one. */
+/* Sets the log level of modules that have none in the file to the general level. */
 static void
 fill_levels (struct settings_parser *parser)
 {
@@ -246,7 +248,7 @@
   return status_fail (parser.status, "%s", parser.message);
 }
 
-/* The whole file, to be freed; NULL with the status set when it cannot be read. */
+/* Reads the whole file into a buffer that the caller frees; NULL with `status` set on an error. */
 static char *
 read_file (const char *path, size_t *length, enum status *status)
 {
--- a/src/settings.h
+++ b/src/settings.h
@@ -17,7 +17,7 @@
 #define SETTINGS_VOTERS_MAX 7
 #define SETTINGS_PATH_SIZE 256
 
-/* A peer as settings name it: "name@ip:port" or "name@ip:port/Z85-public-key". */
+/* A peer, written as "name@ip:port" or "name@ip:port/Z85-public-key". */
 struct settings_peer
 {
   char name[RESOURCE_NAME_SIZE];
@@ -39,37 +39,38 @@
   char listen_peers[RESOURCE_ADDRESS_SIZE];
 
   /* [cluster] */
-  struct settings_peer seeds[SETTINGS_SEEDS_MAX]; /* hosts to ask at start */
+  struct settings_peer seeds[SETTINGS_SEEDS_MAX]; /* hosts to contact at start */
   uint32_t n_seeds;
-  struct settings_peer voters[SETTINGS_VOTERS_MAX]; /* the first voters, same on every host */
+  struct settings_peer voters[SETTINGS_VOTERS_MAX]; /* initial voters, the same on every host */
   uint32_t n_voters;
 
   /* [data] */
   char data_folder[SETTINGS_PATH_SIZE]; /* "" for a host without a disk */
 
   /* [keys] */
-  char key_file[SETTINGS_PATH_SIZE]; /* made by keygen; "" turns CURVE off */
+  char key_file[SETTINGS_PATH_SIZE]; /* made by keygen; "" disables CURVE */
   char tls_certificate[SETTINGS_PATH_SIZE];
   char tls_key[SETTINGS_PATH_SIZE];
-  char admin_token_hash[65]; /* hex; the first operator, "" leaves operators open */
-  bool require_tokens;       /* callers must show an organisation's token */
+  char admin_token_hash[65]; /* hex, of the first operator; "" for no authentication until an
+                                operator resource exists */
+  bool require_tokens;       /* callers must send an organisation's token */
 
   /* [limits] */
   uint32_t header_bytes;
   uint32_t body_bytes;
   uint32_t json_depth;
-  uint32_t connections;            /* in all */
-  uint32_t connections_per_caller; /* by IP address */
+  uint32_t connections;            /* total */
+  uint32_t connections_per_caller; /* per IP address */
   uint32_t requests_in_flight;
-  int64_t idle_timeout;
-  int64_t body_timeout; /* for a whole request to arrive: slow senders */
+  int64_t idle_timeout; /* microseconds */
+  int64_t body_timeout; /* microseconds in which a whole request must arrive; limits slow senders */
 
   /* [entry] */
-  int64_t list_keep;   /* how long a caller may keep the list of hosts */
-  int64_t drain_bound; /* a shutdown ends by then */
+  int64_t list_keep;   /* how long a caller may cache the list of hosts, microseconds */
+  int64_t drain_bound; /* time limit of a graceful shutdown, microseconds */
 
   /* [claims] */
-  int64_t claim_retention;
+  int64_t claim_retention; /* microseconds */
   uint32_t claim_answer_bytes;
 
   /* [log] */
@@ -78,25 +79,25 @@
   enum log_level module_levels[LOG_MODULE_COUNT];
 };
 
-/* Read and check `path`.  On failure status_message() gives file, line, key and what was
- * expected. */
+/* Reads and checks the file at `path`.  On failure status_message() gives file, line, key and the
+ * expected value. */
 enum status settings_load (const char *path, struct settings *out);
 
-/* The same, with every problem found appended to `problems`, one a line; the status and its message
- * are of the first. */
+/* Same as settings_load(), and appends every problem found to `problems`, one per line; the status
+ * and its message are those of the first. */
 enum status settings_check (const char *path, struct settings *out, struct bytes *problems);
 
-/* Read from memory; `name` stands for the file in messages and `problems` may be NULL. */
+/* Parses settings in memory; `name` is the file name used in messages.  `problems` may be NULL. */
 enum status settings_parse (const char *name,
                             const char *text,
                             size_t length,
                             struct settings *out,
                             struct bytes *problems);
 
-/* Every key at its default, and "" where there is none. */
+/* Sets every key to its default, and to zero or "" if it has none. */
 void settings_default (struct settings *out);
 
-/* The keys as a table in Markdown, for docs/SETTINGS.md. */
+/* Appends Markdown tables of the keys, as in docs/SETTINGS.md. */
 void settings_write_table (struct bytes *out);
 
 END_DECLS
--- a/src/settings_keys.c
+++ b/src/settings_keys.c
@@ -1,4 +1,4 @@
-/* The table of keys. */
+/* The table of settings keys. */
 #include "settings_keys.h"
 #include <stddef.h>
 
--- a/src/settings_keys.h
+++ b/src/settings_keys.h
@@ -1,4 +1,4 @@
-/* The keys a settings file may hold, in the order of docs/SETTINGS.md. */
+/* The table of the keys of a settings file, in the order of docs/SETTINGS.md. */
 #ifndef SETTINGS_KEYS_H
 #define SETTINGS_KEYS_H
 
@@ -7,7 +7,7 @@
 
 BEGIN_DECLS
 
-#define SETTING_KEYS_MAX 64 /* room for marks kept by key */
+#define SETTING_KEYS_MAX 64 /* size of arrays indexed by key */
 
 extern const struct setting_key setting_keys[];
 extern const size_t n_setting_keys;
--- a/src/settings_private.h
+++ b/src/settings_private.h
@@ -1,5 +1,5 @@
-/* Shared by the files that read settings: settings.c takes the keys one by one,
- * settings_together.c checks those that concern each other. */
+/* Internal declarations of the settings parser: settings.c reads single keys, settings_together.c
+ * checks the rules over several keys. */
 #ifndef SETTINGS_PRIVATE_H
 #define SETTINGS_PRIVATE_H
 
@@ -15,24 +15,24 @@
 struct settings_parser
 {
   const char *name; /* of the file */
-  const char *text; /* what was not read yet */
+  const char *text; /* rest of the file, `left` bytes */
   size_t left;
   int line;
-  int lines[SETTING_KEYS_MAX]; /* where a key was set, 0 for not yet */
+  int lines[SETTING_KEYS_MAX]; /* line that set each key, 0 if not set */
   struct settings *out;
   struct bytes *problems; /* may be NULL */
   enum status status;
   char message[SETTINGS_MESSAGE_SIZE]; /* of the first problem */
 };
 
-/* Note a problem; `line` 0 where no line causes it. */
+/* Records a problem; `line` is 0 if no single line causes it. */
 void settings_problem (struct settings_parser *parser, int line, const char *format, ...)
     __attribute__ ((format (printf, 3, 4)));
 
-/* Where a key was set, 0 for not at all. */
+/* Returns the line that set a key, 0 if it is not set. */
 int settings_line_of (const struct settings_parser *parser, const char *section, const char *name);
 
-/* The checks over several keys; only where each of them is in order by itself. */
+/* Checks the rules over several keys; called only if each key is valid by itself. */
 void settings_check_together (struct settings_parser *parser);
 
 END_DECLS
--- a/src/settings_together.c
+++ b/src/settings_together.c
@@ -1,8 +1,9 @@
-/* Checks over several keys of the settings. */
+/* Checks of rules that involve several settings keys. */
 #include "settings_private.h"
 #include <string.h>
 
-/* Two listeners on one port: the second would fail to bind only when the host starts. */
+/* Rejects two listeners on one address; otherwise the second bind would fail at the start of the
+ * host. */
 static void
 check_listeners (struct settings_parser *parser)
 {
@@ -34,8 +35,8 @@
     }
 }
 
-/* With a key file every other host is pinned by its key; without one a key would be ignored, which
- * a reader of the file would not expect. */
+/* With a key file every other host needs a pinned key.  Without one a pinned key would be silently
+ * ignored, so it is rejected. */
 static void
 check_peer_key (struct settings_parser *parser, const char *key, const struct settings_peer *peer)
 {
@@ -120,7 +121,8 @@
     settings_problem (parser, settings_line_of (parser, "limits", "connections_per_caller"),
                       "[limits] connections_per_caller: expected at most `connections`, %u",
                       out->connections);
-  /* A host that leaves serves as long as an old list may be kept, then ends what is in flight. */
+  /* A host that shuts down keeps serving for as long as callers may cache an old list, then
+   * finishes the requests in flight. */
   if (out->drain_bound <= out->list_keep)
     settings_problem (parser, settings_line_of (parser, "entry", "drain_bound_ms"),
                       "[entry] drain_bound_ms: expected more than list_keep_ms, %lld",
--- a/src/settings_value.c
+++ b/src/settings_value.c
@@ -1,4 +1,4 @@
-/* Reading of single values. */
+/* Parsing and checking of single settings values. */
 #include "settings_value.h"
 #include "text.h"
 #include <arpa/inet.h>
@@ -29,7 +29,7 @@
          && isalnum ((unsigned char) text[0]);
 }
 
-/* Decimal digits alone: strtoull() would take signs, spaces and other bases. */
+/* Accepts decimal digits only; strtoull() would also accept signs and spaces. */
 static bool
 read_number (const char *text, uint64_t low, uint64_t high, uint64_t *out)
 {
@@ -58,13 +58,15 @@
     return false;
   memcpy (ip, text, length);
   ip[length] = '\0';
-  /* 0.0.0.0 is no address that another host or a caller could be told. */
+  /* 0.0.0.0 cannot be advertised to other hosts or callers. */
   if (inet_pton (AF_INET, ip, &parsed) != 1 || parsed.s_addr == htonl (INADDR_ANY))
     return false;
   return read_number (colon + 1, any_port ? 0 : 1, PORT_MAX, &port);
 }
 
-/* "name@ip:port" or "name@ip:port/KEY"; the key's own alphabet has '@', ':' and '/'. */
+/* Parses "name@ip:port" or "name@ip:port/KEY" from the left, because the key may contain '@', ':'
+ * and
+ * '/'. */
 static bool
 read_peer (const char *text, struct settings_peer *out)
 {
--- a/src/settings_value.h
+++ b/src/settings_value.h
@@ -1,4 +1,4 @@
-/* One key of the settings: its type, its range, and the reading of its value. */
+/* A settings key: its type and range, and the parsing of its value. */
 #ifndef SETTINGS_VALUE_H
 #define SETTINGS_VALUE_H
 
@@ -15,7 +15,7 @@
   X (NAME)   /* char[RESOURCE_NAME_SIZE] */                                                        \
   X (LISTEN) /* char[RESOURCE_ADDRESS_SIZE], port 0 allowed */                                     \
   X (PATH)   /* char[SETTINGS_PATH_SIZE] */                                                        \
-  X (HASH)   /* char[65] of hex */                                                                 \
+  X (HASH)   /* char[65], lower-case hex */                                                        \
   X (BOOL)   /* bool */                                                                            \
   X (COUNT)  /* uint32_t from `low` to `high` */                                                   \
   X (MSEC)   /* milliseconds from `low` to `high`, kept as int64_t microseconds */                 \
@@ -41,18 +41,19 @@
   uint64_t low;
   uint64_t high;
   bool required;
-  const char *fallback; /* as it would be written; NULL for none */
+  const char *fallback; /* default, as written in a file; NULL for none */
   const char *help;
 };
 
-/* Read `value` into its field of `out`; false, with the field unchanged or empty, when it is not
- * what the key expects. */
+/* Parses `value` into its field of `out`; false, with the field unchanged or empty, if the value is
+ * invalid. */
 bool setting_read (const struct setting_key *key, const char *value, struct settings *out);
 
-/* What the key expects, such as "a whole number from 1 to 9". */
+/* Describes the valid values of a key, such as "a whole number from 1 to 9". */
 void setting_expected (const struct setting_key *key, char out[SETTING_TEXT_SIZE]);
 
-/* Is it "ip:port" with an IPv4 number?  Port 0 only where `any_port`. */
+/* True for "ip:port" with an IPv4 address other than 0.0.0.0; port 0 is valid only if `any_port`.
+ */
 bool setting_is_address (const char *text, bool any_port);
 
 END_DECLS
--- a/tests/unit_product_cli.cc
+++ b/tests/unit_product_cli.cc
@@ -1,4 +1,4 @@
-// What operators write in files and see in tables.
+// Reading of resource files by the command line, and its output as tables.
 #include "cli_object.h"
 #include <cstdlib>
 #include <filesystem>
@@ -56,8 +56,9 @@
          + "\"},\"spec\":{}}";
 }
 
-// A pipeline may only be declared after its pools, so the order of files decides.
-TEST_F (Objects, AFolderIsReadByNameAndOnlyItsJson)
+// A pipeline can only be declared after its pools, so files are applied in the order of their
+// names. Hidden files and files with another suffix are skipped.
+TEST_F (Objects, FolderIsReadInNameOrderAndOnlyJsonFiles)
 {
   std::string names;
 
@@ -69,9 +70,9 @@
   EXPECT_EQ (names, "a b c ");
 }
 
-// The second file has a fault.  Nothing of the first may have been applied by then, so nothing at
-// all is given back.
-TEST_F (Objects, OneFaultKeepsEverythingBackAndIsNamed)
+// The second file is invalid.  No object of the first may be applied in that case, so no object is
+// returned.
+TEST_F (Objects, InvalidFileReturnsNoObjectsAndNamesTheError)
 {
   const struct
   {
@@ -100,7 +101,7 @@
     }
 }
 
-TEST_F (Objects, WhatIsNotThereOrEmptySaysSo)
+TEST_F (Objects, MissingPathAndEmptyFolderAreReported)
 {
   std::string names;
 
--- a/tests/unit_product_keyfile.cc
+++ b/tests/unit_product_keyfile.cc
@@ -1,4 +1,4 @@
-// Key files: what `keygen` makes and a host reads.
+// Key files: written by `keygen` and read by a host.
 #include "keyfile.h"
 #include <cstdio>
 #include <cstdlib>
@@ -33,7 +33,7 @@
 
 using KeyFile = folder;
 
-TEST_F (KeyFile, GivesBackTheSecretAndHasItsOwnersMode)
+TEST_F (KeyFile, RoundTripsThePairWithMode0600)
 {
   struct key_pair made;
   struct key_pair read;
@@ -48,8 +48,8 @@
   EXPECT_STREQ (read.secret_key, made.secret_key);
 }
 
-// An operator runs keygen twice on one host.  A new key would lock the host out of every peer that
-// has pinned the old one, and the old key would be gone.
+// An operator runs keygen twice on one host.  Overwriting the key would lose it, and every peer
+// that has pinned it would refuse the host.
 TEST_F (KeyFile, IsNeverOverwritten)
 {
   struct key_pair first;
@@ -64,8 +64,8 @@
   EXPECT_STREQ (read.public_key, first.public_key);
 }
 
-// A key copied with a lax umask could be read by every user of the machine.
-TEST_F (KeyFile, ThatOthersMayReadIsRefused)
+// A key copied with a permissive umask could be read by every user of the machine.
+TEST_F (KeyFile, ReadableByOthersIsRefused)
 {
   struct key_pair pair;
 
@@ -75,8 +75,9 @@
   EXPECT_EQ (keyfile_read (file.c_str (), &pair), STATUS_DENIED);
 }
 
-// Halves of two pairs are pasted together: each peer would refuse the host without a word.
-TEST_F (KeyFile, ThatIsTornOrMixedIsRefused)
+// A file with keys of two different pairs: every peer would refuse the host without an error
+// message.  Truncated files are refused as well.
+TEST_F (KeyFile, IncompleteOrMismatchedPairIsRefused)
 {
   struct key_pair a;
   struct key_pair b;
--- a/tests/unit_resource.cc
+++ b/tests/unit_resource.cc
@@ -1,4 +1,4 @@
-// Specs as operators write them: what is accepted, and which field an error names.
+// Parsing of resource specs: accepted values, defaults, and the field that an error names.
 #include "resource_parse.h"
 #include <gtest/gtest.h>
 #include <string>
@@ -19,7 +19,7 @@
   return status;
 }
 
-TEST (Resource, APipelineIsReadWithItsDefaults)
+TEST (Resource, PipelineIsParsedWithDefaults)
 {
   union resource_spec spec;
   struct resource_problem problem;
@@ -41,7 +41,7 @@
   EXPECT_STREQ (references[1].name, "gen");
 }
 
-TEST (Resource, AServiceIsAPipelineOfOneCall)
+TEST (Resource, ServiceIsParsedAsPipelineWithOneCallStage)
 {
   union resource_spec spec;
   struct resource_problem problem;
@@ -106,7 +106,7 @@
         wrong{ "assignments", "{\"pool\":\"p\",\"models\":[7]}", "spec.models[0]" },
         wrong{ "hosts", "{\"domain\":\"d\"}", "spec.address" }));
 
-TEST (Resource, NamesThatWouldNotSurviveAPathAreRefused)
+TEST (Resource, NamesThatAreUnsafeInPathsAreRefused)
 {
   EXPECT_TRUE (resource_name_valid ("bkk-a.1"));
   EXPECT_FALSE (resource_name_valid (""));
--- a/tests/unit_resource_examples.cc
+++ b/tests/unit_resource_examples.cc
@@ -1,4 +1,5 @@
-// The examples of the two sites: accepted in the order of their names, and as the traces expect.
+// The example resources of the two sites are accepted in the order of the file names, and match the
+// traces.
 #include "cli_object.h"
 #include "resource_parse.h"
 #include "site.h"
--- a/tests/unit_settings.cc
+++ b/tests/unit_settings.cc
@@ -1,4 +1,4 @@
-// Settings files, as operators write and miswrite them.
+// Parsing of settings files: defaults, and the errors for invalid files.
 #include "bytes.h"
 #include "settings.h"
 #include <algorithm>
@@ -70,14 +70,14 @@
   EXPECT_EQ (p->settings.module_levels[LOG_MODULE_FLOW], LOG_LEVEL_WARNING);
 }
 
-// A Z85 key may hold the characters that part the other pieces of a peer.
-TEST (Settings, PeersKeysMayHoldTheSeparators)
+// A Z85 key may contain '@', ':' and '/', which separate the other parts of a peer.
+TEST (Settings, PeerKeysMayContainTheSeparators)
 {
   std::string key = "@:/a.-:+=^!/*?&<>()[]{}@%$#0123456789ABC";
   auto p = parse (std::string (GOOD) + "seeds = s1@10.0.0.1:9/" + key + "\n[keys]\nfile = k\n");
 
   ASSERT_EQ (key.size (), 40u);
-  // The voter without a key is the fault; the seed was read.
+  // The missing key of the voter is reported; the seed is parsed.
   EXPECT_NE (p->problems.find ("expected bkk-b1@127.0.0.2:8004/KEY"), std::string::npos);
   ASSERT_EQ (p->settings.n_seeds, 1u);
   EXPECT_EQ (p->settings.seeds[0].public_key, key);
@@ -90,8 +90,8 @@
   const char *message; // its beginning
 };
 
-// Each fault names the file, the line, the key and what was expected there.
-TEST (Settings, EachFaultNamesLineKeyAndWhatWasExpected)
+// Each error names the file, the line, the key and the expected value.
+TEST (Settings, ErrorsNameLineKeyAndExpectedValue)
 {
   const struct fault faults[] = {
     { "[limits]\nbody_byte = 1\n",
@@ -149,7 +149,7 @@
     }
 }
 
-TEST (Settings, ListensOnAddressesThatOthersCanBeTold)
+TEST (Settings, ListenAddressesThatCannotBeAdvertisedAreRefused)
 {
   for (const char *bad : { "0.0.0.0:80", "localhost:80", "127.0.0.1", "127.0.0.1:65536", "127.1:80",
                            "[::1]:80", "127.0.0.1:", "127.0.0.1:+8", " " })
@@ -161,7 +161,7 @@
     }
 }
 
-TEST (Settings, AVoterNeedsAFolderAndAHostNeedsOthersOrItself)
+TEST (Settings, VoterNeedsDataFolderAndHostNeedsVotersOrSeeds)
 {
   std::string text = GOOD;
   auto p = parse (text.replace (text.find ("folder"), strlen ("folder = /var/lib/cherryarch"), ""));
@@ -174,7 +174,7 @@
              "h.ini: [cluster] voters: expected voters or seeds; a host alone");
 }
 
-TEST (Settings, NamesWhatIsMissingAndReportsEveryFault)
+TEST (Settings, MissingKeysAreNamedAndEveryErrorIsReported)
 {
   auto p = parse ("[host]\nname = a\n[limits]\nx = 1\njson_depth = many\n");
 
@@ -183,7 +183,7 @@
              std::string::npos);
 }
 
-// A binary file given by mistake must be refused with a message that a terminal can show.
+// A binary file given by mistake is refused, and the message contains printable characters only.
 TEST (Settings, BinaryAndOverlongLinesAreRefusedAndShownAsText)
 {
   auto p = parse (std::string (GOOD) + std::string ("a\0b = 1\n", 8));
@@ -195,7 +195,7 @@
   EXPECT_NE (p->message.find ("got \"?[2J?\""), std::string::npos) << p->message;
 }
 
-TEST (Settings, AFileThatIsNotThereSaysSo)
+TEST (Settings, MissingFileIsReported)
 {
   auto settings = std::make_unique<struct settings> ();
 
@@ -203,9 +203,9 @@
   EXPECT_STREQ (status_message (), "/nonexistent.ini: No such file or directory");
 }
 
-// The page is what operators read; a key added to the code and not to the page would be unknown to
-// them.
-TEST (Settings, ThePageHoldsTheTablesOfTheCode)
+// docs/SETTINGS.md must contain the generated tables; a key added to the code only would be
+// undocumented.
+TEST (Settings, DocumentationContainsTheGeneratedTables)
 {
   std::ifstream in ("docs/SETTINGS.md");
   std::stringstream page;
@@ -220,9 +220,9 @@
   bytes_clear (&table);
 }
 
-// The example files are what a new operator copies; one that does not pass, or a site whose hosts
-// disagree on the voters, would start a split system.
-TEST (Settings, TheExamplesOfASitePassAndAgreeOnTheVoters)
+// New operators copy the example files.  An invalid file, or hosts of one site that disagree on the
+// voters, would start a split system.
+TEST (Settings, SiteExamplesAreValidAndAgreeOnVoters)
 {
   for (const char *site : { "examples/bkk", "examples/ar-centro" })
     {
