--- a/tests/whole_hosts.cc
+++ b/tests/whole_hosts.cc
@@ -1,4 +1,4 @@
-// Hosts that die, are cut off, or restart, under load.
+// Hosts that are killed, suspended or restarted under load.
 #include "whole_launch.h"
 
 namespace
@@ -7,7 +7,8 @@
 class WholeHosts : public WholeLaunch
 {
 protected:
-  // Repeatable requests all whole; an unrepeatable one may be left unknown by its host's death.
+  // Every repeatable request must be answered whole; the outcome of an unrepeatable one may be
+  // unknown after its host was killed.
   void
   expect_whole_or_unknown (const struct replay_result *result)
   {
@@ -25,9 +26,9 @@
   }
 };
 
-// A host dies under load and its callers' connections break.  They send the same ids to another
-// host: repeatable requests come out whole, an order is not run a second time.  The host starts
-// again from its own journal and gets back into the lists.
+// A host is killed under load and its callers' connections break.  They retry with the same ids at
+// another host: repeatable requests must be answered whole, and an order must not run twice.  The
+// host restarts from its own journal and must be listed again.
 TEST_F (WholeHosts, KillAndRestartUnderLoadLosesNothing)
 {
   bool killed = false;
@@ -59,10 +60,10 @@
   expect_all_attained (send ("after-kill", 60, 10 * USEC_PER_MSEC));
 }
 
-// A host stops without a word: its sockets stay open and no call to it fails.  Callers must stop
-// being sent there, the targets that were at home there must stay known through another host, and
-// when it wakes it must come back by itself.
-TEST_F (WholeHosts, ASilentHostLeavesTheListsAndComesBack)
+// A host is suspended (SIGSTOP): its sockets stay open and no call to it fails.  It must leave the
+// lists for callers, the targets registered with it must stay known through another host, and it
+// must rejoin by itself when it resumes.
+TEST_F (WholeHosts, ASuspendedHostLeavesTheListsAndRejoins)
 {
   start (3);
   launch_signal (&launch_->hosts[2].process, SIGSTOP);
@@ -83,9 +84,9 @@
   expect_all_attained (send ("awake", 100, 10 * USEC_PER_MSEC));
 }
 
-// An operator restarts every host in turn while callers work on.  Each leaves the lists, goes on
-// serving while an old list may be kept, finishes what is in flight and ends with exit code 0: no
-// answer may be cut, none lost.
+// An operator restarts every host in turn under load.  Each host must leave the lists, serve while
+// callers may still hold an old list, finish what is in flight and exit with code 0: no answer may
+// be cut or lost.
 TEST_F (WholeHosts, RollingRestartUnderLoadCutsNothing)
 {
   uint32_t next = 0;
@@ -114,9 +115,9 @@
   expect_all_attained (result);
 }
 
-// A power cut takes every host at once.  What operators were told is in force must still be there
-// when the hosts come back, the targets must be found again without anybody's help, and an order
-// done before the cut must not be run again when it is sent once more.
+// All hosts lose power at once.  After the restart the configuration acknowledged to operators must
+// be in force, the targets must be found without intervention, and an order that ran before must
+// not run again when it is retried.
 TEST_F (WholeHosts, AllHostsRestartedAtOnceKeepConfigurationAndClaims)
 {
   start (3);
--- a/tests/whole_keys.cc
+++ b/tests/whole_keys.cc
@@ -1,4 +1,4 @@
-// Hosts that pin each other's keys.
+// Hosts that pin each other's public keys.
 #include "whole_launch.h"
 
 namespace
@@ -37,10 +37,10 @@
   expect_all_attained (send ("keys", 60, 10 * USEC_PER_MSEC));
 }
 
-// Somebody starts a host under the name and address of one that the others pin, but without its
-// key.  The others must go on without it, name it to no caller, and tell it nothing: it must not
-// get the configuration.
-TEST_F (WholeKeys, AHostWithAnotherKeyIsLeftOut)
+// A host starts under the name and address of one that the others pin, but with another key.  The
+// others must keep serving without it, list it to no caller and send it nothing: it must not get
+// the configuration.
+TEST_F (WholeKeys, AHostWithAnotherKeyIsExcluded)
 {
   prepare (4);
   for (uint32_t i = 0; i < 3; i++)
--- a/tests/whole_launch.h
+++ b/tests/whole_launch.h
@@ -1,4 +1,4 @@
-// Hosts and fakes of the demo's site as real processes, for the failure tests.
+// Fixture of the failure tests: hosts and fake targets of the demo's site as real processes.
 #ifndef WHOLE_LAUNCH_H
 #define WHOLE_LAUNCH_H
 
@@ -15,7 +15,7 @@
 class WholeLaunch : public testing::Test
 {
 protected:
-  // Frees, and so ends, every process also when a test fails.
+  // Freeing launch_ ends every process, also when a test fails.
   ~WholeLaunch () override
   {
     talloc_free (launch_);
@@ -46,7 +46,7 @@
     ASSERT_EQ (status, STATUS_OK) << status_message ();
   }
 
-  // Send `count` requests, `spacing` apart; `step` sees the count that has ended.
+  // Send `count` requests, `spacing` microseconds apart; `step` gets the number that has ended.
   const struct replay_result *
   send (const char *prefix,
         uint32_t count,
@@ -93,7 +93,7 @@
     expect_no_broken_promise (result);
   }
 
-  // A single POST of a service's request; the body goes as it is.
+  // POST one request to a service; the body is sent unchanged.
   struct call_answer
   post (uint32_t host, const char *service, const char *id, const char *body)
   {
@@ -115,7 +115,7 @@
     return answer;
   }
 
-  // Look until `done`, with a bound so wide that only a fault reaches it.
+  // Poll until `done`; false after 60 s, which only a fault reaches.
   bool
   wait_until (const std::function<bool ()> &done)
   {
@@ -131,7 +131,7 @@
     return true;
   }
 
-  // The names that a host gives to callers.
+  // Names of the hosts that `host` lists to callers, with a comma around each.
   std::string
   entries_of (uint32_t host)
   {
--- a/tests/whole_path.cc
+++ b/tests/whole_path.cc
@@ -1,4 +1,4 @@
-// The whole path on real processes, and what a resend meets.
+// The whole path on real processes, and retries of unrepeatable requests.
 #include "whole_launch.h"
 
 namespace
@@ -8,7 +8,7 @@
 {
 };
 
-TEST_F (WholePath, EveryAnswerIsWholeAndItsOwn)
+TEST_F (WholePath, EveryAnswerIsWholeAndMatchesItsRequest)
 {
   start (3);
   const struct replay_result *result = send ("path", 200, 10 * USEC_PER_MSEC);
@@ -17,9 +17,8 @@
   EXPECT_EQ (result->cuts, 0u) << result->first_cut;
 }
 
-// A salesman's order is answered, the answer is lost on the way, and his program sends the order
-// again, to another host.  The order must not be invoiced twice: the second host has to find the
-// first one's claim and give its answer.
+// The answer to an order is lost and the client retries at another host.  The order must not run
+// twice: the second host must find the first one's claim and return its answer.
 TEST_F (WholePath, AnUnrepeatableRequestSentAgainToAnotherHostRunsOnce)
 {
   start (3);
@@ -36,8 +35,9 @@
   EXPECT_EQ (launch_executions (launch_, "counter", "order-1"), 1u);
 }
 
-// A program uses one id for two orders by mistake.  Running the second under the first's claim
-// would hide it; running it anew would break the id's promise.  It is refused as not run.
+// A client uses one id for two different orders.  Returning the first one's answer would hide the
+// mistake; running the second would break the guarantee that an id runs once.  It is refused as not
+// run.
 TEST_F (WholePath, TheSameIdWithAnotherBodyIsNotRun)
 {
   start (3);
--- a/tests/whole_store.cc
+++ b/tests/whole_store.cc
@@ -1,4 +1,4 @@
-// Changes of configuration on real processes: voters and followers that die and come back.
+// Configuration changes on real processes while voters are killed and restarted.
 #include "whole_launch.h"
 #include <fstream>
 #include <vector>
@@ -9,7 +9,8 @@
 class WholeStore : public WholeLaunch
 {
 protected:
-  // Change an organisation at `host`; the answer's code, and whether it is in force on `hosts`.
+  // Change an organisation at `host`.  Returns the answer's code; `everywhere` tells whether the
+  // change is in force on all hosts.
   int
   change (uint32_t host, int weight, bool *everywhere)
   {
@@ -69,7 +70,7 @@
       out << (each.rfind ("seeds = ", 0) == 0 ? "seeds = " + voters : each) << "\n";
   }
 
-  // How many hosts the one at `at` can reach, itself among them.
+  // Number of hosts that host `at` can reach, itself included.
   uint32_t
   reachable (uint32_t at)
   {
@@ -95,9 +96,9 @@
   }
 };
 
-// Every voter loses power and is back half a minute later, when the hosts that do not vote have
-// given them up.  They serve what they had meanwhile, and must find the voters again by themselves:
-// a change made at any of them has to come into force everywhere.
+// All voters lose power and restart half a minute later, after the non-voting hosts have declared
+// them unreachable.  Those must serve the configuration they have meanwhile and find the voters
+// again by themselves: a later change made at any host must come into force everywhere.
 TEST_F (WholeStore, AllVotersLostAndBackAreFoundByTheOthers)
 {
   start_with_voters_as_seeds (5);
@@ -116,8 +117,8 @@
   EXPECT_TRUE (changes_everywhere (0, 3));
 }
 
-// The leader dies with a change's answer on its way; the operator sends the change again, with its
-// id, to the other hosts.  One application, and the first answer.
+// The leader is killed while the answer to a change is in flight, and the operator retries the
+// change with its id at the other hosts.  It must be applied once and get the first answer.
 TEST_F (WholeStore, AChangeSentAgainAfterAVoterDiedIsAppliedOnce)
 {
   const struct http_field id[] = { { "x-change-id", "once" },
--- a/tests/whole_targets.cc
+++ b/tests/whole_targets.cc
@@ -1,4 +1,4 @@
-// Targets that leave, hang or answer wrongly, under load.
+// Targets that leave, hang or give wrong answers under load.
 #include "whole_launch.h"
 
 namespace
@@ -24,7 +24,7 @@
     return value;
   }
 
-  // The fault strikes one of the two runners after `after` requests; all answers must be whole.
+  // Inject the fault into one of the two runners after 50 requests; all answers must be whole.
   void
   expect_whole_despite (const char *prefix, const char *fault)
   {
@@ -48,8 +48,8 @@
   }
 };
 
-// A runner is taken out of service under load.  It finishes what it has, every request is whole,
-// and once the hosts know, it gets no new work from any of them.
+// A runner leaves under load.  It must finish its work, every request must be answered whole, and
+// once the hosts know of the leave it must get no new work.
 TEST_F (WholeTargets, ALeavingTargetGetsNoNewWorkAndNothingIsLost)
 {
   bool left = false;
@@ -74,33 +74,33 @@
   EXPECT_EQ (count_of ("runners-1", "cancelled"), 0);
 }
 
-// A runner takes work and never answers, with no error on any socket.  Its calls must be given up
-// in time for another runner to make the answer.
+// A runner accepts work and never answers, with no socket error.  Its calls must time out early
+// enough for another runner to give the answer.
 TEST_F (WholeTargets, ATargetThatHangsCostsNoAnswer)
 {
   expect_whole_despite ("hang", "{\"hang\": true}");
 }
 
-// A runner's connection breaks in the middle of its streams.  Callers must get the whole text, with
-// nothing doubled where another runner went on.
+// A runner's connections break in the middle of its streams.  Callers must get the whole text, with
+// no duplicates where another runner resumed.
 TEST_F (WholeTargets, ATargetThatDiesMidAnswerCostsNoAnswer)
 {
   expect_whole_despite ("die", "{\"die\": true}");
 }
 
-// A runner sends each piece of its streams two times.  The doubled pieces must not reach a caller.
-TEST_F (WholeTargets, DoubledPiecesReachNoCaller)
+// A runner sends each piece of its streams twice.  The duplicates must not reach a caller.
+TEST_F (WholeTargets, DuplicatePiecesReachNoCaller)
 {
   expect_whole_despite ("twice", "{\"twice\": true}");
 }
 
-// A runner answers with the id of another request.  No caller may get that text.
+// A runner answers with the id of another request.  No caller may get that answer.
 TEST_F (WholeTargets, AnAnswerForAnotherRequestReachesNoCaller)
 {
   expect_whole_despite ("other", "{\"other\": true}");
 }
 
-// A runner refuses work, saying that it did nothing.  Another one does it.
+// A runner refuses work as not run.  Another runner must do it.
 TEST_F (WholeTargets, ATargetThatRefusesCostsNoAnswer)
 {
   expect_whole_despite ("refuse", "{\"refuse\": true}");
