--- a/src/batch_call.c
+++ b/src/batch_call.c
@@ -226,7 +226,7 @@
   bool failed = end != H1_END_WHOLE || call->status != HTTP_STATUS_OK || bytes_failed (&call->body);
 
   log_call (call, outcome_text (call, end), now);
-  if (base->handed && (end == H1_END_CUT || end == H1_END_RESET))
+  if (base->request_sent && (end == H1_END_TRUNCATED || end == H1_END_RESET))
     note_break (call, now);
   /* A target that reports that it is full has not failed. */
   release_slot (call, failed && !call->not_run, now);
--- a/src/client_stream.c
+++ b/src/client_stream.c
@@ -10,7 +10,7 @@
 }
 
 static void
-begin_tls (struct client_stream *stream)
+start_handshake (struct client_stream *stream)
 {
   struct bytes out;
 
@@ -28,14 +28,14 @@
   struct client_stream *stream = stream_of (tcp);
 
   if (stream->tls != NULL)
-    begin_tls (stream);
+    start_handshake (stream);
   else
     stream->ops->connected (stream, now);
 }
 
 /* Plaintext of complete records is delivered even if a later record fails to decrypt. */
 static void
-take_sealed (struct client_stream *stream, const char *data, size_t length, int64_t now)
+decrypt_received (struct client_stream *stream, const char *data, size_t length, int64_t now)
 {
   bool was_ready = tls_session_is_ready (stream->tls);
   struct bytes plain;
@@ -62,7 +62,7 @@
   struct client_stream *stream = stream_of (tcp);
 
   if (stream->tls != NULL)
-    take_sealed (stream, data, length, now);
+    decrypt_received (stream, data, length, now);
   else
     stream->ops->received (stream, data, length, now);
 }
@@ -119,19 +119,19 @@
 void
 client_stream_write (struct client_stream *stream, const void *data, size_t length)
 {
-  struct bytes sealed;
+  struct bytes encrypted;
 
   if (stream->tls == NULL)
     {
       tcp_write (&stream->tcp, data, length);
       return;
     }
-  bytes_init (&sealed, NULL);
-  if (tls_session_write (stream->tls, data, length, &sealed) == STATUS_OK)
-    tcp_write (&stream->tcp, sealed.data, sealed.length);
+  bytes_init (&encrypted, NULL);
+  if (tls_session_write (stream->tls, data, length, &encrypted) == STATUS_OK)
+    tcp_write (&stream->tcp, encrypted.data, encrypted.length);
   else
     tcp_fail (&stream->tcp, TCP_END_MEMORY);
-  bytes_clear (&sealed);
+  bytes_clear (&encrypted);
 }
 
 bool
--- a/src/entry_host.c
+++ b/src/entry_host.c
@@ -72,7 +72,7 @@
   (void) now;
   balance_update (&host->balance, host, target);
   if (target->registration.state == REGISTRY_GONE)
-    h1_client_forget (host->client, target->registration.address);
+    h1_client_close_idle (host->client, target->registration.address);
 }
 
 static const struct subscriber_listener_ops listener_ops = {
@@ -302,7 +302,7 @@
     .connect_timeout = TARGET_CONNECT_TIMEOUT,
   };
   host->client_limits = host->base.limits;
-  host->client_limits.idle_timeout = H1_IDLE_TIMEOUT;
+  host->client_limits.idle_timeout = H1_DEFAULT_IDLE_TIMEOUT;
   host->engines = engine_load_new (host);
   if (host->engines == NULL)
     return status_fail (STATUS_NO_MEMORY, "out of memory");
--- a/src/forward.c
+++ b/src/forward.c
@@ -127,7 +127,7 @@
   struct forward *forward = job->forward;
   const struct routing *routing = subscriber_routing (forward->config.subscriber);
   const struct h1_head *head = job->exchange->head;
-  const char *host = h1_value (head, "host");
+  const char *host = h1_field_value (head, "host");
   const struct route *route;
 
   if (forward->refusing)
@@ -183,7 +183,7 @@
       return;
     }
   /* A request that was never written to a target's connection cannot have run. */
-  if (job->target != NULL && !job->call.handed)
+  if (job->target != NULL && !job->call.request_sent)
     job->runs--;
   job_cancel_call (job);
   job_give_up (job, FORWARD_TIMEOUT, NOT_READY_RETRY_AFTER_SEC);
--- a/src/forward_attempt.c
+++ b/src/forward_attempt.c
@@ -107,7 +107,7 @@
              "{s:s,s:s,s:s,s:s,s:i,s:s,s:b,s:b,s:I,s:I,s:b,s:b,s:i,s:s,s:s,s:i}", "id",
              job->facts.id, "target", job->target->id, "address", job->target->address, "outcome",
              outcome, "status", (int) job->status, "framing", h1_framing_text (job->call.framing),
-             "not_run", job->not_run, "sent", job->call.handed, "took_us",
+             "not_run", job->not_run, "sent", job->call.request_sent, "took_us",
              (json_int_t) (now - job->sent_at), "renewed_ms",
              (json_int_t) ((now - job->target->record->last_heard_at) / USEC_PER_MSEC), "reused",
              job->call.reused, "stream_begun", job->stream.begun, "events",
@@ -123,7 +123,7 @@
     return false;
   if (ran && (!is_repeatable (job) || job->runs >= job->route.attempts || job->is_suspected))
     return false;
-  if (!job->call.handed)
+  if (!job->call.request_sent)
     return true;
   return forward_take_retry (job->forward, job->pool);
 }
@@ -300,7 +300,7 @@
       h1_write_field (&job->fields, head->fields[i].name, head->fields[i].value);
   /* The length that GET would have: the answer to HEAD has no body to take it from. */
   if (job->call.no_body && head->has_length)
-    h1_write_field (&job->fields, "Content-Length", h1_value (head, "content-length"));
+    h1_write_field (&job->fields, "Content-Length", h1_field_value (head, "content-length"));
 }
 
 static bool
@@ -316,7 +316,7 @@
     return false;
   job->status = head->status;
   job->is_signed = facts.is_signed;
-  job->has_events = h1_has_events (head);
+  job->has_events = h1_is_event_stream (head);
   job->not_run = is_refusal (job, head, &facts);
   if (!job->stream.begun)
     copy_fields (job, head);
@@ -374,7 +374,7 @@
       handle_complete_answer (job, now);
       return;
     }
-  broke = call->handed && (end == H1_END_CUT || end == H1_END_RESET);
+  broke = call->request_sent && (end == H1_END_TRUNCATED || end == H1_END_RESET);
   if (broke)
     job_digest (job);
   log_attempt (job, end == H1_END_WHOLE ? "answer too large or out of memory" : h1_end_text (end),
@@ -382,9 +382,9 @@
   if (broke)
     job_note_break (job, end, now);
   release_target (job, true, now);
-  if (!call->handed)
+  if (!call->request_sent)
     job->runs--;
-  attempt_failed (job, call->handed, FORWARD_BROKEN, now);
+  attempt_failed (job, call->request_sent, FORWARD_BROKEN, now);
 }
 
 static const struct h1_call_ops call_ops = {
--- a/src/forward_result.c
+++ b/src/forward_result.c
@@ -148,7 +148,7 @@
   struct forward_job *job = CONTAINER_OF (timer, struct forward_job, fetch_timer);
 
   /* The connection may still be opening: the fetch has not begun. */
-  if (job->target != NULL && !job->call.handed)
+  if (job->target != NULL && !job->call.request_sent)
     job_expect_fetch (job, &job->fetched_at, now);
   mark_fetched_evictable (job, now);
   for (uint32_t i = 0; i < job->route.n_stages; i++)
--- a/src/h1.c
+++ b/src/h1.c
@@ -105,7 +105,7 @@
 }
 
 static void
-cut_trailing_space (char *text)
+trim_trailing_space (char *text)
 {
   size_t length = strlen (text);
 
@@ -114,7 +114,7 @@
 }
 
 static void
-take_texts (struct h1_reader *reader)
+resolve_fields (struct h1_reader *reader)
 {
   struct h1_head *head = &reader->head;
 
@@ -126,7 +126,7 @@
     {
       head->fields[i].name = head->text.data + reader->offsets[i][0];
       head->fields[i].value = head->text.data + reader->offsets[i][1];
-      cut_trailing_space (head->text.data + reader->offsets[i][1]);
+      trim_trailing_space (head->text.data + reader->offsets[i][1]);
     }
 }
 
@@ -135,7 +135,7 @@
 static bool
 framing_is_ambiguous (const struct h1_head *head)
 {
-  const char *coding = h1_value (head, "transfer-encoding");
+  const char *coding = h1_field_value (head, "transfer-encoding");
 
   if (head->chunked && head->has_length)
     return true;
@@ -177,7 +177,7 @@
   struct h1_reader *reader = reader_of (parser);
   struct h1_head *head = &reader->head;
 
-  take_texts (reader);
+  resolve_fields (reader);
   if (bytes_failed (&head->text))
     return -1;
   head->method = parser->method;
@@ -282,7 +282,7 @@
   reader->in_value = false;
   reader->in_extension = false;
   reader->part = H1_PART_HEAD;
-  reader->last = '\0';
+  reader->last_byte = '\0';
   http_parser_init (&reader->parser, (enum http_parser_type) reader->parser.type);
 }
 
@@ -291,9 +291,9 @@
 /* Checks a byte of a chunk-size line: the parser skips everything after the digits, line ends
  * included. */
 static bool
-size_byte_is_sound (struct h1_reader *reader, char byte)
+size_byte_is_valid (struct h1_reader *reader, char byte)
 {
-  bool after_space = reader->last == ' ' || reader->last == '\t';
+  bool after_space = reader->last_byte == ' ' || reader->last_byte == '\t';
 
   if (reader->in_extension)
     return byte == '\r' || byte == '\t' || (unsigned char) byte >= ' ';
@@ -305,29 +305,29 @@
 /* The distribution's http-parser accepts any byte in place of the LF after a CR, and any two bytes
  * in place of the CR LF after chunk data. */
 static bool
-byte_is_sound (struct h1_reader *reader, char byte)
+framing_byte_is_valid (struct h1_reader *reader, char byte)
 {
-  if (reader->last == '\r')
+  if (reader->last_byte == '\r')
     return byte == '\n';
   /* A head may end its lines with LF alone (RFC 9112, 2.2). */
   if (byte == '\n')
     return reader->part == H1_PART_HEAD;
   if (reader->part == H1_PART_CHUNK)
     return byte == '\r';
-  return reader->part != H1_PART_SIZE || size_byte_is_sound (reader, byte);
+  return reader->part != H1_PART_SIZE || size_byte_is_valid (reader, byte);
 }
 
 /* Checks the bytes that were parsed: all after the piece of body are framing. */
 static bool
-framing_is_sound (struct h1_reader *reader, const char *data, size_t length)
+framing_is_valid (struct h1_reader *reader, const char *data, size_t length)
 {
   if (reader->part == H1_PART_BODY)
     return true;
   for (size_t i = reader->piece_length; i < length; i++)
     {
-      if (!byte_is_sound (reader, data[i]))
+      if (!framing_byte_is_valid (reader, data[i]))
         return false;
-      reader->last = data[i];
+      reader->last_byte = data[i];
     }
   return true;
 }
@@ -336,7 +336,7 @@
 enter_part (struct h1_reader *reader, enum h1_part part)
 {
   reader->part = part;
-  reader->last = '\0';
+  reader->last_byte = '\0';
   reader->in_extension = false;
 }
 
@@ -370,7 +370,7 @@
     return status_fail (STATUS_TOO_LARGE, "headers over %zu bytes", reader->header_max);
   else if (error != HPE_OK)
     return malformed (http_errno_description (error));
-  return framing_is_sound (reader, data, *used) ? STATUS_OK : malformed ("unsound framing");
+  return framing_is_valid (reader, data, *used) ? STATUS_OK : malformed ("unsound framing");
 }
 
 /* The parser reports a head before it has consumed its last byte; parse that byte too. */
--- a/src/h1.h
+++ b/src/h1.h
@@ -61,7 +61,7 @@
 };
 
 /* The value of the first header with that name, compared without case; NULL when there is none. */
-const char *h1_value (const struct h1_head *head, const char *name);
+const char *h1_field_value (const struct h1_head *head, const char *name);
 uint32_t h1_count_fields (const struct h1_head *head, const char *name);
 
 /* Does this header concern one connection only (RFC 9110, 7.6.1)?  Those that a `Connection` header
@@ -69,13 +69,13 @@
 bool h1_is_hop_by_hop (const struct h1_head *head, const char *name);
 
 /* Is the content type text/event-stream? */
-bool h1_has_events (const struct h1_head *head);
+bool h1_is_event_stream (const struct h1_head *head);
 
 /* Append "Name: value" and CR LF. */
 void h1_write_field (struct bytes *out, const char *name, const char *value);
 
 /* The standard reason phrase; "Unknown" for a status that has none. */
-const char *h1_reason (unsigned status);
+const char *h1_reason_phrase (unsigned status);
 
 struct h1_reader;
 
@@ -112,7 +112,7 @@
   bool in_extension; /* of a chunk-size line */
   bool part_ended;
   enum h1_part part;
-  char last;         /* previous framing byte of this part; NUL before the first */
+  char last_byte;    /* previous framing byte of this part; NUL before the first */
   const char *piece; /* of the body, not delivered yet */
   size_t piece_length;
   uint32_t offsets[H1_FIELDS_MAX][2]; /* of name and value in head.text, which may still move */
--- a/src/h1_client.c
+++ b/src/h1_client.c
@@ -12,7 +12,7 @@
 
 /* Share of the target's announced keep-alive time for which an idle connection is reused.  Later a
  * request may cross the target's close, and it would be unknown whether it ran. */
-#define IDLE_SHARE 0.75
+#define KEEP_ALIVE_SHARE 0.75
 
 static const char *const end_texts[] = {
 #define X(name, text) [H1_END_##name] = text,
@@ -27,28 +27,28 @@
 }
 
 /* Connections to one address. */
-struct h1_place
+struct h1_endpoint
 {
   char address[RESOURCE_ADDRESS_SIZE];
-  struct h1_wire *idle; /* newest first */
+  struct h1_client_connection *idle; /* newest first */
   UT_hash_handle hh;
 };
 
 /* A connection. */
-struct h1_wire
+struct h1_client_connection
 {
   struct client_stream stream;
   struct timer timer; /* connect or idle timeout; frees the connection after a cancel */
   struct h1_client *client;
-  struct h1_place *place;
-  struct h1_wire *prev; /* in the idle list of its address */
-  struct h1_wire *next;
-  struct h1_wire *all_prev; /* in the client's list of all connections */
-  struct h1_wire *all_next;
+  struct h1_endpoint *endpoint;
+  struct h1_client_connection *prev; /* in the idle list of its address */
+  struct h1_client_connection *next;
+  struct h1_client_connection *all_prev; /* in the client's list of all connections */
+  struct h1_client_connection *all_next;
   struct h1_reader reader;
   struct h1_call *call; /* NULL while idle */
   struct bytes message; /* request to send once connected */
-  int64_t keep;         /* idle timeout, microseconds */
+  int64_t idle_timeout; /* idle timeout, microseconds */
   bool skipping;        /* the current response is interim or belongs to another call */
   bool foreign;         /* a response to another call was received */
   bool idle;
@@ -59,102 +59,106 @@
   struct loop *loop;
   int64_t connect_timeout;
   const struct tls_trust *trust;
-  struct h1_place *places;
-  struct h1_wire *wires;
+  struct h1_endpoint *endpoints;
+  struct h1_client_connection *connections;
   struct counter *opened;
   struct counter *reused;
   struct counter *foreign;
 };
 
 /* uthash: NOLINTBEGIN(readability-function-size) */
-static struct h1_place *
-place_of (struct h1_client *client, const char *address)
+static struct h1_endpoint *
+get_endpoint (struct h1_client *client, const char *address)
 {
-  struct h1_place *place;
+  struct h1_endpoint *endpoint;
 
-  HASH_FIND_STR (client->places, address, place);
-  if (place != NULL)
-    return place;
-  place = talloc_zero (client, struct h1_place);
-  if (place == NULL)
+  HASH_FIND_STR (client->endpoints, address, endpoint);
+  if (endpoint != NULL)
+    return endpoint;
+  endpoint = talloc_zero (client, struct h1_endpoint);
+  if (endpoint == NULL)
     return NULL;
-  text_copy_cut (place->address, sizeof place->address, address);
-  HASH_ADD_STR (client->places, address, place);
-  return place;
+  text_copy_cut (endpoint->address, sizeof endpoint->address, address);
+  HASH_ADD_STR (client->endpoints, address, endpoint);
+  return endpoint;
 }
 /* NOLINTEND(readability-function-size) */
 
 static void
-free_wire (struct h1_wire *wire)
+free_connection (struct h1_client_connection *connection)
 {
-  timer_disarm (loop_timers (wire->client->loop), &wire->timer);
-  if (wire->idle)
-    DL_DELETE (wire->place->idle, wire);
-  DL_DELETE2 (wire->client->wires, wire, all_prev, all_next);
-  client_stream_close (&wire->stream);
-  h1_reader_clear (&wire->reader);
-  bytes_clear (&wire->message);
-  talloc_free (wire);
+  timer_disarm (loop_timers (connection->client->loop), &connection->timer);
+  if (connection->idle)
+    DL_DELETE (connection->endpoint->idle, connection);
+  DL_DELETE2 (connection->client->connections, connection, all_prev, all_next);
+  client_stream_close (&connection->stream);
+  h1_reader_clear (&connection->reader);
+  bytes_clear (&connection->message);
+  talloc_free (connection);
 }
 
 static void
-end_call (struct h1_wire *wire, enum h1_end end, int64_t now)
+end_call (struct h1_client_connection *connection, enum h1_end end, int64_t now)
 {
-  struct h1_call *call = wire->call;
+  struct h1_call *call = connection->call;
 
-  wire->call = NULL;
+  connection->call = NULL;
   if (call == NULL)
     return;
-  call->wire = NULL;
+  call->connection = NULL;
   call->ops->ended (call, end, now);
 }
 
 /* ---- answers ---- */
 
 static void
-learn_keep (struct h1_wire *wire, const struct h1_head *head)
+read_keep_alive (struct h1_client_connection *connection, const struct h1_head *head)
 {
-  const char *value = h1_value (head, "keep-alive");
+  const char *value = h1_field_value (head, "keep-alive");
   const char *timeout = value == NULL ? NULL : strstr (value, "timeout=");
   double seconds;
 
   if (timeout == NULL)
     return;
   seconds = strtod (timeout + strlen ("timeout="), NULL);
-  wire->keep = (int64_t) (seconds * IDLE_SHARE * (double) USEC_PER_SEC);
+  connection->idle_timeout = (int64_t) (seconds * KEEP_ALIVE_SHARE * (double) USEC_PER_SEC);
 }
 
 static bool
 on_head (struct h1_reader *reader)
 {
-  struct h1_wire *wire = CONTAINER_OF (reader, struct h1_wire, reader);
+  struct h1_client_connection *connection =
+      CONTAINER_OF (reader, struct h1_client_connection, reader);
   const struct h1_head *head = &reader->head;
 
   /* No request asks for an upgrade, so 101 is an error: another protocol would follow it. */
   if (head->status < 100 || head->status == HTTP_STATUS_SWITCHING_PROTOCOLS)
     return false;
-  wire->skipping = true;
-  if (wire->call == NULL || head->status < 200)
+  connection->skipping = true;
+  if (connection->call == NULL || head->status < 200)
     return true;
-  learn_keep (wire, head);
-  wire->skipping = !wire->call->ops->head (wire->call, head, loop_now (wire->client->loop));
-  if (wire->skipping)
+  read_keep_alive (connection, head);
+  connection->skipping =
+      !connection->call->ops->head (connection->call, head, loop_now (connection->client->loop));
+  if (connection->skipping)
     {
-      wire->foreign = true;
-      counter_add (wire->client->foreign, 1);
+      connection->foreign = true;
+      counter_add (connection->client->foreign, 1);
     }
-  else if (wire->call != NULL)
-    wire->call->framing = head->framing;
+  else if (connection->call != NULL)
+    connection->call->framing = head->framing;
   return true;
 }
 
 static bool
 on_body (struct h1_reader *reader, const char *data, size_t length)
 {
-  struct h1_wire *wire = CONTAINER_OF (reader, struct h1_wire, reader);
+  struct h1_client_connection *connection =
+      CONTAINER_OF (reader, struct h1_client_connection, reader);
 
-  if (wire->call != NULL && !wire->skipping)
-    wire->call->ops->data (wire->call, data, length, loop_now (wire->client->loop));
+  if (connection->call != NULL && !connection->skipping)
+    connection->call->ops->data (connection->call, data, length,
+                                 loop_now (connection->client->loop));
   return true;
 }
 
@@ -171,11 +175,12 @@
 };
 
 static void
-go_idle (struct h1_wire *wire, int64_t now)
+go_idle (struct h1_client_connection *connection, int64_t now)
 {
-  wire->idle = true;
-  DL_PREPEND (wire->place->idle, wire);
-  timer_arm (loop_timers (wire->client->loop), &wire->timer, now + wire->keep);
+  connection->idle = true;
+  DL_PREPEND (connection->endpoint->idle, connection);
+  timer_arm (loop_timers (connection->client->loop), &connection->timer,
+             now + connection->idle_timeout);
 }
 
 /* The only place that reports a response as complete: its framing has determined its end.  `clean`:
@@ -183,101 +188,104 @@
  * reused then, nor while a part of the request is unsent, nor after it carried a response to
  * another call. */
 static void
-answer_done (struct h1_wire *wire, bool clean, int64_t now)
+answer_done (struct h1_client_connection *connection, bool clean, int64_t now)
 {
-  bool keep = wire->reader.head.keep_alive && clean && wire->keep > 0
-              && client_stream_is_idle (&wire->stream) && !wire->foreign;
-  struct h1_call *call = wire->call;
+  bool keep = connection->reader.head.keep_alive && clean && connection->idle_timeout > 0
+              && client_stream_is_idle (&connection->stream) && !connection->foreign;
+  struct h1_call *call = connection->call;
 
-  INVARIANT (wire->reader.done && !wire->skipping);
-  wire->call = NULL;
-  call->wire = NULL;
+  INVARIANT (connection->reader.done && !connection->skipping);
+  connection->call = NULL;
+  call->connection = NULL;
   if (keep)
     {
-      h1_reader_next (&wire->reader);
-      go_idle (wire, now);
+      h1_reader_next (&connection->reader);
+      go_idle (connection, now);
     }
   else
-    free_wire (wire);
+    free_connection (connection);
   call->ops->ended (call, H1_END_WHOLE, now);
 }
 
 static void
 stream_received (struct client_stream *stream, const char *data, size_t length, int64_t now)
 {
-  struct h1_wire *wire = CONTAINER_OF (stream, struct h1_wire, stream);
-  struct h1_call *call = wire->call;
+  struct h1_client_connection *connection =
+      CONTAINER_OF (stream, struct h1_client_connection, stream);
+  struct h1_call *call = connection->call;
   enum status status;
   size_t used;
 
   if (call == NULL)
     {
-      free_wire (wire);
+      free_connection (connection);
       return;
     }
   while (length > 0)
     {
       call->answered = true;
-      status = h1_read (&wire->reader, data, length, &used);
+      status = h1_read (&connection->reader, data, length, &used);
       /* A callback may have cancelled the call. */
-      if (wire->call == NULL)
+      if (connection->call == NULL)
         {
-          free_wire (wire);
+          free_connection (connection);
           return;
         }
       if (status != STATUS_OK)
         {
-          end_call (wire, H1_END_MALFORMED, now);
-          free_wire (wire);
+          end_call (connection, H1_END_MALFORMED, now);
+          free_connection (connection);
           return;
         }
       data += used;
       length -= used;
-      if (!wire->reader.done)
+      if (!connection->reader.done)
         return;
-      if (!wire->skipping)
+      if (!connection->skipping)
         {
-          answer_done (wire, length == 0, now);
+          answer_done (connection, length == 0, now);
           return;
         }
-      h1_reader_next (&wire->reader);
+      h1_reader_next (&connection->reader);
     }
 }
 
 static void
 stream_connected (struct client_stream *stream, int64_t now)
 {
-  struct h1_wire *wire = CONTAINER_OF (stream, struct h1_wire, stream);
+  struct h1_client_connection *connection =
+      CONTAINER_OF (stream, struct h1_client_connection, stream);
 
   (void) now;
-  timer_disarm (loop_timers (wire->client->loop), &wire->timer);
-  if (wire->call == NULL)
+  timer_disarm (loop_timers (connection->client->loop), &connection->timer);
+  if (connection->call == NULL)
     return;
-  wire->call->handed = true;
-  client_stream_write (stream, wire->message.data, wire->message.length);
-  bytes_clear (&wire->message);
+  connection->call->request_sent = true;
+  client_stream_write (stream, connection->message.data, connection->message.length);
+  bytes_clear (&connection->message);
 }
 
 static void
 stream_ended (struct client_stream *stream, enum tcp_end end, int64_t now)
 {
   static const enum h1_end ends[] = {
-    [TCP_END_ORDERLY] = H1_END_CUT,     [TCP_END_RESET] = H1_END_RESET,
-    [TCP_END_REFUSED] = H1_END_REFUSED, [TCP_END_OVERFLOW] = H1_END_OVERFLOW,
+    [TCP_END_ORDERLY] = H1_END_TRUNCATED, [TCP_END_RESET] = H1_END_RESET,
+    [TCP_END_REFUSED] = H1_END_REFUSED,   [TCP_END_OVERFLOW] = H1_END_OVERFLOW,
     [TCP_END_MEMORY] = H1_END_MEMORY,
   };
-  struct h1_wire *wire = CONTAINER_OF (stream, struct h1_wire, stream);
+  struct h1_client_connection *connection =
+      CONTAINER_OF (stream, struct h1_client_connection, stream);
 
   _Static_assert(sizeof ends / sizeof ends[0] == TCP_END_COUNT, "every tcp_end needs an h1_end");
   /* A response without a length is completed only by an orderly end. */
-  if (end == TCP_END_ORDERLY && wire->call != NULL && h1_read_end (&wire->reader)
-      && !wire->skipping)
+  if (end == TCP_END_ORDERLY && connection->call != NULL && h1_read_end (&connection->reader)
+      && !connection->skipping)
     {
-      answer_done (wire, false, now);
+      answer_done (connection, false, now);
       return;
     }
-  end_call (wire, ends[end], now);
-  free_wire (wire);
+  end_call (connection, ends[end], now);
+  free_connection (connection);
 }
 
 static const struct client_stream_ops stream_ops = {
@@ -289,67 +297,68 @@
 static void
 timer_fired (struct timer *timer, int64_t now)
 {
-  struct h1_wire *wire = CONTAINER_OF (timer, struct h1_wire, timer);
+  struct h1_client_connection *connection =
+      CONTAINER_OF (timer, struct h1_client_connection, timer);
 
-  end_call (wire, H1_END_REFUSED, now);
-  free_wire (wire);
+  end_call (connection, H1_END_REFUSED, now);
+  free_connection (connection);
 }
 
 static const struct timer_ops timer_ops = { .fire = timer_fired };
 
 /* ---- calls ---- */
 
-static struct h1_wire *
-open_wire (struct h1_client *client, struct h1_place *place, int64_t now)
+static struct h1_client_connection *
+open_connection (struct h1_client *client, struct h1_endpoint *endpoint, int64_t now)
 {
-  struct h1_wire *wire = talloc_zero (client, struct h1_wire);
+  struct h1_client_connection *connection = talloc_zero (client, struct h1_client_connection);
 
-  if (wire == NULL)
+  if (connection == NULL)
     return NULL;
-  wire->client = client;
-  wire->place = place;
-  wire->keep = H1_IDLE_KEEP;
-  wire->timer.ops = &timer_ops;
-  bytes_init (&wire->message, wire);
-  h1_reader_init (&wire->reader, &reader_ops, HTTP_RESPONSE, H1_HEAD_BYTES_MAX);
-  if (client_stream_connect (&wire->stream, &stream_ops, client->loop, client->trust,
-                             place->address)
+  connection->client = client;
+  connection->endpoint = endpoint;
+  connection->idle_timeout = H1_DEFAULT_KEEP_ALIVE;
+  connection->timer.ops = &timer_ops;
+  bytes_init (&connection->message, connection);
+  h1_reader_init (&connection->reader, &reader_ops, HTTP_RESPONSE, H1_HEAD_BYTES_MAX);
+  if (client_stream_connect (&connection->stream, &stream_ops, client->loop, client->trust,
+                             endpoint->address)
       != STATUS_OK)
     {
-      h1_reader_clear (&wire->reader);
-      talloc_free (wire);
+      h1_reader_clear (&connection->reader);
+      talloc_free (connection);
       return NULL;
     }
-  DL_APPEND2 (client->wires, wire, all_prev, all_next);
+  DL_APPEND2 (client->connections, connection, all_prev, all_next);
   counter_add (client->opened, 1);
-  timer_arm (loop_timers (client->loop), &wire->timer, now + client->connect_timeout);
-  return wire;
+  timer_arm (loop_timers (client->loop), &connection->timer, now + client->connect_timeout);
+  return connection;
 }
 
-static struct h1_wire *
-take_idle (struct h1_client *client, struct h1_place *place)
+static struct h1_client_connection *
+take_idle (struct h1_client *client, struct h1_endpoint *endpoint)
 {
-  struct h1_wire *wire;
+  struct h1_client_connection *connection;
 
-  while (place->idle != NULL && client_stream_has_unread (&place->idle->stream))
-    free_wire (place->idle);
-  wire = place->idle;
-  if (wire == NULL)
+  while (endpoint->idle != NULL && client_stream_has_unread (&endpoint->idle->stream))
+    free_connection (endpoint->idle);
+  connection = endpoint->idle;
+  if (connection == NULL)
     return NULL;
-  DL_DELETE (place->idle, wire);
-  wire->idle = false;
-  timer_disarm (loop_timers (client->loop), &wire->timer);
+  DL_DELETE (endpoint->idle, connection);
+  connection->idle = false;
+  timer_disarm (loop_timers (client->loop), &connection->timer);
   counter_add (client->reused, 1);
-  return wire;
+  return connection;
 }
 
 /* The request could not be buffered whole.  It is not sent in part, as the target could take the
  * part for another request. */
 static enum status
-cannot_send (struct h1_wire *wire)
+cannot_send (struct h1_client_connection *connection)
 {
-  wire->call->wire = NULL;
-  free_wire (wire);
+  connection->call->connection = NULL;
+  free_connection (connection);
   return status_fail (STATUS_NO_MEMORY, "out of memory");
 }
 
@@ -361,71 +370,72 @@
                bool fresh,
                int64_t now)
 {
-  struct h1_place *place = bytes_failed (message) ? NULL : place_of (client, address);
-  struct h1_wire *wire = place == NULL || fresh ? NULL : take_idle (client, place);
+  struct h1_endpoint *endpoint = bytes_failed (message) ? NULL : get_endpoint (client, address);
+  struct h1_client_connection *connection =
+      endpoint == NULL || fresh ? NULL : take_idle (client, endpoint);
 
-  call->reused = wire != NULL;
-  call->handed = false;
+  call->reused = connection != NULL;
+  call->request_sent = false;
   call->answered = false;
   call->framing = H1_FRAMING_UNKNOWN;
-  call->wire = NULL;
-  if (place == NULL)
+  call->connection = NULL;
+  if (endpoint == NULL)
     return status_fail (STATUS_NO_MEMORY, "out of memory");
-  if (wire == NULL)
-    wire = open_wire (client, place, now);
-  if (wire == NULL)
+  if (connection == NULL)
+    connection = open_connection (client, endpoint, now);
+  if (connection == NULL)
     return STATUS_UNAVAILABLE;
-  wire->call = call;
-  wire->reader.no_body = call->no_body;
-  call->wire = wire;
-  if (!client_stream_is_connected (&wire->stream))
+  connection->call = call;
+  connection->reader.no_body = call->no_body;
+  call->connection = connection;
+  if (!client_stream_is_connected (&connection->stream))
     {
-      bytes_append (&wire->message, message->data, message->length);
-      return bytes_failed (&wire->message) ? cannot_send (wire) : STATUS_OK;
+      bytes_append (&connection->message, message->data, message->length);
+      return bytes_failed (&connection->message) ? cannot_send (connection) : STATUS_OK;
     }
-  call->handed = true;
-  client_stream_write (&wire->stream, message->data, message->length);
+  call->request_sent = true;
+  client_stream_write (&connection->stream, message->data, message->length);
   return STATUS_OK;
 }
 
 void
 h1_call_cancel (struct h1_call *call)
 {
-  struct h1_wire *wire = call->wire;
+  struct h1_client_connection *connection = call->connection;
 
-  if (wire == NULL)
+  if (connection == NULL)
     return;
-  call->wire = NULL;
-  wire->call = NULL;
-  client_stream_close (&wire->stream);
+  call->connection = NULL;
+  connection->call = NULL;
+  client_stream_close (&connection->stream);
   /* The reader may be on the call stack, so the timer frees the connection from the event loop. */
-  timer_arm (loop_timers (wire->client->loop), &wire->timer, 0);
+  timer_arm (loop_timers (connection->client->loop), &connection->timer, 0);
 }
 
 /* uthash: NOLINTBEGIN(readability-function-size) */
 void
-h1_client_forget (struct h1_client *client, const char *address)
+h1_client_close_idle (struct h1_client *client, const char *address)
 {
-  struct h1_place *place;
+  struct h1_endpoint *endpoint;
 
-  HASH_FIND_STR (client->places, address, place);
-  while (place != NULL && place->idle != NULL)
-    free_wire (place->idle);
+  HASH_FIND_STR (client->endpoints, address, endpoint);
+  while (endpoint != NULL && endpoint->idle != NULL)
+    free_connection (endpoint->idle);
 }
 /* NOLINTEND(readability-function-size) */
 
 static int
 free_client (struct h1_client *client)
 {
-  while (client->wires != NULL)
+  while (client->connections != NULL)
     {
-      struct h1_wire *wire = client->wires;
+      struct h1_client_connection *connection = client->connections;
 
-      if (wire->call != NULL)
-        wire->call->wire = NULL;
-      free_wire (wire);
+      if (connection->call != NULL)
+        connection->call->connection = NULL;
+      free_connection (connection);
     }
-  HASH_CLEAR (hh, client->places);
+  HASH_CLEAR (hh, client->endpoints);
   return 0;
 }
 
--- a/src/h1_client.h
+++ b/src/h1_client.h
@@ -11,13 +11,13 @@
 BEGIN_DECLS
 
 /* Idle timeout of a connection, in microseconds, when the target sends no keep-alive timeout. */
-#define H1_IDLE_KEEP (10 * USEC_PER_SEC)
+#define H1_DEFAULT_KEEP_ALIVE (10 * USEC_PER_SEC)
 
 /* name, text.  WHOLE is the only success: the response is complete by its framing. */
 #define H1_END_LIST(X)                                                                             \
   X (WHOLE, "whole")                                                                               \
   X (REFUSED, "no connection")                                                                     \
-  X (CUT, "connection closed before the end of the answer")                                        \
+  X (TRUNCATED, "connection closed before the end of the answer")                                  \
   X (RESET, "connection reset")                                                                    \
   X (OVERFLOW, "target does not read")                                                             \
   X (MEMORY, "out of memory")                                                                      \
@@ -46,18 +46,18 @@
   void (*ended) (struct h1_call *call, enum h1_end end, int64_t now);
 };
 
-struct h1_wire;
+struct h1_client_connection;
 
 /* Embedded by its user. */
 struct h1_call
 {
   const struct h1_call_ops *ops;
-  struct h1_wire *wire;    /* NULL while not running */
-  bool no_body;            /* set by the user: the request is a HEAD */
-  bool handed;             /* bytes of the request were sent: it may run */
-  bool reused;             /* the connection was kept from an earlier call */
-  bool answered;           /* bytes of a response were received */
-  enum h1_framing framing; /* of the response, once its head was accepted */
+  struct h1_client_connection *connection; /* NULL while not running */
+  bool no_body;                            /* set by the user: the request is a HEAD */
+  bool request_sent;                       /* bytes of the request were sent: it may run */
+  bool reused;                             /* the connection was kept from an earlier call */
+  bool answered;                           /* bytes of a response were received */
+  enum h1_framing framing;                 /* of the response, once its head was accepted */
 };
 
 struct h1_client;
@@ -85,7 +85,7 @@
 void h1_call_cancel (struct h1_call *call);
 
 /* Close the idle connections to the address of a removed target. */
-void h1_client_forget (struct h1_client *client, const char *address);
+void h1_client_close_idle (struct h1_client *client, const char *address);
 
 END_DECLS
 
--- a/src/h1_field.c
+++ b/src/h1_field.c
@@ -4,7 +4,7 @@
 #include <strings.h>
 
 const char *
-h1_value (const struct h1_head *head, const char *name)
+h1_field_value (const struct h1_head *head, const char *name)
 {
   for (uint32_t i = 0; i < head->n_fields; i++)
     if (strcasecmp (head->fields[i].name, name) == 0)
@@ -62,10 +62,10 @@
 }
 
 bool
-h1_has_events (const struct h1_head *head)
+h1_is_event_stream (const struct h1_head *head)
 {
   static const char events[] = "text/event-stream";
-  const char *type = h1_value (head, "content-type");
+  const char *type = h1_field_value (head, "content-type");
   size_t length = sizeof events - 1;
 
   if (type == NULL || strncasecmp (type, events, length) != 0)
@@ -83,7 +83,7 @@
 }
 
 const char *
-h1_reason (unsigned status)
+h1_reason_phrase (unsigned status)
 {
   switch (status)
     {
--- a/src/h1_server.c
+++ b/src/h1_server.c
@@ -10,10 +10,10 @@
 #include <unistd.h>
 
 /* Bytes that a client may pipeline before the response to its current request. */
-#define AHEAD_BYTES_MAX 65536
+#define PIPELINED_BYTES_MAX 65536
 
 static void
-free_later (struct h1_connection *connection)
+free_connection (struct h1_connection *connection)
 {
   struct h1_server *server = connection->server;
 
@@ -53,14 +53,14 @@
       connection->state = CONNECTION_CLOSING;
       handler->ops->gone (handler, &connection->exchange, now);
     }
-  free_later (connection);
+  free_connection (connection);
 }
 
 /* ---- requests ---- */
 
 /* Reject a request that is malformed, too large or late; no part of it has run. */
 static void
-refuse (struct h1_connection *connection, unsigned status)
+reject_request (struct h1_connection *connection, unsigned status)
 {
   connection->keep = false;
   connection->state = CONNECTION_WAITING;
@@ -72,19 +72,20 @@
 }
 
 static bool
-head_is_sound (const struct h1_head *head)
+head_is_valid (const struct h1_head *head)
 {
-  const char *coding = h1_value (head, "transfer-encoding");
+  const char *coding = h1_field_value (head, "transfer-encoding");
 
   if (head->method == HTTP_CONNECT || head->target[0] != '/')
     return false;
-  if (h1_count_fields (head, "host") > 1 || (head->minor > 0 && h1_value (head, "host") == NULL))
+  if (h1_count_fields (head, "host") > 1
+      || (head->minor > 0 && h1_field_value (head, "host") == NULL))
     return false;
   /* Any other coding would be lost, as forwarding reframes the body. */
   if (coding != NULL
       && (h1_count_fields (head, "transfer-encoding") > 1 || strcasecmp (coding, "chunked") != 0))
     return false;
-  return coding == NULL || h1_value (head, "content-length") == NULL;
+  return coding == NULL || h1_field_value (head, "content-length") == NULL;
 }
 
 static bool
@@ -92,14 +93,14 @@
 {
   struct h1_connection *connection = CONTAINER_OF (reader, struct h1_connection, reader);
   const struct h1_head *head = &reader->head;
-  const char *expect = h1_value (head, "expect");
+  const char *expect = h1_field_value (head, "expect");
 
   connection->keep = head->keep_alive;
-  if (!head_is_sound (head))
-    connection->refusal = HTTP_STATUS_BAD_REQUEST;
+  if (!head_is_valid (head))
+    connection->reject_status = HTTP_STATUS_BAD_REQUEST;
   else if (head->has_length && head->length > connection->server->config.limits->body_bytes)
-    connection->refusal = HTTP_STATUS_PAYLOAD_TOO_LARGE;
-  if (connection->refusal != 0)
+    connection->reject_status = HTTP_STATUS_PAYLOAD_TOO_LARGE;
+  if (connection->reject_status != 0)
     return false;
   if (expect != NULL && strcasecmp (expect, "100-continue") == 0 && head->minor >= 1)
     tcp_write (&connection->stream, "HTTP/1.1 100 Continue\r\n\r\n", 25);
@@ -113,7 +114,7 @@
 
   if (connection->body.length + length > connection->server->config.limits->body_bytes)
     {
-      connection->refusal = HTTP_STATUS_PAYLOAD_TOO_LARGE;
+      connection->reject_status = HTTP_STATUS_PAYLOAD_TOO_LARGE;
       return false;
     }
   bytes_append (&connection->body, data, length);
@@ -133,10 +134,10 @@
 };
 
 static unsigned
-refusal_of (const struct h1_connection *connection, enum status status)
+reject_status_of (const struct h1_connection *connection, enum status status)
 {
-  if (connection->refusal != 0)
-    return connection->refusal;
+  if (connection->reject_status != 0)
+    return connection->reject_status;
   if (status == STATUS_TOO_LARGE)
     return HTTP_STATUS_REQUEST_HEADER_FIELDS_TOO_LARGE;
   return HTTP_STATUS_BAD_REQUEST;
@@ -144,7 +145,7 @@
 
 /* Parse up to the end of one request. */
 static size_t
-read_some (struct h1_connection *connection, const char *data, size_t length, int64_t now)
+parse_input (struct h1_connection *connection, const char *data, size_t length, int64_t now)
 {
   struct h1_server *server = connection->server;
   struct h1_handler *handler = server->config.handler;
@@ -161,7 +162,7 @@
   status = h1_read (&connection->reader, data, length, &used);
   if (status != STATUS_OK)
     {
-      refuse (connection, refusal_of (connection, status));
+      reject_request (connection, reject_status_of (connection, status));
       return length;
     }
   if (!connection->reader.done)
@@ -184,15 +185,15 @@
       tcp_fail (&connection->stream, TCP_END_MEMORY);
       return;
     }
-  connection->feeding = true;
+  connection->in_feed = true;
   while (connection->state == CONNECTION_READING && connection->input.length > 0)
     {
-      size_t used = read_some (connection, connection->input.data, connection->input.length, now);
+      size_t used = parse_input (connection, connection->input.data, connection->input.length, now);
 
       bytes_consume (&connection->input, used);
     }
-  connection->feeding = false;
-  if (connection->input.length > AHEAD_BYTES_MAX && answer_is_due (connection))
+  connection->in_feed = false;
+  if (connection->input.length > PIPELINED_BYTES_MAX && answer_is_due (connection))
     {
       connection->input.length = 0;
       connection->keep = false;
@@ -207,12 +208,12 @@
   bytes_clear (&connection->body);
   h1_reader_next (&connection->reader);
   connection->state = CONNECTION_READING;
-  connection->refusal = 0;
+  connection->reject_status = 0;
   connection->exchange.user = NULL;
   timer_arm (h1_connection_timers (connection), &connection->timer,
              now + server->config.limits->idle_timeout);
   /* If feed() is on the call stack, its loop processes the remaining input. */
-  if (!connection->feeding && connection->input.length > 0)
+  if (!connection->in_feed && connection->input.length > 0)
     feed (connection, "", 0, now);
 }
 
@@ -241,12 +242,12 @@
 
 /* Has the client read part of the unsent data since the last check? */
 static bool
-goes_on_reading (struct h1_connection *connection)
+client_is_reading (struct h1_connection *connection)
 {
-  size_t before = connection->unread;
+  size_t before = connection->unacknowledged;
 
-  connection->unread = tcp_unacknowledged (&connection->stream);
-  return tcp_unsent (&connection->stream) > 0 && connection->unread < before;
+  connection->unacknowledged = tcp_unacknowledged (&connection->stream);
+  return tcp_unsent (&connection->stream) > 0 && connection->unacknowledged < before;
 }
 
 /* Idle timeout, request timeout, linger timeout or a dropped exchange. */
@@ -256,11 +257,11 @@
   struct h1_connection *connection = CONTAINER_OF (timer, struct h1_connection, timer);
 
   if (connection->state == CONNECTION_READING && connection->reader.begun)
-    refuse (connection, HTTP_STATUS_REQUEST_TIMEOUT);
-  else if (goes_on_reading (connection))
-    timer_arm (h1_connection_timers (connection), timer, now + H1_LINGER);
+    reject_request (connection, HTTP_STATUS_REQUEST_TIMEOUT);
+  else if (client_is_reading (connection))
+    timer_arm (h1_connection_timers (connection), timer, now + H1_LINGER_TIMEOUT);
   else
-    free_later (connection);
+    free_connection (connection);
 }
 
 static const struct timer_ops timer_ops = { .fire = timer_fired };
@@ -311,7 +312,7 @@
 {
   tcp_listener_close (&server->listener);
   while (server->connections != NULL)
-    free_later (server->connections);
+    free_connection (server->connections);
   return 0;
 }
 
--- a/src/h1_server.h
+++ b/src/h1_server.h
@@ -22,10 +22,10 @@
 };
 
 /* Defaults: bytes and microseconds. */
-#define H1_HEADER_BYTES 16384
-#define H1_BODY_BYTES (4u << 20)
-#define H1_REQUEST_TIMEOUT (10 * USEC_PER_SEC)
-#define H1_IDLE_TIMEOUT (15 * USEC_PER_SEC)
+#define H1_DEFAULT_HEADER_BYTES 16384
+#define H1_DEFAULT_BODY_BYTES (4u << 20)
+#define H1_DEFAULT_REQUEST_TIMEOUT (10 * USEC_PER_SEC)
+#define H1_DEFAULT_IDLE_TIMEOUT (15 * USEC_PER_SEC)
 
 struct h1_server;
 struct h1_connection;
@@ -101,7 +101,7 @@
 void h1_reply_end (struct h1_exchange *exchange, bool whole);
 
 /* Reset the connection without a response; whether the request ran stays open. */
-void h1_drop (struct h1_exchange *exchange);
+void h1_reply_abort (struct h1_exchange *exchange);
 
 END_DECLS
 
--- a/src/h1_server_answer.c
+++ b/src/h1_server_answer.c
@@ -28,7 +28,7 @@
 /* Choose the framing of the response.  In a response to HEAD a length of 0 may only mean that the
  * handler gave no body, so no length is sent. */
 static void
-frame (struct h1_connection *connection, unsigned status, int64_t *length)
+choose_framing (struct h1_connection *connection, unsigned status, int64_t *length)
 {
   const struct h1_head *head = &connection->reader.head;
 
@@ -36,13 +36,13 @@
   if (has_no_body (status) || (head->method == HTTP_HEAD && *length == 0))
     *length = -1;
   connection->chunked = *length < 0 && !connection->bodiless && head->minor >= 1;
-  connection->owed = connection->bodiless ? -1 : *length;
+  connection->remaining = connection->bodiless ? -1 : *length;
   connection->keep = connection->keep && !connection->server->closing;
   /* An HTTP/1.0 response without a length ends with its connection. */
   if (*length < 0 && !connection->bodiless && !connection->chunked)
     {
       connection->keep = false;
-      tcp_end_means_whole (&connection->stream);
+      tcp_set_close_delimited (&connection->stream);
     }
 }
 
@@ -54,8 +54,8 @@
 
   bytes_init (&out, NULL);
   counter_add (connection->server->answers[status / 100 % STATUS_CLASSES], 1);
-  frame (connection, status, &length);
-  bytes_append_format (&out, "HTTP/1.1 %u %s\r\n", status, h1_reason (status));
+  choose_framing (connection, status, &length);
+  bytes_append_format (&out, "HTTP/1.1 %u %s\r\n", status, h1_reason_phrase (status));
   if (fields != NULL)
     bytes_append_text (&out, fields);
   if (connection->chunked)
@@ -74,7 +74,7 @@
 answer_ended (struct h1_connection *connection)
 {
   connection->server->pending--;
-  connection->unread = tcp_unacknowledged (&connection->stream);
+  connection->unacknowledged = tcp_unacknowledged (&connection->stream);
   if (connection->keep && !connection->stream.failed)
     {
       h1_connection_next (connection, loop_now (connection->server->config.loop));
@@ -83,7 +83,7 @@
   connection->state = CONNECTION_CLOSING;
   tcp_close_when_sent (&connection->stream);
   timer_arm (h1_connection_timers (connection), &connection->timer,
-             loop_now (connection->server->config.loop) + H1_LINGER);
+             loop_now (connection->server->config.loop) + H1_LINGER_TIMEOUT);
 }
 
 void
@@ -113,27 +113,27 @@
 /* The body does not have the length given in the head: the client would read surplus bytes as the
  * next response, or fill up a short body from it. */
 static void
-log_length (const struct h1_connection *connection, size_t length)
+log_length_mismatch (const struct h1_connection *connection, size_t length)
 {
   log_event (LOG_MODULE_HTTP, LOG_LEVEL_WARNING, "answer-not-of-its-length", "{s:s,s:I,s:I}",
-             "listener", connection->server->config.label, "owed", (json_int_t) connection->owed,
-             "given", (json_int_t) length);
+             "listener", connection->server->config.label, "owed",
+             (json_int_t) connection->remaining, "given", (json_int_t) length);
 }
 
 /* Subtract `length` from the announced length.  On an excess the stream fails and the result is
  * false. */
 static bool
-count_down (struct h1_connection *connection, size_t length)
+consume_length (struct h1_connection *connection, size_t length)
 {
-  if (connection->owed < 0)
+  if (connection->remaining < 0)
     return true;
-  if (length > (uint64_t) connection->owed)
+  if (length > (uint64_t) connection->remaining)
     {
-      log_length (connection, length);
+      log_length_mismatch (connection, length);
       tcp_fail (&connection->stream, TCP_END_RESET);
       return false;
     }
-  connection->owed -= (int64_t) length;
+  connection->remaining -= (int64_t) length;
   return true;
 }
 
@@ -145,7 +145,7 @@
   struct bytes out;
 
   INVARIANT (connection->state == CONNECTION_ANSWERING);
-  if (length == 0 || connection->bodiless || !count_down (connection, length))
+  if (length == 0 || connection->bodiless || !consume_length (connection, length))
     return;
   if (!connection->chunked)
     {
@@ -166,14 +166,14 @@
   struct h1_connection *connection = exchange->connection;
 
   INVARIANT (connection->state == CONNECTION_ANSWERING);
-  if (whole && connection->owed > 0)
+  if (whole && connection->remaining > 0)
     {
-      log_length (connection, 0);
+      log_length_mismatch (connection, 0);
       whole = false;
     }
   if (!whole)
     {
-      h1_drop (exchange);
+      h1_reply_abort (exchange);
       return;
     }
   if (connection->chunked)
@@ -182,7 +182,7 @@
 }
 
 void
-h1_drop (struct h1_exchange *exchange)
+h1_reply_abort (struct h1_exchange *exchange)
 {
   struct h1_connection *connection = exchange->connection;
 
--- a/src/h1_server_private.h
+++ b/src/h1_server_private.h
@@ -10,7 +10,7 @@
 
 /* Time a client has to read the last response and close, in microseconds.  It is renewed while the
  * client makes progress. */
-#define H1_LINGER (2 * USEC_PER_SEC)
+#define H1_LINGER_TIMEOUT (2 * USEC_PER_SEC)
 
 enum connection_state
 {
@@ -32,13 +32,13 @@
   struct bytes input; /* received and not parsed yet */
   struct h1_exchange exchange;
   enum connection_state state;
-  unsigned refusal; /* status for a request rejected by its head or body size; 0: none */
-  bool bodiless;    /* the response has no body, whatever the handler gives */
-  bool chunked;     /* the response is chunked */
-  int64_t owed;     /* bytes missing from the announced length; negative: none announced */
-  bool keep;        /* keep the connection open after the response */
-  bool feeding;
-  size_t unread; /* response bytes not acknowledged by the client at the last check */
+  unsigned reject_status; /* status for a request rejected by its head or body size; 0: none */
+  bool bodiless;          /* the response has no body, whatever the handler gives */
+  bool chunked;           /* the response is chunked */
+  int64_t remaining;      /* bytes missing from the announced length; negative: none announced */
+  bool keep;              /* keep the connection open after the response */
+  bool in_feed;
+  size_t unacknowledged; /* response bytes not acknowledged by the client at the last check */
 };
 
 struct h1_server
--- a/src/http_client.c
+++ b/src/http_client.c
@@ -15,7 +15,7 @@
 #define CLIENT_COUNTER_LIST(X)                                                                     \
   X (CALLS, "cherryarch_http_client_calls", "Calls started")                                       \
   X (FAILED, "cherryarch_http_client_failed", "Calls that ended without a whole answer")           \
-  X (CUT, "cherryarch_http_client_cut", "Answers cut short by the other side")
+  X (TRUNCATED, "cherryarch_http_client_cut", "Answers cut short by the other side")
 
 enum client_counter
 {
@@ -42,7 +42,7 @@
   struct client *client;
   struct http_call_sink *sink;
   struct timer timer;
-  int64_t connect_until;
+  int64_t connect_deadline;
   char address[ADDRESS_SIZE];
   size_t max_body_bytes;
   size_t received; /* bytes of the answer's body */
@@ -75,7 +75,7 @@
 fail (struct http_call *call, enum status why, int64_t now)
 {
   struct http_call_sink *sink = call->sink;
-  bool sent = call->h1.handed;
+  bool sent = call->h1.request_sent;
 
   count (call->client, CLIENT_FAILED);
   free_call (call);
@@ -88,7 +88,7 @@
   struct http_call *call = CONTAINER_OF (timer, struct http_call, timer);
 
   status_fail (STATUS_TIMEOUT,
-               call->h1.handed ? "no whole answer in time" : "no connection in time");
+               call->h1.request_sent ? "no whole answer in time" : "no connection in time");
   fail (call, STATUS_TIMEOUT, now);
 }
 
@@ -97,9 +97,9 @@
 static enum status
 status_of (const struct http_call *call, enum h1_end end, int64_t now)
 {
-  if (!call->h1.handed && now >= call->connect_until)
+  if (!call->h1.request_sent && now >= call->connect_deadline)
     return status_fail (STATUS_TIMEOUT, "no connection to %s in time", call->address);
-  if (!call->h1.handed)
+  if (!call->h1.request_sent)
     return status_fail (STATUS_UNAVAILABLE, "cannot connect to %s", call->address);
   return status_fail (end == H1_END_MALFORMED ? STATUS_MALFORMED : STATUS_IO, "%s",
                       h1_end_text (end));
@@ -118,7 +118,7 @@
       return;
     }
   if (call->head_seen)
-    count (call->client, CLIENT_CUT);
+    count (call->client, CLIENT_TRUNCATED);
   fail (call, status_of (call, end, now), now);
 }
 
@@ -223,10 +223,11 @@
 
   if (strlen (spec->address) >= ADDRESS_SIZE)
     return status_fail (STATUS_INVALID, "the address is too long");
-  if (!http_headers_clean (spec->path) || strchr (spec->path, ' ') != NULL)
+  if (!http_header_text_is_valid (spec->path) || strchr (spec->path, ' ') != NULL)
     return status_fail (STATUS_INVALID, "a path must not hold spaces or control characters");
   for (size_t i = 0; i < spec->n_headers; i++)
-    if (!http_headers_clean (spec->headers[i].name) || !http_headers_clean (spec->headers[i].value))
+    if (!http_header_text_is_valid (spec->headers[i].name)
+        || !http_header_text_is_valid (spec->headers[i].value))
       return status_fail (STATUS_INVALID, "a header must not hold control characters");
   return inet_address_parse (spec->address, &address);
 }
@@ -246,7 +247,7 @@
   call->client = client;
   call->sink = sink;
   call->timer.ops = &call_timer_ops;
-  call->connect_until = now + client->config.connect_timeout;
+  call->connect_deadline = now + client->config.connect_timeout;
   memcpy (call->address, spec->address, strlen (spec->address) + 1);
   call->max_body_bytes =
       spec->max_body_bytes > 0 ? spec->max_body_bytes : client->config.answer_bytes_max;
--- a/src/http_headers.c
+++ b/src/http_headers.c
@@ -10,16 +10,16 @@
 /* bytes of ": " and CR LF */
 #define HEADER_LINE_EXTRA 4
 
-struct own_header
+struct custom_header
 {
   const char *name;
   const char *key; /* with the colon, as lws expects */
   int key_length;
 };
 
-static const struct own_header own_headers[] = {
+static const struct custom_header custom_headers[] = {
 #define X(text) { text, text ":", sizeof (text) },
-  HTTP_OWN_HEADER_LIST (X)
+  HTTP_CUSTOM_HEADER_LIST (X)
 #undef X
 };
 
@@ -81,12 +81,12 @@
 }
 
 static enum status
-copy_own (struct lws *wsi, struct http_headers *out)
+copy_custom (struct lws *wsi, struct http_headers *out)
 {
-  for (size_t i = 0; i < sizeof own_headers / sizeof own_headers[0]; i++)
+  for (size_t i = 0; i < sizeof custom_headers / sizeof custom_headers[0]; i++)
     {
-      const struct own_header *own = &own_headers[i];
-      int length = lws_hdr_custom_length (wsi, own->key, own->key_length);
+      const struct custom_header *custom = &custom_headers[i];
+      int length = lws_hdr_custom_length (wsi, custom->key, custom->key_length);
       char *value;
       enum status status;
 
@@ -94,9 +94,9 @@
         continue;
       value = talloc_zero_size (out->fields, (size_t) length + 1);
       if (value != NULL
-          && lws_hdr_custom_copy (wsi, value, length + 1, own->key, own->key_length) < 0)
+          && lws_hdr_custom_copy (wsi, value, length + 1, custom->key, custom->key_length) < 0)
         value[0] = '\0';
-      status = add (out, own->name, value);
+      status = add (out, custom->name, value);
       if (status != STATUS_OK)
         return status;
     }
@@ -114,7 +114,7 @@
   if (out->fields == NULL)
     return status_fail (STATUS_NO_MEMORY, "no memory for headers");
   status = copy_known (wsi, out);
-  return status != STATUS_OK ? status : copy_own (wsi, out);
+  return status != STATUS_OK ? status : copy_custom (wsi, out);
 }
 
 const char *
@@ -127,7 +127,7 @@
 }
 
 bool
-http_headers_clean (const char *text)
+http_header_text_is_valid (const char *text)
 {
   for (; *text != '\0'; text++)
     if ((unsigned char) *text < ' ' || *text == 0x7f)
--- a/src/http_headers.h
+++ b/src/http_headers.h
@@ -11,7 +11,7 @@
 
 /* Custom headers.  lws finds headers that it does not know only by name, so a header that is not
  * listed here is ignored. */
-#define HTTP_OWN_HEADER_LIST(X)                                                                    \
+#define HTTP_CUSTOM_HEADER_LIST(X)                                                                 \
   X ("x-request-id")                                                                               \
   X ("x-organisation")                                                                             \
   X ("x-deadline-ms")                                                                              \
@@ -41,7 +41,7 @@
 const char *http_headers_find (const struct http_field *fields, size_t n_fields, const char *name);
 
 /* Is this text free of control characters, which could inject header lines? */
-bool http_headers_clean (const char *text);
+bool http_header_text_is_valid (const char *text);
 
 END_DECLS
 
--- a/src/http_server.c
+++ b/src/http_server.c
@@ -83,7 +83,7 @@
 /* Count a connection of this IP address.  NULL when the address is at its limit or memory is out.
  */
 static struct server_caller *
-caller_came (struct http_server *server, const char *ip)
+count_caller (struct http_server *server, const char *ip)
 {
   struct server_caller *caller;
 
@@ -105,7 +105,7 @@
 /* NOLINTEND(readability-function-size) */
 
 void
-server_caller_left (struct http_server *server, struct server_caller *caller)
+server_caller_release (struct http_server *server, struct server_caller *caller)
 {
   if (--caller->connections > 0)
     return;
@@ -146,7 +146,7 @@
   struct http_server *server = listener->server;
   bool tls = server->tls != NULL && listener->id != HTTP_LISTENER_TARGETS;
   bool counted = listener->id == HTTP_LISTENER_CALLERS && server->limits.connections_per_caller > 0;
-  struct server_caller *caller = counted ? caller_came (server, ip) : NULL;
+  struct server_caller *caller = counted ? count_caller (server, ip) : NULL;
   struct server_connection *connection = NULL;
   struct epoll_event event = { .events = EPOLLRDHUP | EPOLLOUT | EPOLLET };
   struct lws *wsi;
@@ -162,7 +162,7 @@
     {
       server_count (server, SERVER_REFUSED);
       if (caller != NULL)
-        server_caller_left (server, caller);
+        server_caller_release (server, caller);
       close (fd);
       return;
     }
@@ -185,7 +185,7 @@
 
 /* Accept up to `most` connections from the backlog. */
 static void
-accept_waiting (struct server_listener *listener, int most)
+accept_pending (struct server_listener *listener, int most)
 {
   for (int i = 0; i < most; i++)
     {
@@ -206,7 +206,7 @@
 accept_ready (struct loop_watch *watch, int64_t now)
 {
   (void) now;
-  accept_waiting (CONTAINER_OF (watch, struct server_listener, watch), ACCEPT_BATCH);
+  accept_pending (CONTAINER_OF (watch, struct server_listener, watch), ACCEPT_BATCH);
 }
 
 static const struct loop_watch_ops accept_ops = { .ready = accept_ready };
@@ -263,7 +263,7 @@
    * listener now would reset them without a response. */
   for (int i = 0; i < HTTP_LISTENER_COUNT; i++)
     if (server->listeners[i].fd >= 0)
-      accept_waiting (&server->listeners[i], LISTEN_BACKLOG);
+      accept_pending (&server->listeners[i], LISTEN_BACKLOG);
   close_listeners (server);
 }
 
--- a/src/http_server_answer.c
+++ b/src/http_server_answer.c
@@ -34,9 +34,9 @@
 /* lws delivers no writable callback while reading is off, so reading is switched on with the
  * request for it. */
 static void
-write_when_lws_says (struct server_connection *connection)
+request_writable (struct server_connection *connection)
 {
-  server_connection_read_on (connection, true);
+  server_connection_set_reading (connection, true);
   lws_callback_on_writable (connection->wsi);
 }
 
@@ -61,7 +61,7 @@
   /* If the connection closes after this response, unread input is read and dropped: closing with
    * unread input would reset the connection and could lose the response. */
   if (connection->close_after)
-    write_when_lws_says (connection);
+    request_writable (connection);
   else if (!connection->choked)
     server_answer_resume (connection, loop_now (connection->server->loop));
 }
@@ -75,8 +75,8 @@
   char name[128];
   int length = snprintf (name, sizeof name, "%s:", field->name);
 
-  if (length >= (int) sizeof name || !http_headers_clean (field->name)
-      || !http_headers_clean (field->value))
+  if (length >= (int) sizeof name || !http_header_text_is_valid (field->name)
+      || !http_header_text_is_valid (field->value))
     return true;
   return lws_add_http_header_by_name (request->connection->wsi, (unsigned char *) name,
                                       (const unsigned char *) field->value,
@@ -156,9 +156,9 @@
   request->chunked = !request->http10;
   if (request->connection == NULL)
     return;
-  request->until_close = request->http10;
-  if (request->until_close)
-    server_connection_end_by_reset (request->connection, true);
+  request->close_delimited = request->http10;
+  if (request->close_delimited)
+    server_connection_set_reset_on_close (request->connection, true);
   if (!add_head (request, code, fields, n_fields, -1))
     server_connection_kill (request->connection);
   else
@@ -234,16 +234,16 @@
   struct http_server *server = connection->server;
   struct server_request *request = connection->request;
 
-  if (request->until_close)
-    server_connection_end_by_reset (connection, false);
+  if (request->close_delimited)
+    server_connection_set_reset_on_close (connection, false);
   connection->request = NULL;
   server_request_free (request);
   if (connection->close_after)
     return -1;
   connection->phase = SERVER_IDLE;
-  connection->read_before = server_connection_read (connection);
+  connection->read_before = server_connection_bytes_read (connection);
   timer_arm (server->timers, &connection->timer, now + server->limits.idle_timeout);
-  server_connection_read_on (connection, true);
+  server_connection_set_reading (connection, true);
   if (lws_http_transaction_completed (connection->wsi) != 0)
     return -1;
   /* The connection's own timer bounds the wait for the next request.  lws keeps timeouts in one
@@ -262,7 +262,7 @@
   /* lws may have buffered the rest of a write; its writable callback follows when that is sent. */
   if (lws_partial_buffered (connection->wsi))
     {
-      write_when_lws_says (connection);
+      request_writable (connection);
       return 0;
     }
   if (request->finished)
@@ -271,8 +271,8 @@
   bytes_consume (&request->out, request->out_sent);
   request->out_sent = 0;
   timer_disarm (connection->server->timers, &connection->timer);
-  server_connection_read_on (connection, false);
-  connection->phase = SERVER_WORKING;
+  server_connection_set_reading (connection, false);
+  connection->phase = SERVER_HANDLING;
   return 0;
 }
 
@@ -282,11 +282,11 @@
 {
   if (connection->close_after || lws_partial_buffered (connection->wsi))
     {
-      write_when_lws_says (connection);
+      request_writable (connection);
       return;
     }
   connection->choked = true;
-  server_connection_read_on (connection, false);
+  server_connection_set_reading (connection, false);
 }
 
 int
--- a/src/http_server_connection.c
+++ b/src/http_server_connection.c
@@ -28,7 +28,7 @@
 };
 
 void
-server_connection_end_by_reset (struct server_connection *connection, bool on)
+server_connection_set_reset_on_close (struct server_connection *connection, bool on)
 {
   const struct linger linger = { .l_onoff = on };
 
@@ -57,13 +57,13 @@
   if (connection->killed)
     return;
   connection->killed = true;
-  if (connection->request != NULL && connection->request->until_close)
+  if (connection->request != NULL && connection->request->close_delimited)
     reset (connection);
   lws_set_timeout (connection->wsi, PENDING_TIMEOUT_USER_OK, LWS_TO_KILL_ASYNC);
 }
 
 void
-server_connection_read_on (struct server_connection *connection, bool on)
+server_connection_set_reading (struct server_connection *connection, bool on)
 {
   if (connection->reading == on)
     return;
@@ -74,7 +74,7 @@
 void
 server_connection_socket_event (struct server_connection *connection, bool hung_up, int64_t now)
 {
-  bool answering = connection->phase == SERVER_WORKING || connection->phase == SERVER_ANSWERING;
+  bool answering = connection->phase == SERVER_HANDLING || connection->phase == SERVER_ANSWERING;
 
   /* Between requests lws reads the remaining input and sees the end itself. */
   if (hung_up && answering)
@@ -84,7 +84,7 @@
 }
 
 uint64_t
-server_connection_read (const struct server_connection *connection)
+server_connection_bytes_read (const struct server_connection *connection)
 {
   int fd = lws_get_socket_fd (connection->wsi);
   struct tcp_info info = { 0 };
@@ -112,13 +112,13 @@
 
   server_count (connection->server, SERVER_REJECTED);
   connection->close_after = true;
-  request->handed = true;
+  request->dispatched = true;
   http_reply_error (&request->exchange, code, field, message);
 }
 
 /* Timeout: a request whose body is late gets a 408, any other connection is closed. */
 static void
-too_slow (struct timer *timer, int64_t now)
+on_timeout (struct timer *timer, int64_t now)
 {
   struct server_connection *connection = CONTAINER_OF (timer, struct server_connection, timer);
 
@@ -130,10 +130,13 @@
     server_connection_kill (connection);
 }
 
-static const struct timer_ops timer_ops = { .fire = too_slow };
+static const struct timer_ops timer_ops = { .fire = on_timeout };
 
 static void
-await (struct server_connection *connection, enum server_phase phase, int64_t span, int64_t now)
+enter_phase (struct server_connection *connection,
+             enum server_phase phase,
+             int64_t span,
+             int64_t now)
 {
   connection->phase = phase;
   timer_arm (connection->server->timers, &connection->timer, now + span);
@@ -158,7 +161,7 @@
   connection->timer.ops = &timer_ops;
   connection->reading = true;
   text_copy_cut (connection->peer, sizeof connection->peer, peer);
-  await (connection, SERVER_IDLE, server->limits.idle_timeout, loop_now (server->loop));
+  enter_phase (connection, SERVER_IDLE, server->limits.idle_timeout, loop_now (server->loop));
   DL_APPEND (server->connections, connection);
   server->n_connections++;
   return connection;
@@ -175,9 +178,9 @@
   if (request == NULL)
     return;
   request->connection = NULL;
-  if (request->handed)
-    server_count (connection->server, SERVER_CUT);
-  if (request->handed && !request->finished)
+  if (request->dispatched)
+    server_count (connection->server, SERVER_TRUNCATED);
+  if (request->dispatched && !request->finished)
     {
       if (request->exchange.watcher == NULL)
         return;
@@ -196,7 +199,7 @@
   server->n_connections--;
   close_request (connection, now);
   if (connection->caller != NULL)
-    server_caller_left (server, connection->caller);
+    server_caller_release (server, connection->caller);
   talloc_free (connection);
 }
 
@@ -205,7 +208,7 @@
  * iteration, at the cost of a full core, or buffer more without bound.  Within this callback it has
  * buffered nothing yet. */
 static void
-hand_over (struct server_connection *connection, int64_t now)
+dispatch_request (struct server_connection *connection, int64_t now)
 {
   struct server_request *request = connection->request;
   struct http_exchange *exchange = &request->exchange;
@@ -215,11 +218,11 @@
   timer_disarm (connection->server->timers, &connection->timer);
   /* The request timeout of lws must not end a request that is being handled. */
   lws_set_timeout (connection->wsi, NO_PENDING_TIMEOUT, 0);
-  connection->phase = SERVER_WORKING;
+  connection->phase = SERVER_HANDLING;
   exchange->body = request->body.data == NULL ? "" : request->body.data;
   exchange->body_length = request->body.length;
-  server_connection_read_on (connection, false);
-  request->handed = true;
+  server_connection_set_reading (connection, false);
+  request->dispatched = true;
   if (route == NULL)
     {
       server_count (connection->server, SERVER_REJECTED);
@@ -268,7 +271,7 @@
 
 /* HTTP/1.1 callers understand chunked coding. */
 static bool
-speaks_http11 (struct lws *wsi)
+is_http11 (struct lws *wsi)
 {
   char version[16] = "";
 
@@ -295,7 +298,7 @@
   bytes_init (&request->out, request);
   *status = http_headers_copy (request, wsi, &request->headers);
   request->head_only = method == LWSHUMETH_HEAD;
-  request->http10 = !speaks_http11 (wsi);
+  request->http10 = !is_http11 (wsi);
   request->exchange = (struct http_exchange){
     .ops = &server_exchange_ops,
     .listener = connection->listener,
@@ -343,16 +346,16 @@
 is_pipelined (const struct server_connection *connection)
 {
   return connection->read_before > 0
-         && server_connection_read (connection) == connection->read_before;
+         && server_connection_bytes_read (connection) == connection->read_before;
 }
 
 /* Reject within the callback and close: lws must not process this connection any further. */
 static int
-reject_at_once (struct server_connection *connection,
-                int code,
-                const char *field,
-                const char *message,
-                int64_t now)
+reject_and_close (struct server_connection *connection,
+                  int code,
+                  const char *field,
+                  const char *message,
+                  int64_t now)
 {
   reject (connection, code, field, message);
   server_answer_write (connection, now);
@@ -363,7 +366,7 @@
 static int
 on_head (struct server_connection *connection, struct lws *wsi, int64_t now)
 {
-  static const char go_on[] = "HTTP/1.1 100 Continue\r\n\r\n";
+  static const char continue_response[] = "HTTP/1.1 100 Continue\r\n\r\n";
   struct http_server *server = connection->server;
   enum status status = STATUS_OK;
   struct server_request *request =
@@ -373,8 +376,8 @@
     return -1;
   request->headers.bytes += strlen (request->exchange.path) + strlen (request->exchange.query);
   if (is_pipelined (connection))
-    return reject_at_once (connection, 503, NULL,
-                           "not run: send a request after the answer before it", now);
+    return reject_and_close (connection, 503, NULL,
+                             "not run: send a request after the answer before it", now);
   if (status != STATUS_OK || request->headers.bytes > server->limits.header_bytes)
     reject (connection, 431, "headers", "the headers are too large");
   else if (http_header (&request->exchange, "transfer-encoding") != NULL)
@@ -384,12 +387,14 @@
   else if (request->body_expected > server->limits.body_bytes)
     reject (connection, 413, "content-length", "the body is too large");
   else if (request->body_expected == 0)
-    hand_over (connection, now);
+    dispatch_request (connection, now);
   else
     {
-      await (connection, SERVER_BODY, server->limits.body_timeout, now);
+      enter_phase (connection, SERVER_BODY, server->limits.body_timeout, now);
       if (http_header (&request->exchange, "expect") != NULL
-          && lws_write (wsi, (unsigned char *) go_on, sizeof go_on - 1, LWS_WRITE_HTTP) < 0)
+          && lws_write (wsi, (unsigned char *) continue_response, sizeof continue_response - 1,
+                        LWS_WRITE_HTTP)
+                 < 0)
         return -1;
     }
   return connection->killed ? -1 : 0;
@@ -403,7 +408,7 @@
 
   if (connection->request != NULL || read_head (connection, wsi, &status) == NULL)
     return -1;
-  return reject_at_once (connection, 400, "upgrade", "only HTTP/1.1 is spoken here", now);
+  return reject_and_close (connection, 400, "upgrade", "only HTTP/1.1 is spoken here", now);
 }
 
 static int
@@ -429,7 +434,7 @@
   if (request->body.length != request->body_expected)
     reject (connection, 400, "content-length", "the body is shorter than its content-length");
   else
-    hand_over (connection, now);
+    dispatch_request (connection, now);
 }
 
 int
--- a/src/http_server_private.h
+++ b/src/http_server_private.h
@@ -37,7 +37,7 @@
      "Requests answered 4xx before a route saw them")                                              \
   X (TIMEOUTS, "cherryarch_http_connections_timed_out",                                            \
      "Connections closed because the other side was slow")                                         \
-  X (CUT, "cherryarch_http_answers_cut", "Answers that did not reach their caller whole")
+  X (TRUNCATED, "cherryarch_http_answers_cut", "Answers that did not reach their caller whole")
 
 enum server_counter
 {
@@ -71,7 +71,7 @@
 {
   SERVER_IDLE, /* no request, or receiving headers */
   SERVER_BODY,
-  SERVER_WORKING, /* the route handles the request */
+  SERVER_HANDLING, /* the route handles the request */
   SERVER_ANSWERING
 };
 
@@ -106,12 +106,12 @@
   size_t body_expected;
   struct bytes out;
   size_t out_sent;
-  bool handed; /* the exchange was passed to a route or answered with an error */
+  bool dispatched; /* the exchange was passed to a route or answered with an error */
   bool chunked;
   bool head_only; /* response to HEAD: no body */
   bool http10;
-  bool until_close; /* the response ends with its connection */
-  bool finished;    /* nothing more will be added to `out` */
+  bool close_delimited; /* the response ends with its connection */
+  bool finished;        /* nothing more will be added to `out` */
 };
 
 static inline void
@@ -125,10 +125,10 @@
 struct http_route *server_find_route (struct http_server *server,
                                       enum http_listener listener,
                                       const char *path);
-void server_caller_left (struct http_server *server, struct server_caller *caller);
+void server_caller_release (struct http_server *server, struct server_caller *caller);
 
 /* http_server_connection.c */
-void server_connection_read_on (struct server_connection *connection, bool on);
+void server_connection_set_reading (struct server_connection *connection, bool on);
 void server_connection_socket_event (struct server_connection *connection,
                                      bool hung_up,
                                      int64_t now);
@@ -141,12 +141,12 @@
 
 /* While on, any close of the connection, also by the end of the process, is a reset.  For a
  * response that is marked as complete by an orderly close. */
-void server_connection_end_by_reset (struct server_connection *connection, bool on);
+void server_connection_set_reset_on_close (struct server_connection *connection, bool on);
 int server_on_event (
     struct lws *wsi, enum lws_callback_reasons reason, void *user, void *in, size_t len);
 
 /* Bytes that lws has read from the socket so far; 0 if the kernel does not tell. */
-uint64_t server_connection_read (const struct server_connection *connection);
+uint64_t server_connection_bytes_read (const struct server_connection *connection);
 
 /* http_server_answer.c */
 extern const struct http_exchange_ops server_exchange_ops;
--- a/src/request_digest.c
+++ b/src/request_digest.c
@@ -30,7 +30,7 @@
                         const char *organisation,
                         struct request_digest *out)
 {
-  const char *host = h1_value (head, "host");
+  const char *host = h1_field_value (head, "host");
   crypto_generichash_state state;
 
   crypto_generichash_init (&state, NULL, 0, REQUEST_DIGEST_SIZE);
--- a/src/role_base.c
+++ b/src/role_base.c
@@ -157,9 +157,9 @@
   randombytes_buf (&base->incarnation, sizeof base->incarnation);
   randombytes_buf (&base->seed, sizeof base->seed);
   base->limits = (struct h1_limits){
-    .header_bytes = H1_HEADER_BYTES,
-    .body_bytes = H1_BODY_BYTES,
-    .request_timeout = H1_REQUEST_TIMEOUT,
+    .header_bytes = H1_DEFAULT_HEADER_BYTES,
+    .body_bytes = H1_DEFAULT_BODY_BYTES,
+    .request_timeout = H1_DEFAULT_REQUEST_TIMEOUT,
     .idle_timeout = OWN_IDLE_TIMEOUT,
   };
   base->loop = loop_new_plain (base, settings->connections_max);
--- a/src/sse.c
+++ b/src/sse.c
@@ -9,7 +9,7 @@
   bytes_init (&decoder->line, parent);
   bytes_init (&decoder->data, parent);
   decoder->name[0] = '\0';
-  decoder->max = max_event_bytes;
+  decoder->max_event_bytes = max_event_bytes;
 }
 
 void
@@ -56,7 +56,7 @@
 }
 
 static enum status
-take_line (struct sse_decoder *decoder, const char *line, struct sse_sink *sink)
+process_line (struct sse_decoder *decoder, const char *line, struct sse_sink *sink)
 {
   const char *value;
 
@@ -78,8 +78,8 @@
 {
   if (bytes_failed (&decoder->line) || bytes_failed (&decoder->data))
     return status_fail (STATUS_NO_MEMORY, "no memory for an event");
-  if (decoder->line.length + decoder->data.length + more > decoder->max)
-    return status_fail (STATUS_TOO_LARGE, "an event of over %zu bytes", decoder->max);
+  if (decoder->line.length + decoder->data.length + more > decoder->max_event_bytes)
+    return status_fail (STATUS_TOO_LARGE, "an event of over %zu bytes", decoder->max_event_bytes);
   return STATUS_OK;
 }
 
@@ -107,7 +107,7 @@
       at++;
       if (decoder->line.length > 0 && decoder->line.data[decoder->line.length - 1] == '\r')
         decoder->line.data[--decoder->line.length] = '\0';
-      status = take_line (decoder, decoder->line.length > 0 ? decoder->line.data : "", sink);
+      status = process_line (decoder, decoder->line.length > 0 ? decoder->line.data : "", sink);
       if (status != STATUS_OK)
         return status;
       bytes_consume (&decoder->line, decoder->line.length);
--- a/src/sse.h
+++ b/src/sse.h
@@ -31,7 +31,7 @@
   struct bytes line; /* of the incomplete line */
   struct bytes data; /* of the incomplete event */
   char name[SSE_NAME_SIZE];
-  size_t max; /* bytes of one event and the current line */
+  size_t max_event_bytes; /* bytes of one event and the current line */
 };
 
 void sse_init (struct sse_decoder *decoder, void *parent, size_t max_event_bytes);
--- a/src/tcp.c
+++ b/src/tcp.c
@@ -13,9 +13,9 @@
 #include <unistd.h>
 
 #define READ_BYTES 32768
-#define BACKLOG 512
-#define KEEPALIVE_IDLE_S 2
-#define KEEPALIVE_INTERVAL_S 1
+#define LISTEN_BACKLOG 512
+#define KEEPALIVE_IDLE_SEC 2
+#define KEEPALIVE_INTERVAL_SEC 1
 #define KEEPALIVE_PROBES 3
 
 static const char *const end_texts[] = {
@@ -42,10 +42,10 @@
 {
   set_option (fd, IPPROTO_TCP, TCP_NODELAY, 1);
   set_option (fd, SOL_SOCKET, SO_KEEPALIVE, 1);
-  set_option (fd, IPPROTO_TCP, TCP_KEEPIDLE, KEEPALIVE_IDLE_S);
-  set_option (fd, IPPROTO_TCP, TCP_KEEPINTVL, KEEPALIVE_INTERVAL_S);
+  set_option (fd, IPPROTO_TCP, TCP_KEEPIDLE, KEEPALIVE_IDLE_SEC);
+  set_option (fd, IPPROTO_TCP, TCP_KEEPINTVL, KEEPALIVE_INTERVAL_SEC);
   set_option (fd, IPPROTO_TCP, TCP_KEEPCNT, KEEPALIVE_PROBES);
-  set_option (fd, IPPROTO_TCP, TCP_USER_TIMEOUT, TCP_SILENCE_MS);
+  set_option (fd, IPPROTO_TCP, TCP_USER_TIMEOUT, TCP_USER_TIMEOUT_MS);
 }
 
 /* Make the kernel reset the connection when its descriptor is closed, also by the end of the
@@ -61,16 +61,16 @@
 }
 
 static size_t
-kept (const struct tcp_stream *stream)
+buffered_bytes (const struct tcp_stream *stream)
 {
   return stream->unsent == NULL ? 0 : stream->unsent->length;
 }
 
 /* Would closing now truncate what the peer should receive? */
 static bool
-is_cut (const struct tcp_stream *stream)
+would_truncate (const struct tcp_stream *stream)
 {
-  return stream->failed || stream->whole_by_end || kept (stream) > 0;
+  return stream->failed || stream->close_delimited || buffered_bytes (stream) > 0;
 }
 
 static void
@@ -87,10 +87,10 @@
 {
   if (!stream->open)
     return;
-  if (is_cut (stream))
+  if (would_truncate (stream))
     reset_on_close (stream, true);
   stream->open = false;
-  timer_disarm (loop_timers (stream->loop), &stream->tell);
+  timer_disarm (loop_timers (stream->loop), &stream->failure_timer);
   loop_unwatch (stream->loop, &stream->watch);
   drop_unsent (stream);
 }
@@ -113,7 +113,7 @@
   stream->failure = why;
   reset_on_close (stream, true);
   drop_unsent (stream);
-  timer_arm (loop_timers (stream->loop), &stream->tell, 0);
+  timer_arm (loop_timers (stream->loop), &stream->failure_timer, 0);
 }
 
 static bool
@@ -132,16 +132,16 @@
 static void
 send_end (struct tcp_stream *stream)
 {
-  if (stream->whole_by_end)
+  if (stream->close_delimited)
     reset_on_close (stream, false);
-  stream->whole_by_end = false;
+  stream->close_delimited = false;
   (void) shutdown (stream->fd, SHUT_WR);
 }
 
 static void
 send_rest (struct tcp_stream *stream)
 {
-  while (kept (stream) > 0)
+  while (buffered_bytes (stream) > 0)
     {
       ssize_t sent = send (stream->fd, stream->unsent->data, stream->unsent->length, MSG_NOSIGNAL);
 
@@ -218,16 +218,16 @@
 /* Bytes received before a reset are delivered first: they may be a complete response to a request
  * whose rest could not be sent. */
 static void
-tell_failure (struct timer *timer, int64_t now)
+report_failure (struct timer *timer, int64_t now)
 {
-  struct tcp_stream *stream = CONTAINER_OF (timer, struct tcp_stream, tell);
+  struct tcp_stream *stream = CONTAINER_OF (timer, struct tcp_stream, failure_timer);
 
   timer_arm (loop_timers (stream->loop), timer, 0);
   if (stream->failure != TCP_END_RESET || !receive (stream, now))
     end (stream, stream->failure, now);
 }
 
-static const struct timer_ops tell_ops = { .fire = tell_failure };
+static const struct timer_ops failure_timer_ops = { .fire = report_failure };
 
 static void
 on_hung_up (struct loop_watch *watch, int64_t now)
@@ -250,9 +250,9 @@
 
   stream->fd = fd;
   stream->closing = false;
-  stream->whole_by_end = false;
+  stream->close_delimited = false;
   stream->failed = false;
-  stream->tell.ops = &tell_ops;
+  stream->failure_timer.ops = &failure_timer_ops;
   stream->unsent = NULL;
   stream->watch = (struct loop_watch){ .ops = &stream_watch_ops };
   set_options (fd);
@@ -302,7 +302,7 @@
 }
 
 static void
-keep (struct tcp_stream *stream, const char *data, size_t length)
+buffer_data (struct tcp_stream *stream, const char *data, size_t length)
 {
   if (stream->unsent == NULL)
     {
@@ -328,7 +328,7 @@
 
   if (!stream->open || stream->failed || length == 0)
     return;
-  if (!stream->connecting && kept (stream) == 0)
+  if (!stream->connecting && buffered_bytes (stream) == 0)
     {
       ssize_t sent = send (stream->fd, rest, length, MSG_NOSIGNAL);
 
@@ -345,18 +345,18 @@
       if (length == 0)
         return;
     }
-  if (kept (stream) + length > TCP_UNSENT_MAX)
+  if (buffered_bytes (stream) + length > TCP_UNSENT_MAX_BYTES)
     {
       tcp_fail (stream, TCP_END_OVERFLOW);
       return;
     }
-  keep (stream, rest, length);
+  buffer_data (stream, rest, length);
 }
 
 size_t
 tcp_unsent (const struct tcp_stream *stream)
 {
-  return kept (stream) + (stream->failed ? 1 : 0);
+  return buffered_bytes (stream) + (stream->failed ? 1 : 0);
 }
 
 size_t
@@ -378,11 +378,11 @@
 }
 
 void
-tcp_end_means_whole (struct tcp_stream *stream)
+tcp_set_close_delimited (struct tcp_stream *stream)
 {
   if (!stream->open || stream->failed)
     return;
-  stream->whole_by_end = true;
+  stream->close_delimited = true;
   reset_on_close (stream, true);
 }
 
@@ -393,7 +393,7 @@
     return;
   if (reset)
     reset_on_close (stream, true);
-  else if (!is_cut (stream))
+  else if (!would_truncate (stream))
     (void) shutdown (stream->fd, SHUT_RDWR);
   drop (stream);
 }
@@ -445,7 +445,7 @@
     return status_fail (STATUS_IO, "no socket to listen on %s: %s", address, strerror (errno));
   (void) setsockopt (listener->fd, SOL_SOCKET, SO_REUSEADDR, &yes, sizeof yes);
   if (bind (listener->fd, (const struct sockaddr *) &at.socket, at.socket_length) != 0
-      || listen (listener->fd, BACKLOG) != 0)
+      || listen (listener->fd, LISTEN_BACKLOG) != 0)
     {
       status = status_fail (STATUS_IO, "cannot listen on %s: %s", address, strerror (errno));
       close (listener->fd);
--- a/src/tcp.h
+++ b/src/tcp.h
@@ -36,11 +36,11 @@
 
 /* TCP_USER_TIMEOUT: a connection that acknowledges neither data nor a keepalive probe for this long
  * is closed.  A cut link or a silently dropped flow reports no other error. */
-#define TCP_SILENCE_MS 3000
+#define TCP_USER_TIMEOUT_MS 3000
 
 /* Maximum bytes in the send buffer of one connection; above it the stream fails with
  * TCP_END_OVERFLOW. */
-#define TCP_UNSENT_MAX (16u << 20)
+#define TCP_UNSENT_MAX_BYTES (16u << 20)
 
 struct tcp_stream;
 
@@ -63,11 +63,11 @@
   int fd;
   bool open;
   bool connecting;
-  bool closing;         /* shut down once everything is sent */
-  bool whole_by_end;    /* an orderly close marks a response as complete, and it is not yet */
-  bool failed;          /* nothing more is sent; ended() will report `failure` */
-  enum tcp_end failure; /* stored, as the kernel reports a socket error only once */
-  struct timer tell;    /* calls ended() from the event loop */
+  bool closing;               /* shut down once everything is sent */
+  bool close_delimited;       /* an orderly close marks a response as complete, and it is not yet */
+  bool failed;                /* nothing more is sent; ended() will report `failure` */
+  enum tcp_end failure;       /* stored, as the kernel reports a socket error only once */
+  struct timer failure_timer; /* calls ended() from the event loop */
   struct bytes *unsent;
 };
 
@@ -102,7 +102,7 @@
 
 /* The peer takes an orderly close for the end of a response.  Until tcp_close_when_sent() has sent
  * everything, any close of the connection is a reset, also by the end of this process. */
-void tcp_end_means_whole (struct tcp_stream *stream);
+void tcp_set_close_delimited (struct tcp_stream *stream);
 
 /* Drop unsent bytes and close.  With `reset`, or if bytes are dropped, the peer sees a reset, so
  * that a truncated response cannot look complete. */
--- a/src/tls_session.c
+++ b/src/tls_session.c
@@ -93,7 +93,7 @@
 /* ---- bytes ---- */
 
 static enum status
-take_out (struct tls_session *session, struct bytes *out)
+drain_output (struct tls_session *session, struct bytes *out)
 {
   char piece[PIECE_BYTES];
   int n;
@@ -110,7 +110,7 @@
 }
 
 static enum status
-shake_hands (struct tls_session *session)
+do_handshake (struct tls_session *session)
 {
   int result;
 
@@ -138,9 +138,9 @@
 enum status
 tls_session_begin (struct tls_session *session, struct bytes *out)
 {
-  enum status status = shake_hands (session);
+  enum status status = do_handshake (session);
 
-  return status != STATUS_OK ? status : take_out (session, out);
+  return status != STATUS_OK ? status : drain_output (session, out);
 }
 
 bool
@@ -162,10 +162,10 @@
   if (length > INT_MAX || BIO_write (session->in, data, (int) length) != (int) length)
     return status_fail (STATUS_NO_MEMORY, "out of memory");
   if (!tls_session_is_ready (session))
-    status = shake_hands (session);
+    status = do_handshake (session);
   if (status == STATUS_OK && tls_session_is_ready (session))
     status = read_plain (session, plain);
-  sent = take_out (session, out);
+  sent = drain_output (session, out);
   return status != STATUS_OK ? status : sent;
 }
 
@@ -176,5 +176,5 @@
   if (length > INT_MAX
       || (length > 0 && SSL_write (session->ssl, data, (int) length) != (int) length))
     return tls_failed ("cannot send over TLS");
-  return take_out (session, out);
+  return drain_output (session, out);
 }
--- a/tests/unit_edges_tcp.cc
+++ b/tests/unit_edges_tcp.cc
@@ -190,7 +190,7 @@
 TEST_F (TcpEnd, IsReportedSoonWhenThePeerIsIdle)
 {
   fill ();
-  write (std::string (TCP_UNSENT_MAX, 'x'));
+  write (std::string (TCP_UNSENT_MAX_BYTES, 'x'));
   loop_once (loop, 0);
   loop_once (loop, 0);
   EXPECT_EQ (n_ends, 1);
@@ -200,7 +200,7 @@
 TEST_F (TcpEnd, OfAnOverflowIsAResetForThePeer)
 {
   fill ();
-  write (std::string (TCP_UNSENT_MAX, 'x'));
+  write (std::string (TCP_UNSENT_MAX_BYTES, 'x'));
   write ("behind the gap");
   EXPECT_TRUE (wait_ended ());
   EXPECT_EQ (end, TCP_END_OVERFLOW);
@@ -212,7 +212,7 @@
 TEST_F (TcpEnd, OfAnOverflowIsAResetAlsoWhenTheUserEndsTheStream)
 {
   fill ();
-  write (std::string (TCP_UNSENT_MAX, 'x'));
+  write (std::string (TCP_UNSENT_MAX_BYTES, 'x'));
   tcp_close_when_sent (&ours.stream);
   EXPECT_TRUE (wait_ended ());
   EXPECT_EQ (end, TCP_END_OVERFLOW);
--- a/tests/unit_h1_client.cc
+++ b/tests/unit_h1_client.cc
@@ -20,14 +20,14 @@
     { "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nab", false, false, H1_FRAMING_LENGTH,
       H1_END_WHOLE },
     { "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\na", false, false, H1_FRAMING_LENGTH,
-      H1_END_CUT },
+      H1_END_TRUNCATED },
     { "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n1\r\na\r\n", true, false,
       H1_FRAMING_CHUNKED, H1_END_RESET },
     { "HTTP/1.1 200 OK\r\n\r\nab", false, false, H1_FRAMING_CLOSE, H1_END_WHOLE },
     { "HTTP/1.1 200 OK\r\n\r\nab", true, false, H1_FRAMING_CLOSE, H1_END_RESET },
     { "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\n", false, true, H1_FRAMING_NO_BODY,
       H1_END_WHOLE },
-    { "HTTP/1.1 200 OK\r\n", false, false, H1_FRAMING_UNKNOWN, H1_END_CUT },
+    { "HTTP/1.1 200 OK\r\n", false, false, H1_FRAMING_UNKNOWN, H1_END_TRUNCATED },
     { "no answer", false, false, H1_FRAMING_UNKNOWN, H1_END_MALFORMED },
   };
 
--- a/tests/unit_h1_server.cc
+++ b/tests/unit_h1_server.cc
@@ -336,7 +336,7 @@
   return std::string_view (text).substr (0, size);
 }
 
-// The server's H1_LINGER.
+// The server's H1_LINGER_TIMEOUT.
 const int64_t LAST_WAIT = 2 * USEC_PER_SEC;
 
 class answer_table : public h1_server_test
