--- a/bench/call.c
+++ b/bench/call.c
@@ -72,9 +72,9 @@
   for (size_t i = 0; i < n_headers; i++)
     {
       if (strcmp (headers[i].name, "x-outcome") == 0)
-        text_copy_cut (answer->outcome, sizeof answer->outcome, headers[i].value);
+        text_copy_truncated (answer->outcome, sizeof answer->outcome, headers[i].value);
       if (strcmp (headers[i].name, "x-request-id") == 0)
-        text_copy_cut (answer->request_id, sizeof answer->request_id, headers[i].value);
+        text_copy_truncated (answer->request_id, sizeof answer->request_id, headers[i].value);
     }
 }
 
@@ -127,7 +127,7 @@
   if (caller->client->ops->start (caller->client, &timed, &waiting.sink, now, &handle) != STATUS_OK)
     return;
   while (!waiting.ended)
-    loop_once (caller->loop, LOOP_STEP);
+    loop_run_once (caller->loop, LOOP_STEP);
 }
 
 json_t *
--- a/bench/cmd_commit.c
+++ b/bench/cmd_commit.c
@@ -185,7 +185,7 @@
   load->start = now;
   load->end = now + load->end;
   if (load->port != NULL)
-    peer_zmq_count (load->port, &load->traffic);
+    peer_zmq_get_traffic (load->port, &load->traffic);
   timer_arm (loop_timers (load->loop), timer, load->end);
   for (uint32_t i = 0; i < load->window; i++)
     {
@@ -404,7 +404,7 @@
   seconds = (double) (loop_now (bench.loop) - load->start) / USEC_PER_SEC;
   if (bench.port != NULL)
     {
-      peer_zmq_count (bench.port, &traffic);
+      peer_zmq_get_traffic (bench.port, &traffic);
       printf ("v%u%s: in %.0f bytes/s %.1f messages/s, out %.0f bytes/s %.1f messages/s\n", number,
               leads ? " (leader)" : "",
               (double) (traffic.bytes_in - load->traffic.bytes_in) / seconds,
--- a/bench/cmd_fake-target.c
+++ b/bench/cmd_fake-target.c
@@ -419,7 +419,7 @@
     program->name_prefix = program->options.pool;
   if (program->n_domains == 0)
     {
-      text_copy_cut (program->domains[0], RESOURCE_NAME_SIZE, "default");
+      text_copy_truncated (program->domains[0], RESOURCE_NAME_SIZE, "default");
       program->n_domains = 1;
     }
   started = start (program);
--- a/bench/cmd_host-cost.c
+++ b/bench/cmd_host-cost.c
@@ -38,7 +38,7 @@
   struct launch_fakes fakes = { .spec = *given, .targets = 1, .domains = "one", .time_scale = 0 };
   enum status status;
 
-  text_copy_cut (fakes.spec.name, sizeof fakes.spec.name, name);
+  text_copy_truncated (fakes.spec.name, sizeof fakes.spec.name, name);
   fakes.spec.slots = SLOTS;
   status = launch_start_fakes (cost->launch, &fakes);
   return status == STATUS_OK ? launch_apply_pool (cost->launch, &fakes.spec) : status;
@@ -71,8 +71,8 @@
   cost->pipeline.hedge_share = cost->service.hedge_share = 0;
   cost->held = cost->service;
   cost->held.deadline = 60 * USEC_PER_SEC;
-  text_copy_cut (cost->held.name, sizeof cost->held.name, "held");
-  text_copy_cut (cost->held.stages[0].pool, sizeof cost->held.stages[0].pool, "held");
+  text_copy_truncated (cost->held.name, sizeof cost->held.name, "held");
+  text_copy_truncated (cost->held.stages[0].pool, sizeof cost->held.stages[0].pool, "held");
   if (status == STATUS_OK)
     status = launch_apply_pipeline (cost->launch, &cost->pipeline);
   if (status == STATUS_OK)
--- a/bench/cmd_store.c
+++ b/bench/cmd_store.c
@@ -45,7 +45,7 @@
   change.text = spec;
   if (with_id)
     snprintf (change.change_id, sizeof change.change_id, "change-%08u", number);
-  text_copy_cut (change.host, sizeof change.host, number % 2 ? "host-1" : "host-2");
+  text_copy_truncated (change.host, sizeof change.host, number % 2 ? "host-1" : "host-2");
   change.time_ms = number * INT64_C (500);
   store_change_pack (&change, out);
 }
@@ -141,14 +141,14 @@
   memset (entry, 0, sizeof *entry);
   entry->op = op;
   snprintf (entry->host, sizeof entry->host, "host-%u", number % 6);
-  text_copy_cut (entry->holder.host, sizeof entry->holder.host, entry->host);
+  text_copy_truncated (entry->holder.host, sizeof entry->holder.host, entry->host);
   entry->holder.epoch = 1;
   entry->time_ms = 1000;
   memcpy (entry->key, &number, sizeof number);
   entry->acquire_id = number;
   entry->retention_ms = RETENTION_MS;
   entry->code = 200;
-  text_copy_cut (entry->outcome, sizeof entry->outcome, "whole");
+  text_copy_truncated (entry->outcome, sizeof entry->outcome, "whole");
   if (op == CLAIM_SETTLE)
     {
       entry->body = body;
--- a/bench/disk_fake.c
+++ b/bench/disk_fake.c
@@ -92,7 +92,7 @@
 {
   forget (folder, name);
   INVARIANT (folder->n < NAMES_MAX);
-  text_copy_cut (folder->names[folder->n].name, DISK_NAME_SIZE, name);
+  text_copy_truncated (folder->names[folder->n].name, DISK_NAME_SIZE, name);
   folder->names[folder->n++].node = node;
 }
 
@@ -126,8 +126,8 @@
   INVARIANT (self->n_pending <= PENDING_MAX);
   change->kind = kind;
   change->node = node;
-  text_copy_cut (change->name, DISK_NAME_SIZE, name);
-  text_copy_cut (change->to, DISK_NAME_SIZE, to);
+  text_copy_truncated (change->name, DISK_NAME_SIZE, name);
+  text_copy_truncated (change->to, DISK_NAME_SIZE, to);
   apply_change (&self->now, change);
 }
 
--- a/bench/engine_model.c
+++ b/bench/engine_model.c
@@ -466,7 +466,7 @@
     begin_host (model, i);
   model->arrival.ops = &arrival_ops;
   timer_arm (model->timers, &model->arrival, USEC_PER_MSEC);
-  while ((next = timer_service_next (model->timers)) != USEC_NEVER)
+  while ((next = timer_service_next_due (model->timers)) != USEC_NEVER)
     {
       model->now = next;
       timer_service_run (model->timers, next);
--- a/bench/fake_execution.c
+++ b/bench/fake_execution.c
@@ -23,7 +23,7 @@
   if (!execution)
     {
       execution = talloc_zero (target, struct fake_execution);
-      text_copy_cut (execution->id, sizeof execution->id, id);
+      text_copy_truncated (execution->id, sizeof execution->id, id);
       HASH_ADD_STR (target->executions, id, execution);
     }
   execution->count++;
--- a/bench/fake_group.c
+++ b/bench/fake_group.c
@@ -80,7 +80,7 @@
 
   if (host->consensus == NULL)
     return INT64_MAX;
-  due = timer_service_next (host->timers);
+  due = timer_service_next_due (host->timers);
   if (due == USEC_NEVER)
     return INT64_MAX;
   at = due <= group_local (host, host->group->now) ? host->group->now : global (host, due);
--- a/bench/fake_group_net.c
+++ b/bench/fake_group_net.c
@@ -132,7 +132,7 @@
 
 const struct peer_port_ops group_port_ops = {
   .set_address = port_set_address,
-  .forget = port_forget,
+  .remove_host = port_forget,
   .send = port_send,
-  .listen = port_listen,
+  .set_listener = port_listen,
 };
--- a/bench/fake_target.c
+++ b/bench/fake_target.c
@@ -352,8 +352,8 @@
   target->fault.slow = 1;
   target->incarnation = wall_clock ();
   rng_init (&target->rng, XXH3_64bits_withSeed (name, strlen (name), options->seed));
-  text_copy_cut (target->name, sizeof target->name, name);
-  text_copy_cut (target->domain, sizeof target->domain, domain);
+  text_copy_truncated (target->name, sizeof target->name, name);
+  text_copy_truncated (target->domain, sizeof target->domain, domain);
   target->cache = fake_cache_new (target, options->cache_blocks);
   talloc_set_destructor (target, free_target);
   if (!listen_on (target, counters, listen))
--- a/bench/fuzz_config.c
+++ b/bench/fuzz_config.c
@@ -78,9 +78,9 @@
 
 static const struct peer_port_ops port_ops = {
   .set_address = set_address,
-  .forget = forget,
+  .remove_host = forget,
   .send = send_message,
-  .listen = listen_channel,
+  .set_listener = listen_channel,
 };
 
 struct host
@@ -286,7 +286,7 @@
   pack_reader_init (&reader, data, length);
   pack_read_uint (&reader, 1);
   if (pack_read_uint (&reader, CONFIG_MESSAGE_COUNT - 1) < CONFIG_MESSAGE_COUNT
-      && pack_read_ok (&reader))
+      && pack_read_is_ok (&reader))
     status = STATUS_OK;
   /* Timers go before what they belong to. */
   talloc_free (pair);
--- a/bench/fuzz_member.c
+++ b/bench/fuzz_member.c
@@ -99,7 +99,7 @@
   good = member_read_head (&reader, &head);
   for (i = 0; good && i < head.n_items; i++)
     good = member_read_item (&reader, &item);
-  return good && pack_read_end (&reader) ? STATUS_OK : STATUS_MALFORMED;
+  return good && pack_read_is_complete (&reader) ? STATUS_OK : STATUS_MALFORMED;
 }
 
 static enum status
--- a/bench/host_cost_way.c
+++ b/bench/host_cost_way.c
@@ -67,7 +67,7 @@
   struct bytes input;
 
   *way = (struct host_cost_way){ .n_steps = 1 };
-  text_copy_cut (step->address, sizeof step->address, host);
+  text_copy_truncated (step->address, sizeof step->address, host);
   snprintf (step->path, sizeof step->path, "/v1/%s/%s/requests",
             spec->service ? "services" : "pipelines", spec->name);
   input_of (&input, parent, spec);
@@ -170,8 +170,8 @@
     {
       struct host_cost_step *step = &way->steps[i];
 
-      text_copy_cut (step->address, sizeof step->address, targets[i]);
-      text_copy_cut (step->path, sizeof step->path, paths[spec->stages[i].kind]);
+      text_copy_truncated (step->address, sizeof step->address, targets[i]);
+      text_copy_truncated (step->path, sizeof step->path, paths[spec->stages[i].kind]);
       if (spec->service)
         step->body = walk->input;
       else
--- a/bench/launch.c
+++ b/bench/launch.c
@@ -248,7 +248,7 @@
       char folder[LAUNCH_PATH_SIZE + RESOURCE_NAME_SIZE + 8];
 
       snprintf (host->process.name, sizeof host->process.name, "host-%u", i + 1);
-      text_copy_cut (host->domain, sizeof host->domain, domains[i % n_domains]);
+      text_copy_truncated (host->domain, sizeof host->domain, domains[i % n_domains]);
       for (int p = 0; p < LAUNCH_PORT_COUNT && status == STATUS_OK; p++)
         status = reserve_port (host->addresses[p]);
       snprintf (folder, sizeof folder, "%s/%s", launch->folder, host->process.name);
@@ -320,7 +320,7 @@
   INVARIANT (launch->n_pools < LAUNCH_POOLS_MAX);
   pool->spec = fakes->spec;
   pool->targets = fakes->targets;
-  text_copy_cut (pool->process.name, sizeof pool->process.name, fakes->spec.name);
+  text_copy_truncated (pool->process.name, sizeof pool->process.name, fakes->spec.name);
   status = reserve_port (pool->control);
   argv[n++] = talloc_asprintf (scratch, "%s/fake-target", launch->programs);
   argv[n++] = talloc_asprintf (scratch, "--kind=%s", kind_text (fakes->spec.kind));
@@ -361,7 +361,7 @@
       if (waitpid (process->pid, &process->exit_status, WNOHANG) == process->pid)
         process->pid = 0;
       else
-        loop_once (loop, WAIT_STEP);
+        loop_run_once (loop, WAIT_STEP);
     }
   return process->pid == 0;
 }
--- a/bench/launch_control.c
+++ b/bench/launch_control.c
@@ -23,7 +23,7 @@
       if (loop_now (loop) >= until)
         return status_fail (STATUS_TIMEOUT, "waited in vain until %s (logs in %s)", what,
                             launch->folder);
-      loop_once (loop, LOOK_STEP);
+      loop_run_once (loop, LOOK_STEP);
     }
   return STATUS_OK;
 }
@@ -151,7 +151,7 @@
       answer = call_json (launch->caller, launch->hosts[i].addresses[LAUNCH_OPERATORS], "PUT",
                           put->path, json_incref (put->body), CALL_BOUND, &put->code);
       message = json_string_value (json_object_get (json_object_get (answer, "error"), "message"));
-      text_copy_cut (put->error, sizeof put->error, message ? message : "");
+      text_copy_truncated (put->error, sizeof put->error, message ? message : "");
       json_decref (answer);
       if (put->code >= 200 && put->code < 500 && put->code != 429)
         return true;
--- a/bench/policy_run.c
+++ b/bench/policy_run.c
@@ -91,7 +91,8 @@
       struct board_organisation *organisation =
           table_add (host->board->organisations, &host->organisations[i]);
 
-      text_copy_cut (organisation->spec.name, RESOURCE_NAME_SIZE, run->site->organisations[i].name);
+      text_copy_truncated (organisation->spec.name, RESOURCE_NAME_SIZE,
+                           run->site->organisations[i].name);
       organisation->spec.weight = 1;
     }
 }
@@ -108,8 +109,9 @@
       struct board_target *entry = table_add (board->targets, &target->handle);
 
       snprintf (entry->name, sizeof entry->name, "%s-%u", pool->name, i);
-      text_copy_cut (entry->pool, sizeof entry->pool, pool->name);
-      text_copy_cut (entry->domain, sizeof entry->domain, run->site->domains[i % SITE_DOMAINS]);
+      text_copy_truncated (entry->pool, sizeof entry->pool, pool->name);
+      text_copy_truncated (entry->domain, sizeof entry->domain,
+                           run->site->domains[i % SITE_DOMAINS]);
       entry->kind = pool->kind;
       entry->reports_load = pool->reports_load;
       entry->slots = target->slots;
@@ -388,12 +390,12 @@
 static void
 play (struct policy_run *run, int64_t until)
 {
-  int64_t next = timer_service_next (run->timers);
+  int64_t next = timer_service_next_due (run->timers);
 
   while (next <= until)
     {
       timer_service_run (run->timers, next);
-      next = timer_service_next (run->timers);
+      next = timer_service_next_due (run->timers);
     }
 }
 
--- a/bench/quarantine_fleet.c
+++ b/bench/quarantine_fleet.c
@@ -468,10 +468,10 @@
       fleet->timers = timers;
       built = build (fleet);
     }
-  while (built && timer_service_next (timers) < START + config->duration)
+  while (built && timer_service_next_due (timers) < START + config->duration)
     {
-      if (timer_service_next (timers) > fleet->now)
-        fleet->now = timer_service_next (timers);
+      if (timer_service_next_due (timers) > fleet->now)
+        fleet->now = timer_service_next_due (timers);
       timer_service_run (timers, fleet->now);
     }
   if (built)
--- a/bench/quarantine_fleet_node.c
+++ b/bench/quarantine_fleet_node.c
@@ -88,7 +88,7 @@
   CONTAINER_OF (port, struct node, port)->listener = listener;
 }
 
-static const struct peer_port_ops port_ops = { .send = port_send, .listen = port_listen };
+static const struct peer_port_ops port_ops = { .send = port_send, .set_listener = port_listen };
 
 /* A partition would show two seconds later at the earliest, so the list ignores it: messages to
  * the other side are sent and lost. */
--- a/bench/replay.c
+++ b/bench/replay.c
@@ -82,7 +82,7 @@
   if (!stage && result->n_stages < RESOURCE_STAGES_MAX)
     {
       stage = &result->stages[result->n_stages++];
-      text_copy_cut (stage->name, sizeof stage->name, name);
+      text_copy_truncated (stage->name, sizeof stage->name, name);
     }
   if (!stage)
     return;
@@ -281,7 +281,7 @@
       json_t *json = json_loadb (end->body.data, end->body.length, 0, NULL);
       const char *said = json_string_value (json_object_get (json, "outcome"));
 
-      text_copy_cut (end->outcome, sizeof end->outcome, said ? said : "");
+      text_copy_truncated (end->outcome, sizeof end->outcome, said ? said : "");
       json_decref (json);
     }
   snprintf (why, sizeof why, "%d %s %.100s", end->code, outcome,
@@ -362,8 +362,8 @@
   struct replay_try_end nothing = { .sent = false };
 
   request->record->tries++;
-  text_copy_cut (request->address, sizeof request->address,
-                 replay_list_current (list_of (request), now));
+  text_copy_truncated (request->address, sizeof request->address,
+                       replay_list_current (list_of (request), now));
   if (request->deadline - now < USEC_PER_MSEC)
     end_request (request, REPLAY_NOT_RUN, now, "the window closed before it was sent");
   else if (!send_try (request, now))
@@ -432,7 +432,7 @@
   for (uint32_t i = 0; i < replay->n_lists; i++)
     replay->lists[i] = replay_list_new (replay, replay->options, i);
   while (!lists_idle (replay))
-    loop_once (replay->loop, LOOP_STEP);
+    loop_run_once (replay->loop, LOOP_STEP);
 }
 
 struct replay_result *
@@ -453,7 +453,7 @@
   arm_requests (replay, loop_now (replay->loop));
   while (replay->ended < result->count || !lists_idle (replay))
     {
-      loop_once (replay->loop, LOOP_STEP);
+      loop_run_once (replay->loop, LOOP_STEP);
       if (options->step)
         options->step (options->user, result, replay->ended);
     }
--- a/bench/replay_entries.c
+++ b/bench/replay_entries.c
@@ -33,7 +33,7 @@
     if (strcmp (list->known[i], address) == 0)
       return;
   if (list->n_known < REPLAY_ENTRIES_MAX)
-    text_copy_cut (list->known[list->n_known++], RESOURCE_ADDRESS_SIZE, address);
+    text_copy_truncated (list->known[list->n_known++], RESOURCE_ADDRESS_SIZE, address);
 }
 
 static void
@@ -58,7 +58,7 @@
 
       if (!address || list->n_list == REPLAY_ENTRIES_MAX)
         continue;
-      text_copy_cut (list->list[list->n_list++], RESOURCE_ADDRESS_SIZE, address);
+      text_copy_truncated (list->list[list->n_list++], RESOURCE_ADDRESS_SIZE, address);
       know (list, address);
     }
   json_decref (json);
--- a/bench/replay_try.c
+++ b/bench/replay_try.c
@@ -36,9 +36,9 @@
       const char *value = headers[i].value;
 
       if (strcmp (name, "x-outcome") == 0)
-        text_copy_cut (end->outcome, sizeof end->outcome, value);
+        text_copy_truncated (end->outcome, sizeof end->outcome, value);
       if (strcmp (name, "x-request-id") == 0)
-        text_copy_cut (end->request_id, sizeof end->request_id, value);
+        text_copy_truncated (end->request_id, sizeof end->request_id, value);
       if (strcmp (name, "content-type") == 0 && strncmp (value, "text/event-stream", 17) == 0)
         end->streamed = true;
     }
--- a/bench/site.c
+++ b/bench/site.c
@@ -156,17 +156,17 @@
     .priority = pipeline->priority,
     .repeatable = pipeline->repeatable,
   };
-  text_copy_cut (out->name, sizeof out->name, pipeline->name);
+  text_copy_truncated (out->name, sizeof out->name, pipeline->name);
   for (uint32_t i = 0; i < out->n_stages; i++)
     {
       struct stage_spec *stage = &out->stages[i];
 
       stage->kind = kind_of_letter (pipeline->stages[i]);
-      text_copy_cut (stage->name, sizeof stage->name, stage_names[stage->kind]);
+      text_copy_truncated (stage->name, sizeof stage->name, stage_names[stage->kind]);
       if (stage->kind == STAGE_CALL)
-        text_copy_cut (stage->pool, sizeof stage->pool, pipeline->call_pool);
+        text_copy_truncated (stage->pool, sizeof stage->pool, pipeline->call_pool);
       else
-        text_copy_cut (stage->pool, sizeof stage->pool, pool_of_kind (site, stage->kind));
+        text_copy_truncated (stage->pool, sizeof stage->pool, pool_of_kind (site, stage->kind));
       if (stage->kind == STAGE_GENERATE)
         stage->max_tokens = pipeline->output_max;
       if (stage->kind == STAGE_RETRIEVE)
@@ -187,5 +187,5 @@
     .slots = service_slots (pool->kind),
     .eject_share_max = EJECT_SHARE_MAX,
   };
-  text_copy_cut (out->name, sizeof out->name, pool->name);
+  text_copy_truncated (out->name, sizeof out->name, pool->name);
 }
--- a/bench/site_demo.c
+++ b/bench/site_demo.c
@@ -67,9 +67,9 @@
 
       request->at = i * spacing;
       snprintf (request->id, sizeof request->id, "%s-%06u", prefix, i);
-      text_copy_cut (request->organisation, sizeof request->organisation,
-                     demo.organisations[i % SITE_ORGANISATIONS].name);
-      text_copy_cut (request->pipeline, sizeof request->pipeline, pipeline->name);
+      text_copy_truncated (request->organisation, sizeof request->organisation,
+                           demo.organisations[i % SITE_ORGANISATIONS].name);
+      text_copy_truncated (request->pipeline, sizeof request->pipeline, pipeline->name);
       request->service = strcmp (pipeline->stages, "C") == 0;
       request->repeatable = pipeline->repeatable;
       request->priority = pipeline->priority;
--- a/bench/slopes_run.c
+++ b/bench/slopes_run.c
@@ -36,7 +36,7 @@
   int64_t until = loop_now (loop) + span;
 
   while (loop_now (loop) < until)
-    loop_once (loop, until - loop_now (loop));
+    loop_run_once (loop, until - loop_now (loop));
 }
 
 void
--- a/bench/spread_directory.c
+++ b/bench/spread_directory.c
@@ -111,8 +111,8 @@
       snprintf (t->pool, sizeof t->pool, "pool-%02u", i % 20);
       snprintf (t->domain, sizeof t->domain, "bkk-%u", i % 8);
       snprintf (t->address, sizeof t->address, "10.1.%u.%u:9000", i / 250, i % 250);
-      text_copy_cut (t->models[0], sizeof t->models[0], "claims-letters-7b");
-      text_copy_cut (t->version, sizeof t->version, "2026-11-28");
+      text_copy_truncated (t->models[0], sizeof t->models[0], "claims-letters-7b");
+      text_copy_truncated (t->version, sizeof t->version, "2026-11-28");
       t->n_models = 1;
       t->kind = STAGE_GENERATE;
       t->slots = 16;
--- a/bench/spread_heartbeat.c
+++ b/bench/spread_heartbeat.c
@@ -49,7 +49,7 @@
   for (int i = 0; i < 4; i++)
     pack_read_uint (&reader, UINT64_MAX);
   self->left[from] = pack_read_uint (&reader, 1) != 0;
-  INVARIANT (pack_read_end (&reader));
+  INVARIANT (pack_read_is_complete (&reader));
   self->heard_at[from] = now;
 }
 
--- a/bench/spread_tree.c
+++ b/bench/spread_tree.c
@@ -380,7 +380,7 @@
         }
       take_word (self, from, kind, &word, now);
     }
-  INVARIANT (pack_read_end (&reader));
+  INVARIANT (pack_read_is_complete (&reader));
   if (kind == NEIGHBOR)
     add_neighbor (self, from, now);
   if (kind == DISCONNECT)
--- a/bench/trace_generate.c
+++ b/bench/trace_generate.c
@@ -126,9 +126,9 @@
   const struct site_pipeline *pipeline = &generator->site->pipelines[index];
   double question = QUESTION_MEDIAN * exp (QUESTION_SIGMA * rng_normal (&generator->rng));
 
-  text_copy_cut (request->organisation, sizeof request->organisation,
-                 pick_organisation (generator));
-  text_copy_cut (request->pipeline, sizeof request->pipeline, pipeline->name);
+  text_copy_truncated (request->organisation, sizeof request->organisation,
+                       pick_organisation (generator));
+  text_copy_truncated (request->pipeline, sizeof request->pipeline, pipeline->name);
   request->service = strcmp (pipeline->stages, "C") == 0;
   request->repeatable = pipeline->repeatable;
   request->priority = pipeline->priority;
@@ -226,7 +226,7 @@
     {
       struct trace_request *request = &flood->requests[i];
 
-      text_copy_cut (request->organisation, sizeof request->organisation, organisation);
+      text_copy_truncated (request->organisation, sizeof request->organisation, organisation);
       snprintf (request->id, sizeof request->id, "%s-%06u-flood", site_get (site)->name, i);
       trace->requests[trace->count + i] = *request;
     }
--- a/src/access.c
+++ b/src/access.c
@@ -219,7 +219,7 @@
   if (named != NULL && strcmp (named, organisation->spec.name) != 0)
     return status_fail (STATUS_DENIED, "x-organisation: the token is another organisation's");
   *out = token->organisation;
-  text_copy_cut (name, RESOURCE_NAME_SIZE, organisation->spec.name);
+  text_copy_truncated (name, RESOURCE_NAME_SIZE, organisation->spec.name);
   return STATUS_OK;
 }
 
@@ -257,21 +257,21 @@
   name[0] = '\0';
   if (!access->has_admin && access->operators == NULL)
     {
-      text_copy_cut (name, RESOURCE_NAME_SIZE, ANONYMOUS_NAME);
+      text_copy_truncated (name, RESOURCE_NAME_SIZE, ANONYMOUS_NAME);
       return ACCESS_ADMIN;
     }
   if (!bearer_hash (exchange, hash))
     return ACCESS_NONE;
   if (access->has_admin && sodium_memcmp (hash, access->admin_hash, sizeof hash) == 0)
     {
-      text_copy_cut (name, RESOURCE_NAME_SIZE, ADMIN_NAME);
+      text_copy_truncated (name, RESOURCE_NAME_SIZE, ADMIN_NAME);
       return ACCESS_ADMIN;
     }
   for (entry = access->operators; entry != NULL; entry = entry->hh.next)
     {
       if (sodium_memcmp (hash, entry->hash, sizeof hash) != 0)
         continue;
-      text_copy_cut (name, RESOURCE_NAME_SIZE, entry->name);
+      text_copy_truncated (name, RESOURCE_NAME_SIZE, entry->name);
       return entry->role;
     }
   return ACCESS_NONE;
--- a/src/balance.c
+++ b/src/balance.c
@@ -53,9 +53,9 @@
     engine_load_remove_target (balance->engines, target->id_hash);
   target->started = word->started_unix_ms;
   target->id_hash = XXH3_64bits_withSeed (target->id, strlen (target->id), target->started);
-  text_copy_cut (target->pool, sizeof target->pool, word->pool);
-  text_copy_cut (target->domain, sizeof target->domain, word->domain);
-  text_copy_cut (target->address, sizeof target->address, word->address);
+  text_copy_truncated (target->pool, sizeof target->pool, word->pool);
+  text_copy_truncated (target->domain, sizeof target->domain, word->domain);
+  text_copy_truncated (target->address, sizeof target->address, word->address);
   target->leaving = false;
   target->failures = 0;
   target->failure_rate = 0;
@@ -76,7 +76,7 @@
       target = talloc_zero (parent, struct balance_target);
       if (target == NULL)
         return;
-      text_copy_cut (target->id, sizeof target->id, record->registration.id);
+      text_copy_truncated (target->id, sizeof target->id, record->registration.id);
       target->record = record;
       reset_incarnation (balance, target);
       target->next = balance->targets;
--- a/src/batch.c
+++ b/src/batch.c
@@ -227,8 +227,8 @@
   pool = &batch->pools[batch->n_pools++];
   pool->batch = batch;
   pool->timer.ops = &pool_ops;
-  text_copy_cut (pool->name, sizeof pool->name, name);
-  text_copy_cut (pool->domain, sizeof pool->domain, domain);
+  text_copy_truncated (pool->name, sizeof pool->name, name);
+  text_copy_truncated (pool->domain, sizeof pool->domain, domain);
   return pool;
 }
 
--- a/src/batch_admit.c
+++ b/src/batch_admit.c
@@ -127,7 +127,7 @@
     return true;
   booking->demand = *demand;
   booking->stage = stage;
-  text_copy_cut (booking->request, sizeof booking->request, request);
+  text_copy_truncated (booking->request, sizeof booking->request, request);
   DL_APPEND (pool->bookings, booking);
   return true;
 }
--- a/src/batch_call.c
+++ b/src/batch_call.c
@@ -205,7 +205,7 @@
   struct batch_call *call = CONTAINER_OF (base, struct batch_call, call);
 
   (void) now;
-  bytes_append_within (&call->body, data, length, ANSWER_BYTES_MAX);
+  bytes_append_limited (&call->body, data, length, ANSWER_BYTES_MAX);
 }
 
 static const char *
@@ -213,7 +213,7 @@
 {
   if (end != H1_END_WHOLE)
     return h1_end_text (end);
-  if (bytes_failed (&call->body))
+  if (bytes_has_failed (&call->body))
     return "answer could not be kept";
   return call->not_run ? "not run" : "answered";
 }
@@ -223,7 +223,8 @@
 {
   struct batch_call *call = CONTAINER_OF (base, struct batch_call, call);
   struct batch_pool *pool = call->pool;
-  bool failed = end != H1_END_WHOLE || call->status != HTTP_STATUS_OK || bytes_failed (&call->body);
+  bool failed =
+      end != H1_END_WHOLE || call->status != HTTP_STATUS_OK || bytes_has_failed (&call->body);
 
   log_call (call, outcome_text (call, end), now);
   if (base->request_sent && (end == H1_END_TRUNCATED || end == H1_END_RESET))
--- a/src/batch_queue.c
+++ b/src/batch_queue.c
@@ -268,7 +268,8 @@
 {
   batch_dequeue (order);
   if (order->preferred_domain[0] == '\0')
-    text_copy_cut (order->preferred_domain, sizeof order->preferred_domain, target->target->domain);
+    text_copy_truncated (order->preferred_domain, sizeof order->preferred_domain,
+                         target->target->domain);
   *out = (struct batch_piece){
     .serial = order->serial,
     .index = order->pending[--order->n_pending],
--- a/src/batch_result.c
+++ b/src/batch_result.c
@@ -40,7 +40,7 @@
       target = talloc_zero (pool->batch, struct batch_target);
       if (target == NULL)
         return NULL;
-      text_copy_cut (target->id, sizeof target->id, at->id);
+      text_copy_truncated (target->id, sizeof target->id, at->id);
       target->slowness = 1;
       target->started = at->started;
       target->next = pool->targets;
@@ -64,7 +64,7 @@
 
   if (result == NULL)
     return;
-  text_copy_cut (result->handle, sizeof result->handle, handle);
+  text_copy_truncated (result->handle, sizeof result->handle, handle);
   if (piece != NULL)
     {
       result->content_hash = piece->content_hash;
--- a/src/bytes.c
+++ b/src/bytes.c
@@ -22,7 +22,7 @@
 
 /* Ensures capacity for `length` more bytes and the NUL. */
 static bool
-reserve (struct bytes *bytes, size_t length)
+ensure_capacity (struct bytes *bytes, size_t length)
 {
   size_t wanted = bytes->length + length + 1;
   size_t capacity = bytes->capacity == 0 ? BYTES_FIRST_CAPACITY : bytes->capacity;
@@ -48,7 +48,7 @@
 void
 bytes_append (struct bytes *bytes, const void *data, size_t length)
 {
-  if (!reserve (bytes, length))
+  if (!ensure_capacity (bytes, length))
     return;
   if (length > 0)
     memcpy (bytes->data + bytes->length, data, length);
@@ -57,7 +57,7 @@
 }
 
 void
-bytes_append_within (struct bytes *bytes, const void *data, size_t length, size_t max)
+bytes_append_limited (struct bytes *bytes, const void *data, size_t length, size_t max)
 {
   if (bytes->length > max || length > max - bytes->length)
     bytes->failed = true;
@@ -83,7 +83,7 @@
   va_end (args);
   if (length < 0)
     bytes->failed = true;
-  else if (reserve (bytes, (size_t) length))
+  else if (ensure_capacity (bytes, (size_t) length))
     {
       vsnprintf (bytes->data + bytes->length, (size_t) length + 1, format, again);
       bytes->length += (size_t) length;
--- a/src/bytes.h
+++ b/src/bytes.h
@@ -1,7 +1,7 @@
 /* A growable byte buffer that keeps a terminating NUL after its content.
  *
  * A failed write, out of memory or over the size limit, is sticky: later writes do nothing and
- * bytes_failed() returns true, so a sequence of writes is checked once at its end. */
+ * bytes_has_failed() returns true, so a sequence of writes is checked once at its end. */
 #ifndef BYTES_H
 #define BYTES_H
 
@@ -26,7 +26,7 @@
 
 /* Appends, unless the buffer would exceed `max` bytes: then it fails and takes no further data,
  * because a buffer with a gap must not be taken for the complete content. */
-void bytes_append_within (struct bytes *bytes, const void *data, size_t length, size_t max);
+void bytes_append_limited (struct bytes *bytes, const void *data, size_t length, size_t max);
 void bytes_append_text (struct bytes *bytes, const char *text);
 void bytes_append_format (struct bytes *bytes, const char *format, ...)
     __attribute__ ((format (printf, 2, 3)));
@@ -35,7 +35,7 @@
 void bytes_consume (struct bytes *bytes, size_t length);
 
 static inline bool
-bytes_failed (const struct bytes *bytes)
+bytes_has_failed (const struct bytes *bytes)
 {
   return bytes->failed;
 }
--- a/src/claim_job.c
+++ b/src/claim_job.c
@@ -168,7 +168,7 @@
     deadline = job->deadline;
   bytes_init (&entry, job);
   pack_step (job, &entry, now);
-  job->proposed = !bytes_failed (&entry)
+  job->proposed = !bytes_has_failed (&entry)
                   && job->group->ops->propose (job->group, entry.data, entry.length, &job->proposal,
                                                deadline, now)
                          == STATUS_OK;
@@ -389,8 +389,8 @@
   job->timer.ops = &timer_ops;
   job->step = JOB_HELD;
   claim_job_set_step (job, step);
-  text_copy_cut (job->entry.host, sizeof job->entry.host, log->config.host);
-  text_copy_cut (job->entry.holder.host, sizeof job->entry.holder.host, log->config.host);
+  text_copy_truncated (job->entry.host, sizeof job->entry.host, log->config.host);
+  text_copy_truncated (job->entry.holder.host, sizeof job->entry.holder.host, log->config.host);
   job->entry.holder.epoch = log->epoch;
   job->entry.retention_ms = log->config.retention / USEC_PER_MSEC;
   DL_APPEND (log->jobs, job);
--- a/src/claim_log.c
+++ b/src/claim_log.c
@@ -82,7 +82,7 @@
   if (job == NULL)
     return STATUS_NOT_FOUND;
   job->entry.code = (uint32_t) code;
-  text_copy_cut (job->entry.outcome, sizeof job->entry.outcome, outcome);
+  text_copy_truncated (job->entry.outcome, sizeof job->entry.outcome, outcome);
   if (length <= log->config.answer_bytes)
     {
       job->body = talloc_size (job, length + 1);
--- a/src/claim_machine.c
+++ b/src/claim_machine.c
@@ -84,7 +84,7 @@
 fill_settled (const struct claim_record *record, struct claim_result *result)
 {
   result->code = record->code;
-  text_copy_cut (result->outcome, sizeof result->outcome, record->outcome);
+  text_copy_truncated (result->outcome, sizeof result->outcome, record->outcome);
   result->body_kept = record->body_kept;
   result->body = record->body;
   result->body_length = record->body_length;
@@ -100,7 +100,7 @@
     return CLAIM_GRANTED; /* a retry whose first answer was lost */
   if (epoch_is_over (record->host, record->epoch))
     return CLAIM_UNKNOWN;
-  text_copy_cut (result->holder.host, sizeof result->holder.host, record->host->name);
+  text_copy_truncated (result->holder.host, sizeof result->holder.host, record->host->name);
   result->holder.epoch = record->epoch;
   return CLAIM_IN_FLIGHT;
 }
@@ -163,7 +163,7 @@
     return record != NULL && record->state == CLAIM_STATE_SETTLED ? CLAIM_SETTLED : CLAIM_EXPIRED;
   record->state = CLAIM_STATE_SETTLED;
   record->code = (uint16_t) entry->code;
-  text_copy_cut (record->outcome, sizeof record->outcome, entry->outcome);
+  text_copy_truncated (record->outcome, sizeof record->outcome, entry->outcome);
   if (entry->body != NULL
       && machine->table->answer_bytes + entry->body_length <= machine->config.answer_bytes_max)
     claim_table_set_body (machine->table, record, entry->body, entry->body_length);
@@ -246,8 +246,8 @@
   pack_uint (out, CLAIM_FORMAT);
   store_clock_save (&self->clock, out);
   claim_table_save (self->table, out);
-  return bytes_failed (out) ? status_fail (STATUS_NO_MEMORY, "no memory for a snapshot")
-                            : STATUS_OK;
+  return bytes_has_failed (out) ? status_fail (STATUS_NO_MEMORY, "no memory for a snapshot")
+                                : STATUS_OK;
 }
 
 static enum status
--- a/src/claim_table.c
+++ b/src/claim_table.c
@@ -71,7 +71,7 @@
   if (host == NULL)
     return NULL;
   host->handle = handle;
-  text_copy_cut (host->name, sizeof host->name, name);
+  text_copy_truncated (host->name, sizeof host->name, name);
   HASH_ADD_STR (table->hosts_by_name, name, host);
   DL_APPEND (table->hosts, host);
   return host;
--- a/src/cli_session.c
+++ b/src/cli_session.c
@@ -149,7 +149,7 @@
   int64_t left;
 
   while ((left = until - cli_now (session)) > 0)
-    loop_once (session->loop, left);
+    loop_run_once (session->loop, left);
 }
 
 void
@@ -206,7 +206,7 @@
   if (status != STATUS_OK)
     return status;
   while (!call->ended && !call->stopped)
-    loop_once (session->loop, LOOP_STEP);
+    loop_run_once (session->loop, LOOP_STEP);
   if (!call->ended)
     session->http->ops->cancel (session->http, handle);
   return call->status;
@@ -232,7 +232,7 @@
   struct call call = { .body = &out->body };
   enum status status;
 
-  text_copy_cut (out->host, sizeof out->host, session->options.hosts[session->current]);
+  text_copy_truncated (out->host, sizeof out->host, session->options.hosts[session->current]);
   bytes_clear (&out->body);
   if (deadline > now + ONE_HOST_TIMEOUT)
     deadline = now + ONE_HOST_TIMEOUT;
--- a/src/cli_table.c
+++ b/src/cli_table.c
@@ -57,7 +57,7 @@
 {
   size_t used = strlen (out);
 
-  text_copy_cut (out + used, CELL_SIZE - used, text);
+  text_copy_truncated (out + used, CELL_SIZE - used, text);
 }
 
 static void
@@ -144,7 +144,7 @@
       bool last = c + 1 == COLUMNS_MAX || shown[c + 1].title == NULL;
 
       if (object == NULL)
-        text_copy_cut (cell, sizeof cell, shown[c].title);
+        text_copy_truncated (cell, sizeof cell, shown[c].title);
       else
         cell_text (&shown[c], object, cell);
       printf ("%-*s%s", last ? 0 : widths[c], cell, last ? "\n" : "  ");
--- a/src/config_board.c
+++ b/src/config_board.c
@@ -136,7 +136,7 @@
     known = table_add (self->operators, &handle);
   if (known == NULL)
     return status_fail (STATUS_LIMIT, "no room for operator %s", spec->name);
-  text_copy_cut (known->name, sizeof known->name, spec->name);
+  text_copy_truncated (known->name, sizeof known->name, spec->name);
   return access_set_operator (self->access, spec->name, roles[spec->role], spec->token_hash);
 }
 
--- a/src/config_feed.c
+++ b/src/config_feed.c
@@ -68,7 +68,7 @@
   follower = talloc_zero (feed, struct feed_follower);
   if (follower == NULL)
     return NULL;
-  text_copy_cut (follower->host, sizeof follower->host, host);
+  text_copy_truncated (follower->host, sizeof follower->host, host);
   DL_APPEND (feed->followers, follower);
   feed->n_followers++;
   return follower;
@@ -117,7 +117,7 @@
                                        .spec = object->spec,
                                        .status = object->status };
 
-          text_copy_cut (event.name, sizeof event.name, object->name);
+          text_copy_truncated (event.name, sizeof event.name, object->name);
           store_event_pack (&event, &events);
           count++;
           if (events.length < MESSAGE_BYTES)
@@ -274,7 +274,7 @@
   struct feed_follower *follower = find_follower (feed, from);
 
   (void) type;
-  if (!pack_read_end (body))
+  if (!pack_read_is_complete (body))
     return;
   if (follower == NULL)
     follower = add_follower (feed, from);
--- a/src/config_follow.c
+++ b/src/config_follow.c
@@ -110,7 +110,7 @@
   uint32_t count = pack_read_array (body, EVENTS_MAX);
   uint32_t i;
 
-  if (!pack_read_ok (body))
+  if (!pack_read_is_ok (body))
     return;
   if (number == 0)
     store_replace_begin (follow->config.store);
@@ -147,7 +147,8 @@
   uint64_t nonce = pack_read_uint (body, UINT64_MAX);
   uint64_t revision = pack_read_uint (body, UINT64_MAX);
 
-  if (!pack_read_end (body) || nonce > follow->nonce || nonce + REQUESTS_KEPT <= follow->nonce)
+  if (!pack_read_is_complete (body) || nonce > follow->nonce
+      || nonce + REQUESTS_KEPT <= follow->nonce)
     return;
   follow->unanswered = 0;
   if (store_revision (follow->config.store) < revision)
@@ -249,7 +250,7 @@
 
   follow->n_voters = n_voters > SETTINGS_VOTERS_MAX ? SETTINGS_VOTERS_MAX : n_voters;
   for (i = 0; i < follow->n_voters; i++)
-    text_copy_cut (follow->voters[i], sizeof follow->voters[i], voters[i].name);
+    text_copy_truncated (follow->voters[i], sizeof follow->voters[i], voters[i].name);
   follow->voter = follow->n_voters == 0
                       ? 0
                       : (uint32_t) (XXH3_64bits (follow->config.host, strlen (follow->config.host))
--- a/src/config_link.c
+++ b/src/config_link.c
@@ -23,7 +23,7 @@
   if (pack_read_uint (&body, UINT64_MAX) != CONFIG_LINK_VERSION)
     return;
   type = pack_read_uint (&body, CONFIG_MESSAGE_COUNT - 1);
-  if (pack_read_ok (&body) && link->handlers[type] != NULL)
+  if (pack_read_is_ok (&body) && link->handlers[type] != NULL)
     link->handlers[type]->ops->received (link->handlers[type], (enum config_message) type, from,
                                          &body, now);
 }
@@ -39,7 +39,7 @@
     return NULL;
   link->listener.ops = &listener_ops;
   link->port = port;
-  port->ops->listen (port, PEER_CHANNEL_CONFIG, &link->listener);
+  port->ops->set_listener (port, PEER_CHANNEL_CONFIG, &link->listener);
   return link;
 }
 
@@ -63,7 +63,7 @@
 {
   enum status status;
 
-  if (bytes_failed (message))
+  if (bytes_has_failed (message))
     status = status_fail (STATUS_NO_MEMORY, "no memory for a message");
   else
     status = link->port->ops->send (link->port, host, PEER_CHANNEL_CONFIG, message->data,
--- a/src/config_wait.c
+++ b/src/config_wait.c
@@ -193,7 +193,7 @@
   asker = talloc_zero (wait, struct wait_asker);
   if (asker == NULL)
     return;
-  text_copy_cut (asker->host, sizeof asker->host, from);
+  text_copy_truncated (asker->host, sizeof asker->host, from);
   asker->id = id;
   asker->revision = revision;
   DL_APPEND (wait->askers, asker);
@@ -234,7 +234,7 @@
   uint64_t id = pack_read_uint (body, UINT64_MAX);
   uint64_t revision = pack_read_uint (body, UINT64_MAX);
 
-  if (!pack_read_end (body))
+  if (!pack_read_is_complete (body))
     return;
   if (type == CONFIG_WAIT_REQUEST)
     handle_request (wait, from, id, revision);
@@ -315,7 +315,7 @@
 
       if (host->state == HOST_LEFT)
         continue;
-      text_copy_cut (own->name, sizeof own->name, host->name);
+      text_copy_truncated (own->name, sizeof own->name, host->name);
       own->self = host->self;
       round->n_hosts++;
     }
--- a/src/consensus_client.c
+++ b/src/consensus_client.c
@@ -23,10 +23,10 @@
   client->requests = requests;
   client->port = port;
   rng_init (&client->rng, seed);
-  text_copy_cut (client->self, sizeof client->self, self);
+  text_copy_truncated (client->self, sizeof client->self, self);
   for (uint32_t i = 0; i < n_hosts && client->n_hosts < CLIENT_HOSTS_MAX; i++)
     if (strcmp (hosts[i], self) != 0)
-      text_copy_cut (client->hosts[client->n_hosts++], RESOURCE_NAME_SIZE, hosts[i]);
+      text_copy_truncated (client->hosts[client->n_hosts++], RESOURCE_NAME_SIZE, hosts[i]);
   /* Random, so that hosts that start together do not all ask the same voter. */
   if (client->n_hosts > 0)
     client->next_host = (uint32_t) rng_below (&client->rng, client->n_hosts);
@@ -71,11 +71,11 @@
     {
       bytes_init (&out, request);
       write_request (request, &out, now);
-      if (!bytes_failed (&out))
+      if (!bytes_has_failed (&out))
         status = client->port->ops->send (client->port, host, PEER_CHANNEL_PROPOSAL, out.data,
                                           out.length);
       bytes_clear (&out);
-      text_copy_cut (request->sent_to, sizeof request->sent_to, host);
+      text_copy_truncated (request->sent_to, sizeof request->sent_to, host);
     }
   request->attempts++;
   request_arm (request, now + (status == STATUS_OK ? CLIENT_RESPONSE_TIMEOUT : CLIENT_BACKOFF));
@@ -89,7 +89,7 @@
                   const char *from,
                   int64_t now)
 {
-  text_copy_cut (client->leader, sizeof client->leader, response->leader);
+  text_copy_truncated (client->leader, sizeof client->leader, response->leader);
   if (strcmp (client->leader, from) == 0 || strcmp (client->leader, client->self) == 0)
     client->leader[0] = '\0';
   request->sent_to[0] = '\0';
@@ -122,7 +122,7 @@
         redirect_request (client, request, response, from, now);
       return NULL;
     default:
-      text_copy_cut (client->leader, sizeof client->leader, response->leader);
+      text_copy_truncated (client->leader, sizeof client->leader, response->leader);
       return request;
     }
 }
@@ -165,7 +165,7 @@
     read_response (&in, response);
   else
     return status_fail (STATUS_MALFORMED, "unknown type of message on the proposal channel");
-  return pack_read_end (&in)
+  return pack_read_is_complete (&in)
              ? STATUS_OK
              : status_fail (STATUS_MALFORMED, "malformed message on the proposal channel");
 }
--- a/src/consensus_flush.c
+++ b/src/consensus_flush.c
@@ -247,7 +247,7 @@
   status = machine->ops->save (machine, &payload);
   snapshot_seal (&payload);
   snapshot.length = payload.length;
-  if (status == STATUS_OK && bytes_failed (&payload))
+  if (status == STATUS_OK && bytes_has_failed (&payload))
     status = status_fail (STATUS_NO_MEMORY, "snapshot");
   if (status == STATUS_OK)
     status = snapshot_store (self->config.disk, &snapshot, payload.data);
--- a/src/consensus_form.c
+++ b/src/consensus_form.c
@@ -55,7 +55,7 @@
       struct raft_member *member = &members->members[i];
       const struct voter_contact *contact = newest_contact (self, name);
 
-      text_copy_cut (member->name, sizeof member->name, name);
+      text_copy_truncated (member->name, sizeof member->name, name);
       member->voter = true;
       if (strcmp (name, self->name) == 0)
         member->id = self->identity.id;
--- a/src/consensus_local.c
+++ b/src/consensus_local.c
@@ -152,7 +152,7 @@
   local->timer.ops = &timer_ops;
   local->timers = config->timers;
   local->machine = config->machine;
-  text_copy_cut (local->name, sizeof local->name, config->name);
+  text_copy_truncated (local->name, sizeof local->name, config->name);
   talloc_set_destructor (local, destroy);
   return &local->consensus;
 }
--- a/src/consensus_open.c
+++ b/src/consensus_open.c
@@ -33,7 +33,7 @@
   if (status == STATUS_NOT_FOUND)
     {
       self->identity = (struct journal_identity){ .id = new_id (self) };
-      text_copy_cut (self->identity.name, sizeof self->identity.name, self->name);
+      text_copy_truncated (self->identity.name, sizeof self->identity.name, self->name);
       status = STATUS_OK;
     }
   else if (status == STATUS_OK && strcmp (self->identity.name, self->name) != 0)
--- a/src/consensus_peer.c
+++ b/src/consensus_peer.c
@@ -35,7 +35,7 @@
 {
   struct peer_port *port = self->config.port;
 
-  if (!bytes_failed (out))
+  if (!bytes_has_failed (out))
     port->ops->send (port, host, PEER_CHANNEL_CONSENSUS, out->data, out->length);
   bytes_clear (out);
 }
@@ -114,7 +114,7 @@
   contact->starts = header->starts;
   contact->group = header->group;
   contact->heard_at = now;
-  text_copy_cut (contact->name, sizeof contact->name, from);
+  text_copy_truncated (contact->name, sizeof contact->name, from);
   return true;
 }
 
@@ -131,7 +131,7 @@
   char leader[RESOURCE_NAME_SIZE];
 
   pack_read_text (in, leader, sizeof leader);
-  if (!pack_read_end (in) || !record_contact (self, id, from, header, now))
+  if (!pack_read_is_complete (in) || !record_contact (self, id, from, header, now))
     return;
   if (waits)
     get_contact (self, id)->hello_at = now;
@@ -149,7 +149,7 @@
   uint64_t id = pack_read_uint (in, UINT64_MAX);
   uint64_t starts = pack_read_uint (in, UINT64_MAX);
 
-  if (!pack_read_end (in) || id != self->identity.id || starts <= self->identity.starts)
+  if (!pack_read_is_complete (in) || id != self->identity.id || starts <= self->identity.starts)
     return;
   status_fail (STATUS_CORRUPT, "a later start of this data folder was seen by another voter");
   voter_stop (self, STATUS_CORRUPT, "older folder", now);
@@ -194,7 +194,7 @@
   header.type = pack_read_uint (&in, MESSAGE_TYPE_MAX);
   header.group = pack_read_uint (&in, UINT64_MAX);
   header.starts = pack_read_uint (&in, UINT64_MAX);
-  if (!pack_read_ok (&in))
+  if (!pack_read_is_ok (&in))
     return;
   if (header.type == MESSAGE_HELLO)
     handle_hello (self, &header, &in, from, now);
@@ -218,7 +218,7 @@
 
   if (request == NULL)
     return;
-  text_copy_cut (request->origin, sizeof request->origin, from);
+  text_copy_truncated (request->origin, sizeof request->origin, from);
   request->origin_number = incoming->number;
   voter_route_request (self, request, now);
 }
@@ -279,8 +279,8 @@
 
   self->consensus_listener.ops = &consensus_ops;
   self->proposal_listener.ops = &proposal_ops;
-  port->ops->listen (port, PEER_CHANNEL_CONSENSUS, &self->consensus_listener);
-  port->ops->listen (port, PEER_CHANNEL_PROPOSAL, &self->proposal_listener);
+  port->ops->set_listener (port, PEER_CHANNEL_CONSENSUS, &self->consensus_listener);
+  port->ops->set_listener (port, PEER_CHANNEL_PROPOSAL, &self->proposal_listener);
 }
 
 static const char *
--- a/src/consensus_remote.c
+++ b/src/consensus_remote.c
@@ -157,6 +157,6 @@
   client_init (&self->client, &self->requests, config->port, "", config->voters, config->n_voters,
                rng_u64 (&rng));
   talloc_set_destructor (self, free_remote);
-  config->port->ops->listen (config->port, PEER_CHANNEL_PROPOSAL, &self->listener);
+  config->port->ops->set_listener (config->port, PEER_CHANNEL_PROPOSAL, &self->listener);
   return &self->consensus;
 }
--- a/src/consensus_route.c
+++ b/src/consensus_route.c
@@ -71,7 +71,7 @@
       && strcmp (leader, self->name) != 0)
     {
       if (leader[0] != '\0')
-        text_copy_cut (self->client.leader, sizeof self->client.leader, leader);
+        text_copy_truncated (self->client.leader, sizeof self->client.leader, leader);
       client_send (&self->client, request, now);
       return;
     }
@@ -168,10 +168,10 @@
   };
   struct bytes out;
 
-  text_copy_cut (answer.leader, sizeof answer.leader, voter_leader_name (self));
+  text_copy_truncated (answer.leader, sizeof answer.leader, voter_leader_name (self));
   bytes_init (&out, self);
   client_write_response (&answer, &out);
-  if (!bytes_failed (&out))
+  if (!bytes_has_failed (&out))
     self->config.port->ops->send (self->config.port, request->origin, PEER_CHANNEL_PROPOSAL,
                                   out.data, out.length);
   bytes_clear (&out);
--- a/src/consensus_voter.c
+++ b/src/consensus_voter.c
@@ -338,10 +338,10 @@
   self->tick_timer.ops = &tick_ops;
   self->maintenance_timer.ops = &maintenance_ops;
   rng_init (&self->rng, config->seed);
-  text_copy_cut (self->name, sizeof self->name, config->name);
+  text_copy_truncated (self->name, sizeof self->name, config->name);
   for (uint32_t i = 0; i < config->n_voters && i < CLIENT_HOSTS_MAX; i++)
-    text_copy_cut (self->initial_voters[self->n_initial_voters++], RESOURCE_NAME_SIZE,
-                   config->voters[i]);
+    text_copy_truncated (self->initial_voters[self->n_initial_voters++], RESOURCE_NAME_SIZE,
+                         config->voters[i]);
   requests_init (&self->requests, &voter_requests_ops, self, config->timers, rng_u64 (&self->rng));
   client_init (&self->client, &self->requests, config->port, self->name, config->voters,
                config->n_voters, rng_u64 (&self->rng));
--- a/src/controller.c
+++ b/src/controller.c
@@ -161,7 +161,8 @@
   struct sync_request ask;
   struct fed_host *host;
 
-  if (!sync_read_request (in, &ask) || !pack_read_end (in) || strcmp (ask.self.name, from) != 0)
+  if (!sync_read_request (in, &ask) || !pack_read_is_complete (in)
+      || strcmp (ask.self.name, from) != 0)
     return;
   host = take_host (controller, from, now);
   if (host == NULL)
@@ -382,7 +383,7 @@
   controller->listener.ops = &listener_ops;
   controller->hosts_revision = 1;
   take_counters (controller);
-  config->port->ops->listen (config->port, PEER_CHANNEL_SYNC, &controller->listener);
+  config->port->ops->set_listener (config->port, PEER_CHANNEL_SYNC, &controller->listener);
   timer_arm (config->timers, &controller->tick, 0);
   talloc_set_destructor (controller, free_controller);
   return controller;
--- a/src/controller_state.c
+++ b/src/controller_state.c
@@ -122,7 +122,7 @@
   if (state.has_hosts)
     write_hosts (controller, &out);
   write_controllers (controller, &out);
-  if (!bytes_failed (&out)
+  if (!bytes_has_failed (&out)
       && controller->config.port->ops->send (controller->config.port, host->self.name,
                                              PEER_CHANNEL_SYNC, out.data, out.length)
              == STATUS_OK)
--- a/src/controller_target.c
+++ b/src/controller_target.c
@@ -167,7 +167,7 @@
   if (target != NULL)
     word = target->registration;
   else
-    text_copy_cut (word.id, sizeof word.id, id);
+    text_copy_truncated (word.id, sizeof word.id, id);
   word.state = REGISTRY_GONE;
   if (started != 0)
     word.started_unix_ms = started;
@@ -198,14 +198,14 @@
   int64_t age;
   struct bytes out;
 
-  if (!registry_read (in, &word, &age) || !pack_read_end (in))
+  if (!registry_read (in, &word, &age) || !pack_read_is_complete (in))
     return;
   merge (controller, &word, age, from, now);
   bytes_init (&out, NULL);
   sync_write_header (SYNC_TARGET_ACK, &out);
   pack_uint (&out, incarnation);
   pack_uint (&out, number);
-  if (!bytes_failed (&out))
+  if (!bytes_has_failed (&out))
     controller->config.port->ops->send (controller->config.port, from, PEER_CHANNEL_SYNC, out.data,
                                         out.length);
   bytes_clear (&out);
@@ -220,7 +220,7 @@
     if (strcmp (wait->seen[i], from) == 0)
       return true;
   if (wait->n_seen < SYNC_CONTROLLERS_MAX)
-    text_copy_cut (wait->seen[wait->n_seen++], ROUTING_NAME_SIZE, from);
+    text_copy_truncated (wait->seen[wait->n_seen++], ROUTING_NAME_SIZE, from);
   return false;
 }
 
@@ -236,7 +236,7 @@
   struct controller_member members[SYNC_CONTROLLERS_MAX];
   uint32_t n = controller->config.members (controller->config.members_context, members);
 
-  if (!pack_read_end (in) || incarnation != controller->config.incarnation)
+  if (!pack_read_is_complete (in) || incarnation != controller->config.incarnation)
     return;
   while (wait != NULL && wait->number != number)
     wait = wait->next;
--- a/src/counter.c
+++ b/src/counter.c
@@ -9,7 +9,7 @@
 #include <uthash.h>
 #include <utlist.h>
 
-#define HISTOGRAM_OCTAVES (HISTOGRAM_BUCKETS / HISTOGRAM_SUB)
+#define HISTOGRAM_OCTAVES (HISTOGRAM_BUCKETS / HISTOGRAM_BUCKETS_PER_OCTAVE)
 
 /* name, text */
 #define METRIC_TYPE_LIST(X)                                                                        \
@@ -53,8 +53,8 @@
 };
 
 /* Returned when memory is exhausted; never exported. */
-static struct counter spare_counter;
-static struct histogram spare_histogram;
+static struct counter fallback_counter;
+static struct histogram fallback_histogram;
 
 static int
 counters_destroy (struct counters *counters)
@@ -146,7 +146,7 @@
 {
   struct series *series = series_get (counters, name, help, labels, METRIC_COUNTER);
 
-  return series == NULL ? &spare_counter : series->value;
+  return series == NULL ? &fallback_counter : series->value;
 }
 
 struct counter *
@@ -154,7 +154,7 @@
 {
   struct series *series = series_get (counters, name, help, labels, METRIC_GAUGE);
 
-  return series == NULL ? &spare_counter : series->value;
+  return series == NULL ? &fallback_counter : series->value;
 }
 
 struct histogram *
@@ -162,11 +162,11 @@
 {
   struct series *series = series_get (counters, name, help, labels, METRIC_HISTOGRAM);
 
-  return series == NULL ? &spare_histogram : series->value;
+  return series == NULL ? &fallback_histogram : series->value;
 }
 
 static uint32_t
-bucket_of (double value)
+find_bucket (double value)
 {
   int exponent;
   double fraction;
@@ -178,15 +178,15 @@
   fraction = frexp (value, &exponent); /* value = fraction * 2^exponent, fraction in [0.5, 1) */
   if (exponent > HISTOGRAM_OCTAVES)
     return HISTOGRAM_BUCKETS - 1;
-  return (uint32_t) (exponent - 1) * HISTOGRAM_SUB
-         + (uint32_t) ((fraction * 2 - 1) * HISTOGRAM_SUB);
+  return (uint32_t) (exponent - 1) * HISTOGRAM_BUCKETS_PER_OCTAVE
+         + (uint32_t) ((fraction * 2 - 1) * HISTOGRAM_BUCKETS_PER_OCTAVE);
 }
 
 static double
 bucket_lower (uint32_t bucket)
 {
-  return ldexp (1 + (double) (bucket % HISTOGRAM_SUB) / HISTOGRAM_SUB,
-                (int) (bucket / HISTOGRAM_SUB));
+  return ldexp (1 + (double) (bucket % HISTOGRAM_BUCKETS_PER_OCTAVE) / HISTOGRAM_BUCKETS_PER_OCTAVE,
+                (int) (bucket / HISTOGRAM_BUCKETS_PER_OCTAVE));
 }
 
 void
@@ -196,7 +196,7 @@
   /* A NaN or infinite sample would make the sum non-finite for good. */
   if (isfinite (value))
     histogram->sum += value;
-  histogram->buckets[bucket_of (value)]++;
+  histogram->buckets[find_bucket (value)]++;
 }
 
 double
@@ -255,10 +255,10 @@
 
   for (i = 0; i < HISTOGRAM_BUCKETS; i++)
     {
-      if (i % HISTOGRAM_SUB == 0 && below == histogram->count)
+      if (i % HISTOGRAM_BUCKETS_PER_OCTAVE == 0 && below == histogram->count)
         break;
       below += histogram->buckets[i];
-      if (i % HISTOGRAM_SUB == HISTOGRAM_SUB - 1)
+      if (i % HISTOGRAM_BUCKETS_PER_OCTAVE == HISTOGRAM_BUCKETS_PER_OCTAVE - 1)
         bytes_append_format (out, "%s_bucket{%s%sle=\"%.0f\"} %llu\n", metric->name, labels, comma,
                              bucket_lower (i + 1), (unsigned long long) below);
     }
--- a/src/counter.h
+++ b/src/counter.h
@@ -17,8 +17,8 @@
 
 /* 16 equal buckets per factor of two, from 1 up to 2^41: a quantile is within 3.2% of the sample.
  * Samples below 1 count in the first bucket, those above the range in the last. */
-#define HISTOGRAM_SUB 16
-#define HISTOGRAM_BUCKETS (41 * HISTOGRAM_SUB)
+#define HISTOGRAM_BUCKETS_PER_OCTAVE 16
+#define HISTOGRAM_BUCKETS (41 * HISTOGRAM_BUCKETS_PER_OCTAVE)
 
 struct histogram
 {
--- a/src/decide_pool.c
+++ b/src/decide_pool.c
@@ -23,7 +23,7 @@
   pool = talloc_zero (decide, struct decide_pool);
   if (pool == NULL)
     return NULL;
-  text_copy_cut (pool->name, sizeof pool->name, name);
+  text_copy_truncated (pool->name, sizeof pool->name, name);
   pool->unhashed_cached_share = UNHASHED_CACHED_SHARE_START;
   pool->drift = 1;
   HASH_ADD_STR (decide->pools, name, pool);
@@ -45,7 +45,7 @@
   if (pool->n_models == DECIDE_MODELS_MAX)
     return &pool->models[DECIDE_MODELS_MAX - 1];
   entry = &pool->models[pool->n_models++];
-  text_copy_cut (entry->model, sizeof entry->model, model);
+  text_copy_truncated (entry->model, sizeof entry->model, model);
   entry->first_slope = (struct decide_slope){ .slope = SLOPE_START, .mean_fill = FILL_START };
   entry->token_slope = entry->first_slope;
   return entry;
--- a/src/directory_control.c
+++ b/src/directory_control.c
@@ -95,7 +95,7 @@
       return NULL;
     }
   talloc_set_destructor (control, free_control);
-  config->port->ops->listen (config->port, PEER_CHANNEL_DIRECTORY, &control->listener);
+  config->port->ops->set_listener (config->port, PEER_CHANNEL_DIRECTORY, &control->listener);
   timer_arm (control->timers, &control->timer, config->now);
   if (config->dump != NULL)
     dump_add (config->dump, &control->source);
--- a/src/directory_entry.c
+++ b/src/directory_entry.c
@@ -25,7 +25,7 @@
   entry = talloc_zero (directory, struct directory_entry);
   if (entry == NULL)
     return NULL;
-  text_copy_cut (entry->name, sizeof entry->name, name);
+  text_copy_truncated (entry->name, sizeof entry->name, name);
   entry->phase = DIRECTORY_GONE;
   HASH_ADD_STR (directory->entries, name, entry);
   return entry;
@@ -96,8 +96,8 @@
   if (added)
     {
       target->state = entry->phase == DIRECTORY_LEAVING ? TARGET_LEAVING : TARGET_READY;
-      text_copy_cut (target->home, sizeof target->home,
-                     entry->home != NULL ? entry->home->name : "");
+      text_copy_truncated (target->home, sizeof target->home,
+                           entry->home != NULL ? entry->home->name : "");
     }
   entry->incarnation = record->incarnation;
   entry->sequence = record->sequence;
--- a/src/directory_list.c
+++ b/src/directory_list.c
@@ -81,7 +81,7 @@
   INVARIANT (entry->home == directory->own_home && item->entry == entry);
   directory_detach (directory, entry, now);
   item->entry = NULL;
-  text_copy_cut (item->name, sizeof item->name, entry->name);
+  text_copy_truncated (item->name, sizeof item->name, entry->name);
   item->incarnation = entry->incarnation;
   item->sequence = entry->sequence;
   item->removed_at = now;
--- a/src/directory_receive.c
+++ b/src/directory_receive.c
@@ -160,7 +160,7 @@
       else
         apply_change (directory, home, &change, now);
     }
-  return pack_read_end (&reader);
+  return pack_read_is_complete (&reader);
 }
 
 /* The lease of a slot, in microseconds.  Callers pass slots in ascending order, the order of the
--- a/src/directory_sync.c
+++ b/src/directory_sync.c
@@ -40,7 +40,7 @@
   home = talloc_zero (directory, struct directory_home);
   if (home == NULL)
     return NULL;
-  text_copy_cut (home->name, sizeof home->name, name);
+  text_copy_truncated (home->name, sizeof home->name, name);
   HASH_ADD_STR (directory->homes, name, home);
   return home;
 }
@@ -50,7 +50,7 @@
 static void
 send_message (struct directory *directory, const char *host, const struct bytes *message)
 {
-  if (bytes_failed (message))
+  if (bytes_has_failed (message))
     return;
   counter_add (directory->messages_out, 1);
   counter_add (directory->bytes_out, (double) message->length);
@@ -128,8 +128,8 @@
       entry != NULL ? table_get (directory->board->targets, entry->target) : NULL;
 
   change.phase = target != NULL ? entry->phase : DIRECTORY_GONE;
-  text_copy_cut (change.record.name, sizeof change.record.name,
-                 entry != NULL ? entry->name : item->name);
+  text_copy_truncated (change.record.name, sizeof change.record.name,
+                       entry != NULL ? entry->name : item->name);
   change.record.incarnation = entry != NULL ? entry->incarnation : item->incarnation;
   change.record.sequence = entry != NULL ? entry->sequence : item->sequence;
   directory_write_change (out, &change, target);
@@ -175,7 +175,7 @@
   directory_write_head (&out, head);
   if (changes->length > 0)
     bytes_append (&out, changes->data, changes->length);
-  if (!bytes_failed (changes))
+  if (!bytes_has_failed (changes))
     send_message (directory, host, &out);
   bytes_clear (&out);
 }
--- a/src/directory_wire.c
+++ b/src/directory_wire.c
@@ -40,7 +40,7 @@
   request->n_interest = pack_read_array (reader, DIRECTORY_INTEREST_MAX);
   for (uint32_t i = 0; i < request->n_interest; i++)
     request->interest[i] = (uint32_t) pack_read_uint (reader, SLOTS_MAX - 1);
-  return pack_read_end (reader);
+  return pack_read_is_complete (reader);
 }
 
 void
@@ -101,7 +101,7 @@
       head->loads[i].kv_percent = (uint32_t) pack_read_uint (reader, 100);
     }
   head->n_changes = pack_read_array (reader, DIRECTORY_CHANGES_MAX);
-  return pack_read_ok (reader);
+  return pack_read_is_ok (reader);
 }
 
 static void
@@ -160,7 +160,7 @@
   record->incarnation = pack_read_uint (reader, UINT64_MAX);
   record->sequence = pack_read_uint (reader, UINT64_MAX);
   if (change->phase == DIRECTORY_GONE)
-    return pack_read_ok (reader) && record->name[0] != '\0';
+    return pack_read_is_ok (reader) && record->name[0] != '\0';
   pack_read_text (reader, record->pool, sizeof record->pool);
   pack_read_text (reader, record->domain, sizeof record->domain);
   pack_read_text (reader, record->address, sizeof record->address);
@@ -171,5 +171,5 @@
   record->checks_orders = pack_read_bool (reader);
   record->reports_load = pack_read_bool (reader);
   record->slots = (uint32_t) pack_read_uint (reader, UINT32_MAX);
-  return pack_read_ok (reader) && record->name[0] != '\0';
+  return pack_read_is_ok (reader) && record->name[0] != '\0';
 }
--- a/src/disk_posix.c
+++ b/src/disk_posix.c
@@ -105,7 +105,7 @@
       offset += (uint64_t) n;
       length -= (size_t) n;
     }
-  return bytes_failed (out) ? status_fail (STATUS_NO_MEMORY, "reading a file") : STATUS_OK;
+  return bytes_has_failed (out) ? status_fail (STATUS_NO_MEMORY, "reading a file") : STATUS_OK;
 }
 
 static enum status
--- a/src/document.c
+++ b/src/document.c
@@ -25,7 +25,7 @@
     return false;
   bytes_init (&copy, document);
   bytes_append (&copy, text, length);
-  if (bytes_failed (&copy))
+  if (bytes_has_failed (&copy))
     return false;
   bytes_clear (&document->text);
   document->text = copy;
@@ -48,7 +48,7 @@
   pack_reader_init (&in, entry, length);
   version = pack_read_uint (&in, UINT64_MAX);
   text = pack_read_binary (&in, DOCUMENT_BYTES_MAX, &text_length);
-  if (!pack_read_end (&in))
+  if (!pack_read_is_complete (&in))
     log_event (LOG_MODULE_STORE, LOG_LEVEL_ERROR, "entry-not-read", "{s:I}", "index",
                (json_int_t) index);
   /* Running on after a failed allocation would leave this replica with an older document than the
@@ -64,8 +64,8 @@
   struct document *document = CONTAINER_OF (machine, struct document, machine);
 
   document_write_change (document->version, document->text.data, document->text.length, out);
-  return bytes_failed (out) ? status_fail (STATUS_NO_MEMORY, "no memory for a snapshot")
-                            : STATUS_OK;
+  return bytes_has_failed (out) ? status_fail (STATUS_NO_MEMORY, "no memory for a snapshot")
+                                : STATUS_OK;
 }
 
 static enum status
@@ -81,7 +81,7 @@
   pack_reader_init (&in, data, length);
   version = pack_read_uint (&in, UINT64_MAX);
   text = pack_read_binary (&in, DOCUMENT_BYTES_MAX, &text_length);
-  if (!pack_read_end (&in))
+  if (!pack_read_is_complete (&in))
     return status_fail (STATUS_CORRUPT, "a snapshot of the document cannot be read");
   if (!document_take (document, version, text, text_length) && document->version < version)
     return status_fail (STATUS_NO_MEMORY, "no memory for a snapshot of the document");
--- a/src/engine_broadcast.c
+++ b/src/engine_broadcast.c
@@ -81,7 +81,7 @@
 {
   struct peer_port *port = broadcast->config.port;
 
-  if (bytes_failed (message))
+  if (bytes_has_failed (message))
     return;
   port->ops->send (port, host->name, PEER_CHANNEL_LOAD, message->data, message->length);
   counter_add (broadcast->sent, 1);
@@ -291,7 +291,7 @@
       out->parts[i] = pack_read_uint (in, UINT64_MAX);
       out->part_tokens[i] = (uint32_t) pack_read_uint (in, UINT32_MAX);
     }
-  return pack_read_ok (in);
+  return pack_read_is_ok (in);
 }
 
 static bool
@@ -305,7 +305,7 @@
   uint64_t request = pack_read_uint (in, UINT64_MAX);
   struct engine_prompt prompt;
 
-  if (!pack_read_ok (in))
+  if (!pack_read_is_ok (in))
     return false;
   if (event == ENGINE_EVENT_STARTED)
     {
@@ -341,7 +341,7 @@
   for (uint32_t i = 0; i < n && kind >= ENGINE_MESSAGE_DIRECT; i++)
     if (!read_event (broadcast, &in, expects_begin, now))
       return;
-  if (kind == ENGINE_MESSAGE_RELAY && n > 0 && pack_read_end (&in))
+  if (kind == ENGINE_MESSAGE_RELAY && n > 0 && pack_read_is_complete (&in))
     queue_relayed (broadcast, events, (size_t) (in.data - events), n, now);
 }
 
@@ -371,7 +371,7 @@
   bytes_init (&broadcast->relayed, broadcast);
   broadcast->sent = counter_get (config->counters, "cherryarch_engine_news_total",
                                  "Messages to other entry hosts about model engines.", NULL);
-  config->port->ops->listen (config->port, PEER_CHANNEL_LOAD, &broadcast->listener);
+  config->port->ops->set_listener (config->port, PEER_CHANNEL_LOAD, &broadcast->listener);
   talloc_set_destructor (broadcast, free_broadcast);
   return broadcast;
 }
--- a/src/flow_arrive.c
+++ b/src/flow_arrive.c
@@ -24,14 +24,14 @@
   struct flow_request placeholder = { .flow = flow };
   struct bytes body;
 
-  text_copy_cut (placeholder.id, sizeof placeholder.id, id);
+  text_copy_truncated (placeholder.id, sizeof placeholder.id, id);
   bytes_init (&body, flow);
   flow_answer_body (&placeholder, &verdict, &body);
   flow_count_outcome (flow, &verdict);
   log_event (LOG_MODULE_FLOW, LOG_LEVEL_INFO, "refused", "{s:s,s:s,s:s}", "request_id", id,
              "outcome", flow_outcome_text (verdict.outcome), "reason", flow_reason_code (reason));
-  flow_answer_send (exchange, id, &verdict, false, false, bytes_failed (&body) ? NULL : body.data,
-                    body.length);
+  flow_answer_send (exchange, id, &verdict, false, false,
+                    bytes_has_failed (&body) ? NULL : body.data, body.length);
   bytes_clear (&body);
 }
 
@@ -44,7 +44,7 @@
 {
   struct caller_error error = { .code = code, .field = field };
 
-  text_copy_cut (error.message, sizeof error.message, message);
+  text_copy_truncated (error.message, sizeof error.message, message);
   flow_count_invalid (flow, code);
   flow_answer_invalid (exchange, &error);
 }
--- a/src/flow_attempt.c
+++ b/src/flow_attempt.c
@@ -76,7 +76,7 @@
   double cost = seconds * cost_per_second (flow, request->spec->stages[attempt->stage].pool);
 
   record->cost += cost;
-  text_copy_cut (record->target, sizeof record->target, attempt->target);
+  text_copy_truncated (record->target, sizeof record->target, attempt->target);
   if (end == DECIDE_END_WHOLE)
     {
       record->usage = attempt->usage;
@@ -372,7 +372,7 @@
   bytes_init (&body, request->memory);
   if (request->raw == NULL)
     make_body (request, &body);
-  if (bytes_failed (&body))
+  if (bytes_has_failed (&body))
     status = status_fail (STATUS_NO_MEMORY, "no memory for a call's body");
   else if (request->raw != NULL)
     status = start_call (attempt, request, request->raw, request->raw_length, now);
--- a/src/flow_claim.c
+++ b/src/flow_claim.c
@@ -175,7 +175,7 @@
 
   return claims->ops->settle (claims, key, flow_http_code (verdict),
                               flow_outcome_text (verdict->outcome), body->data,
-                              bytes_failed (body) ? 0 : body->length, waiter, now);
+                              bytes_has_failed (body) ? 0 : body->length, waiter, now);
 }
 
 /* A truncated answer must not be replayed as complete: an answer over the size limit is stored as a
@@ -214,7 +214,7 @@
     waiter = wait_for_store (request, now);
   if (request->n_sent == 0)
     status = claims->ops->release (claims, &key, now);
-  else if (bytes_failed (body) || body->length > flow->config.settings->claim_answer_bytes)
+  else if (bytes_has_failed (body) || body->length > flow->config.settings->claim_answer_bytes)
     status = settle_as_not_kept (request, &key, waiter, now);
   else
     status = settle (request, &key, &request->verdict, body, waiter, now);
--- a/src/flow_end.c
+++ b/src/flow_end.c
@@ -8,7 +8,7 @@
              const char *event,
              int64_t now)
 {
-  if (!log_enabled (LOG_MODULE_FLOW, LOG_LEVEL_INFO))
+  if (!log_is_enabled (LOG_MODULE_FLOW, LOG_LEVEL_INFO))
     return;
   log_event (LOG_MODULE_FLOW, LOG_LEVEL_INFO, event, "{s:s,s:s,s:s,s:s,s:s,s:b,s:b,s:I,s:o}",
              "request_id", request->id, "organisation", request->organisation, "pipeline",
@@ -41,7 +41,7 @@
   request->exchange = NULL;
   exchange->watcher = NULL;
   flow_answer_send (exchange, request->id, verdict, request->stream, request->stream_begun,
-                    bytes_failed (body) ? NULL : body->data, body->length);
+                    bytes_has_failed (body) ? NULL : body->data, body->length);
 }
 
 void
--- a/src/flow_private.h
+++ b/src/flow_private.h
@@ -337,7 +337,7 @@
 
 int flow_http_code (const struct flow_verdict *verdict);
 
-/* Append the body of an answer.  The caller checks bytes_failed(). */
+/* Append the body of an answer.  The caller checks bytes_has_failed(). */
 void flow_answer_body (struct flow_request *request,
                        const struct flow_verdict *verdict,
                        struct bytes *out);
--- a/src/flow_reply.c
+++ b/src/flow_reply.c
@@ -110,7 +110,7 @@
   attempt->call = NULL;
   if (spec->kind == STAGE_GENERATE)
     return flow_stream_end (attempt, DECIDE_END_BROKEN, now);
-  if (attempt->body.length == 0 || bytes_failed (&attempt->body))
+  if (attempt->body.length == 0 || bytes_has_failed (&attempt->body))
     status = STATUS_MALFORMED;
   else if (request->spec->service)
     status = store_raw_answer (request, &attempt->body);
--- a/src/flow_stream.c
+++ b/src/flow_stream.c
@@ -66,7 +66,7 @@
 
   bytes_append (&text->text, piece->text, piece->text_length);
   bytes_append (&text->piece_ends, &end, sizeof end);
-  if (bytes_failed (&text->text) || bytes_failed (&text->piece_ends))
+  if (bytes_has_failed (&text->text) || bytes_has_failed (&text->piece_ends))
     return status_fail (STATUS_NO_MEMORY, "no memory for a piece");
   text->n_pieces++;
   return STATUS_OK;
--- a/src/forward.c
+++ b/src/forward.c
@@ -97,7 +97,7 @@
       job_reject (job, FORWARD_NO_KEY, HTTP_STATUS_UNAUTHORIZED);
       return false;
     }
-  text_copy_cut (job->organisation, sizeof job->organisation, organisation->name);
+  text_copy_truncated (job->organisation, sizeof job->organisation, organisation->name);
   if (organisation->has_priority)
     job->route.priority = organisation->priority;
   return true;
@@ -150,8 +150,8 @@
   job->route = *route;
   if (!check_key (job, routing) || !job_is_admitted (job, now))
     return;
-  text_copy_cut (job->pool, sizeof job->pool,
-                 routing->pools[route_draw_pool (route, rng_unit (&forward->rng))].name);
+  text_copy_truncated (job->pool, sizeof job->pool,
+                       routing->pools[route_draw_pool (route, rng_unit (&forward->rng))].name);
   compute_deadlines (job);
   read_prompt (job);
   forward_credit_retry (forward, job->pool);
--- a/src/forward_attempt.c
+++ b/src/forward_attempt.c
@@ -56,7 +56,7 @@
     bytes_append_format (out, "Content-Length: %zu\r\n", body->length);
   bytes_append_text (out, "\r\n");
   bytes_append (out, body->data, body->length);
-  out->failed = out->failed || bytes_failed (&inputs);
+  out->failed = out->failed || bytes_has_failed (&inputs);
   bytes_clear (&inputs);
 }
 
@@ -348,10 +348,10 @@
     }
   if (!is_stream_answer (job))
     {
-      bytes_append_within (&job->body, data, length, FORWARD_ANSWER_MAX_BYTES);
+      bytes_append_limited (&job->body, data, length, FORWARD_ANSWER_MAX_BYTES);
       return;
     }
-  if (bytes_failed (&job->fields))
+  if (bytes_has_failed (&job->fields))
     {
       abandon_attempt (job, "out of memory for the answer's header", FORWARD_BROKEN, now);
       return;
@@ -366,7 +366,7 @@
 on_ended (struct h1_call *call, enum h1_end end, int64_t now)
 {
   struct forward_job *job = CONTAINER_OF (call, struct forward_job, call);
-  bool kept = !bytes_failed (&job->body) && !bytes_failed (&job->fields);
+  bool kept = !bytes_has_failed (&job->body) && !bytes_has_failed (&job->fields);
   bool broke;
 
   if (end == H1_END_WHOLE && job->status != 0 && kept)
--- a/src/forward_budget.c
+++ b/src/forward_budget.c
@@ -31,7 +31,7 @@
   if (forward->n_budgets == FORWARD_POOLS_MAX)
     return NULL;
   budget = &forward->budgets[forward->n_budgets++];
-  text_copy_cut (budget->pool, sizeof budget->pool, pool);
+  text_copy_truncated (budget->pool, sizeof budget->pool, pool);
   budget->retries_left = budget_limit (forward);
   return budget;
 }
--- a/src/forward_place.c
+++ b/src/forward_place.c
@@ -28,7 +28,7 @@
   if (i == places->n)
     {
       places->at[places->n++] = (struct balance_result_location){ .bytes = 0 };
-      text_copy_cut (places->at[i].domain, sizeof places->at[i].domain, domain);
+      text_copy_truncated (places->at[i].domain, sizeof places->at[i].domain, domain);
     }
   places->at[i].bytes += bytes;
 }
--- a/src/forward_quarantine.c
+++ b/src/forward_quarantine.c
@@ -91,8 +91,8 @@
 {
   struct quarantine_suspect suspect = { .digest = *job_digest (job), .last_seen = now };
 
-  text_copy_cut (suspect.organisation, sizeof suspect.organisation, job->organisation);
-  text_copy_cut (suspect.route, sizeof suspect.route, job->route.name);
+  text_copy_truncated (suspect.organisation, sizeof suspect.organisation, job->organisation);
+  text_copy_truncated (suspect.route, sizeof suspect.route, job->route.name);
   return suspect;
 }
 
--- a/src/forward_stage.c
+++ b/src/forward_stage.c
@@ -79,7 +79,7 @@
       stage->pieces = i < job->facts.n_stages ? job->facts.pieces[i] : 0;
       if (stage->pieces > 0)
         stage->expected = pool->batch.call_time + stage->pieces * pool->batch.piece_time;
-      text_copy_cut (stage->pool, sizeof stage->pool, pool->name);
+      text_copy_truncated (stage->pool, sizeof stage->pool, pool->name);
       stage->results = talloc_zero_array (job, struct stage_result, stage->pieces + 1);
       if (stage->results == NULL)
         return status_fail (STATUS_NO_MEMORY, "out of memory");
@@ -358,7 +358,7 @@
   /* All stages should run in one failure domain: that of the engine which would be chosen for the
    * request now. */
   if (likely != NULL && job->engine_domain[0] == '\0')
-    text_copy_cut (job->engine_domain, sizeof job->engine_domain, likely->domain);
+    text_copy_truncated (job->engine_domain, sizeof job->engine_domain, likely->domain);
   plan_tails (job, expected_prefill (job, likely, now), now);
   job->critical_path_time = critical_path (job);
   if (now + job->critical_path_time > job->give_up_at)
--- a/src/forward_stream.c
+++ b/src/forward_stream.c
@@ -140,8 +140,8 @@
   size_t event;
   bool follows = true;
 
-  bytes_append_within (&job->body, data, length, FORWARD_EVENT_MAX_BYTES);
-  if (bytes_failed (&job->body))
+  bytes_append_limited (&job->body, data, length, FORWARD_EVENT_MAX_BYTES);
+  if (bytes_has_failed (&job->body))
     return false;
   while (follows && (event = event_length (job->body.data + whole, job->body.length - whole)) > 0)
     {
--- a/src/h1.c
+++ b/src/h1.c
@@ -38,7 +38,7 @@
   if (memchr (data, '\0', length) != NULL)
     return 1;
   bytes_append (text, data, length);
-  return bytes_failed (text) ? 1 : 0;
+  return bytes_has_failed (text) ? 1 : 0;
 }
 
 static void
@@ -119,7 +119,7 @@
   struct h1_head *head = &reader->head;
 
   end_text (reader);
-  if (bytes_failed (&head->text))
+  if (bytes_has_failed (&head->text))
     return;
   head->target = head->text.data;
   for (uint32_t i = 0; i < head->n_fields; i++)
@@ -178,7 +178,7 @@
   struct h1_head *head = &reader->head;
 
   resolve_fields (reader);
-  if (bytes_failed (&head->text))
+  if (bytes_has_failed (&head->text))
     return -1;
   head->method = parser->method;
   head->status = parser->status_code;
--- a/src/h1_client.c
+++ b/src/h1_client.c
@@ -78,7 +78,7 @@
   endpoint = talloc_zero (client, struct h1_endpoint);
   if (endpoint == NULL)
     return NULL;
-  text_copy_cut (endpoint->address, sizeof endpoint->address, address);
+  text_copy_truncated (endpoint->address, sizeof endpoint->address, address);
   HASH_ADD_STR (client->endpoints, address, endpoint);
   return endpoint;
 }
@@ -370,7 +370,7 @@
                bool fresh,
                int64_t now)
 {
-  struct h1_endpoint *endpoint = bytes_failed (message) ? NULL : get_endpoint (client, address);
+  struct h1_endpoint *endpoint = bytes_has_failed (message) ? NULL : get_endpoint (client, address);
   struct h1_client_connection *connection =
       endpoint == NULL || fresh ? NULL : take_idle (client, endpoint);
 
@@ -391,7 +391,7 @@
   if (!client_stream_is_connected (&connection->stream))
     {
       bytes_append (&connection->message, message->data, message->length);
-      return bytes_failed (&connection->message) ? cannot_send (connection) : STATUS_OK;
+      return bytes_has_failed (&connection->message) ? cannot_send (connection) : STATUS_OK;
     }
   call->request_sent = true;
   client_stream_write (&connection->stream, message->data, message->length);
--- a/src/h1_server.c
+++ b/src/h1_server.c
@@ -118,7 +118,7 @@
       return false;
     }
   bytes_append (&connection->body, data, length);
-  return !bytes_failed (&connection->body);
+  return !bytes_has_failed (&connection->body);
 }
 
 static void
@@ -180,7 +180,7 @@
 feed (struct h1_connection *connection, const char *data, size_t length, int64_t now)
 {
   bytes_append (&connection->input, data, length);
-  if (bytes_failed (&connection->input))
+  if (bytes_has_failed (&connection->input))
     {
       tcp_fail (&connection->stream, TCP_END_MEMORY);
       return;
--- a/src/h1_server_answer.c
+++ b/src/h1_server_answer.c
@@ -12,7 +12,7 @@
 static void
 write_text (struct h1_connection *connection, struct bytes *text)
 {
-  if (bytes_failed (text))
+  if (bytes_has_failed (text))
     tcp_fail (&connection->stream, TCP_END_MEMORY);
   else
     tcp_write (&connection->stream, text->data, text->length);
--- a/src/host_io.c
+++ b/src/host_io.c
@@ -115,7 +115,7 @@
         continue;
       if (peer->public_key[0] != '\0')
         {
-          status = peer_zmq_trust (host->port, peer->name, peer->public_key);
+          status = peer_zmq_set_trusted_key (host->port, peer->name, peer->public_key);
           if (status != STATUS_OK)
             return status;
         }
--- a/src/host_serving.c
+++ b/src/host_serving.c
@@ -20,17 +20,17 @@
     .voter = settings->data_folder[0] != '\0',
     .incarnation = host->incarnation,
   };
-  text_copy_cut (out->name, sizeof out->name, settings->name);
-  text_copy_cut (out->domain, sizeof out->domain, settings->domain);
-  text_copy_cut (out->region, sizeof out->region, settings->region);
-  text_copy_cut (out->entry_address, sizeof out->entry_address,
-                 host->addresses[HTTP_LISTENER_CALLERS]);
-  text_copy_cut (out->operator_address, sizeof out->operator_address,
-                 host->addresses[HTTP_LISTENER_OPERATORS]);
-  text_copy_cut (out->target_address, sizeof out->target_address,
-                 host->addresses[HTTP_LISTENER_TARGETS]);
-  text_copy_cut (out->peer_address, sizeof out->peer_address, host->peer_address);
-  text_copy_cut (out->public_key, sizeof out->public_key, host->keys.public_key);
+  text_copy_truncated (out->name, sizeof out->name, settings->name);
+  text_copy_truncated (out->domain, sizeof out->domain, settings->domain);
+  text_copy_truncated (out->region, sizeof out->region, settings->region);
+  text_copy_truncated (out->entry_address, sizeof out->entry_address,
+                       host->addresses[HTTP_LISTENER_CALLERS]);
+  text_copy_truncated (out->operator_address, sizeof out->operator_address,
+                       host->addresses[HTTP_LISTENER_OPERATORS]);
+  text_copy_truncated (out->target_address, sizeof out->target_address,
+                       host->addresses[HTTP_LISTENER_TARGETS]);
+  text_copy_truncated (out->peer_address, sizeof out->peer_address, host->peer_address);
+  text_copy_truncated (out->public_key, sizeof out->public_key, host->keys.public_key);
 }
 
 /* Both the seeds and the voters are contacted at the start. */
@@ -51,9 +51,9 @@
 
           if (strcmp (peer->name, settings->name) == 0)
             continue;
-          text_copy_cut (out[n].name, sizeof out[n].name, peer->name);
-          text_copy_cut (out[n].address, sizeof out[n].address, peer->address);
-          text_copy_cut (out[n].public_key, sizeof out[n].public_key, peer->public_key);
+          text_copy_truncated (out[n].name, sizeof out[n].name, peer->name);
+          text_copy_truncated (out[n].address, sizeof out[n].address, peer->address);
+          text_copy_truncated (out[n].public_key, sizeof out[n].public_key, peer->public_key);
           n++;
         }
     }
--- a/src/host_trust.c
+++ b/src/host_trust.c
@@ -45,7 +45,7 @@
     return;
   host = table_add (trust->declared, &handle);
   if (host != NULL)
-    text_copy_cut (host->name, sizeof host->name, name);
+    text_copy_truncated (host->name, sizeof host->name, name);
 }
 
 static void
@@ -56,7 +56,7 @@
 
   if (key != NULL && strcmp (name, trust->self) != 0)
     {
-      if (peer_zmq_trust (trust->port, name, key) == STATUS_OK)
+      if (peer_zmq_set_trusted_key (trust->port, name, key) == STATUS_OK)
         add_declared (trust, name);
       else
         log_event (LOG_MODULE_PEER, LOG_LEVEL_WARNING, "key-not-taken", "{s:s,s:s}", "host", name,
@@ -69,7 +69,7 @@
 revoke (struct host_trust *trust, const char *name)
 {
   log_event (LOG_MODULE_PEER, LOG_LEVEL_INFO, "key-revoked", "{s:s}", "host", name);
-  peer_zmq_trust (trust->port, name, NULL);
+  peer_zmq_set_trusted_key (trust->port, name, NULL);
 }
 
 static void
--- a/src/http_server.c
+++ b/src/http_server.c
@@ -93,7 +93,7 @@
       caller = talloc_zero (server, struct server_caller);
       if (caller == NULL)
         return NULL;
-      text_copy_cut (caller->ip, sizeof caller->ip, ip);
+      text_copy_truncated (caller->ip, sizeof caller->ip, ip);
       HASH_ADD_STR (server->callers, ip, caller);
     }
   if (caller->connections >= server->limits.connections_per_caller)
@@ -127,7 +127,7 @@
     server_connection_socket_event (events[i].data.ptr, (events[i].events & EPOLLRDHUP) != 0, now);
 }
 
-static const struct loop_watch_ops socket_ops = { .ready = sockets_ready };
+static const struct loop_watch_ops socket_ops = { .readable = sockets_ready };
 
 static enum status
 watch_sockets (struct http_server *server)
@@ -209,7 +209,7 @@
   accept_pending (CONTAINER_OF (watch, struct server_listener, watch), ACCEPT_BATCH);
 }
 
-static const struct loop_watch_ops accept_ops = { .ready = accept_ready };
+static const struct loop_watch_ops accept_ops = { .readable = accept_ready };
 
 static enum status
 listen_at (struct server_listener *listener, const char *text)
--- a/src/http_server_answer.c
+++ b/src/http_server_answer.c
@@ -47,7 +47,7 @@
 {
   struct server_connection *connection = request->connection;
 
-  if (bytes_failed (&request->out))
+  if (bytes_has_failed (&request->out))
     {
       server_connection_kill (connection);
       return;
--- a/src/http_server_connection.c
+++ b/src/http_server_connection.c
@@ -160,7 +160,7 @@
   connection->caller = caller;
   connection->timer.ops = &timer_ops;
   connection->reading = true;
-  text_copy_cut (connection->peer, sizeof connection->peer, peer);
+  text_copy_truncated (connection->peer, sizeof connection->peer, peer);
   enter_phase (connection, SERVER_IDLE, server->limits.idle_timeout, loop_now (server->loop));
   DL_APPEND (server->connections, connection);
   server->n_connections++;
@@ -309,7 +309,7 @@
     .n_headers = request->headers.count,
     .body = "",
   };
-  text_copy_cut (request->exchange.peer, sizeof request->exchange.peer, connection->peer);
+  text_copy_truncated (request->exchange.peer, sizeof request->exchange.peer, connection->peer);
   connection->server->pending++;
   connection->request = request;
   return request;
@@ -421,7 +421,7 @@
   if (request->body.length + length > request->body_expected)
     return -1;
   bytes_append (&request->body, data, length);
-  return bytes_failed (&request->body) ? -1 : 0;
+  return bytes_has_failed (&request->body) ? -1 : 0;
 }
 
 static void
--- a/src/journal.c
+++ b/src/journal.c
@@ -131,7 +131,7 @@
   bytes_append (&journal->batch, header, sizeof header);
   bytes_append (&journal->batch, payload, length);
   bytes_append (&journal->batch, padding, size - RECORD_HEADER_SIZE - length);
-  if (bytes_failed (&journal->batch))
+  if (bytes_has_failed (&journal->batch))
     return;
   record = journal->batch.data + start;
   format_put (record, record_checksum (record, size, journal->id, synced + start));
@@ -196,7 +196,7 @@
 
   if (journal->failed)
     return status_fail (STATUS_IO, "an earlier write to the journal failed");
-  if (bytes_failed (&journal->batch))
+  if (bytes_has_failed (&journal->batch))
     return fail_permanently (journal,
                              status_fail (STATUS_NO_MEMORY, "no memory for a journal batch"));
   if (journal->batch.length == 0)
--- a/src/journal_identity.c
+++ b/src/journal_identity.c
@@ -31,7 +31,7 @@
   out->group = pack_read_uint (&in, UINT64_MAX);
   out->starts = pack_read_uint (&in, UINT64_MAX);
   pack_read_text (&in, out->name, sizeof out->name);
-  if (!pack_read_end (&in) || out->id == 0)
+  if (!pack_read_is_complete (&in) || out->id == 0)
     return status_fail (STATUS_CORRUPT, "the identity of the data folder is malformed");
   return STATUS_OK;
 }
@@ -65,11 +65,11 @@
   pack_uint (&out, identity->group);
   pack_uint (&out, identity->starts);
   pack_text (&out, identity->name);
-  if (!bytes_failed (&out))
+  if (!bytes_has_failed (&out))
     format_put (checksum, XXH3_64bits (out.data, out.length));
   bytes_append (&out, checksum, sizeof checksum);
-  status = bytes_failed (&out) ? status_fail (STATUS_NO_MEMORY, "identity")
-                               : disk_replace_file (disk, IDENTITY_NAME, out.data, out.length);
+  status = bytes_has_failed (&out) ? status_fail (STATUS_NO_MEMORY, "identity")
+                                   : disk_replace_file (disk, IDENTITY_NAME, out.data, out.length);
   bytes_clear (&out);
   return status;
 }
--- a/src/log.c
+++ b/src/log.c
@@ -26,7 +26,7 @@
 #define LOG_CATEGORY_SIZE 64
 #define LOG_FILE_MODE 0640
 /* Buffer for the rest of a partially written line, which is written before the next line. */
-#define LOG_REST_SIZE 65536
+#define LOG_PARTIAL_LINE_SIZE 65536
 
 static const char *const module_names[] = {
 #define X(name, text) [LOG_MODULE_##name] = text,
@@ -54,17 +54,17 @@
   log4c_appender_t *appender;
   int fd;
   bool is_socket;
-  bool complained;  /* the write failure was reported */
-  uint64_t dropped; /* lines since the last one written */
-  time_t second;    /* the second that lines_in_second counts */
+  bool write_error_reported; /* the write failure was reported */
+  uint64_t dropped;          /* lines since the last one written */
+  time_t second;             /* the second that lines_in_second counts */
   uint32_t lines_in_second;
   json_t *fields;       /* of the event being written, or NULL */
   enum log_level level; /* of the event being written */
   char *line;           /* last result of the layout */
   size_t line_length;
-  char rest[LOG_REST_SIZE];
-  size_t rest_length;
-  bool shared; /* standard output */
+  char partial_line[LOG_PARTIAL_LINE_SIZE];
+  size_t partial_line_length;
+  bool is_standard_output; /* standard output */
 } state = { .fd = -1 };
 
 /* ---- layout ---- */
@@ -72,11 +72,11 @@
 static void
 format_time (char *out, size_t size, const struct timeval *at)
 {
-  struct tm broken;
+  struct tm utc;
   char seconds[32];
 
-  gmtime_r (&at->tv_sec, &broken);
-  strftime (seconds, sizeof seconds, "%Y-%m-%dT%H:%M:%S", &broken);
+  gmtime_r (&at->tv_sec, &utc);
+  strftime (seconds, sizeof seconds, "%Y-%m-%dT%H:%M:%S", &utc);
   snprintf (out, size, "%s.%06ldZ", seconds, (long) at->tv_usec);
 }
 
@@ -91,11 +91,11 @@
 
 /* Formats an event as one line, to be freed; NULL when out of memory. */
 static char *
-render (const struct timeval *at,
-        enum log_level level,
-        const char *module,
-        const char *event,
-        json_t *fields)
+format_line (const struct timeval *at,
+             enum log_level level,
+             const char *module,
+             const char *event,
+             json_t *fields)
 {
   char time_text[48];
   json_t *object;
@@ -117,8 +117,8 @@
 {
   (void) layout;
   free (state.line);
-  state.line = render (&event->evt_timestamp, state.level, module_of (event->evt_category),
-                       event->evt_msg, state.fields);
+  state.line = format_line (&event->evt_timestamp, state.level, module_of (event->evt_category),
+                            event->evt_msg, state.fields);
   return state.line == NULL ? "" : state.line;
 }
 
@@ -132,22 +132,22 @@
 /* Standard output is shared with the parent process, so its flags are not changed.  A pipe reported
  * writable accepts PIPE_BUF bytes without blocking; one that is not is not written to. */
 static bool
-would_block (void)
+write_would_block (void)
 {
   struct pollfd at = { .fd = state.fd, .events = POLLOUT };
 
-  return state.shared && (poll (&at, 1, 0) != 1 || (at.revents & POLLOUT) == 0);
+  return state.is_standard_output && (poll (&at, 1, 0) != 1 || (at.revents & POLLOUT) == 0);
 }
 
 static ssize_t
 write_some (const char *data, size_t length)
 {
-  if (would_block ())
+  if (write_would_block ())
     {
       errno = EAGAIN;
       return -1;
     }
-  if (state.shared && length > PIPE_BUF)
+  if (state.is_standard_output && length > PIPE_BUF)
     length = PIPE_BUF;
   if (state.is_socket)
     return send (state.fd, data, length, MSG_DONTWAIT | MSG_NOSIGNAL);
@@ -156,14 +156,14 @@
 
 /* Reports once, on standard error, that lines are lost for a reason other than a slow reader. */
 static void
-complain (int error)
+report_write_error (int error)
 {
   char text[128];
   int length;
 
-  if (state.complained)
+  if (state.write_error_reported)
     return;
-  state.complained = true;
+  state.write_error_reported = true;
   length = snprintf (text, sizeof text, "cherryarch: log not written: %s\n", strerror (error));
   if (length > 0 && write (STDERR_FILENO, text, (size_t) length) < 0)
     return; /* standard error failed too */
@@ -171,19 +171,19 @@
 
 /* The rest of a partially written line must precede anything else, or two lines are joined. */
 static bool
-flush_rest (void)
+flush_partial_line (void)
 {
   ssize_t written;
 
-  if (state.rest_length == 0)
+  if (state.partial_line_length == 0)
     return true;
-  written = write_some (state.rest, state.rest_length);
+  written = write_some (state.partial_line, state.partial_line_length);
   if (written > 0)
     {
-      state.rest_length -= (size_t) written;
-      memmove (state.rest, state.rest + written, state.rest_length);
+      state.partial_line_length -= (size_t) written;
+      memmove (state.partial_line, state.partial_line + written, state.partial_line_length);
     }
-  return state.rest_length == 0;
+  return state.partial_line_length == 0;
 }
 
 /* Writes a line whose line feed is at `data[length - 1]`; false when it was dropped. */
@@ -192,28 +192,28 @@
 {
   ssize_t written;
 
-  if (!flush_rest ())
+  if (!flush_partial_line ())
     return false;
   written = write_some (data, length);
   if (written < 0)
     {
       if (errno != EAGAIN && errno != EINTR)
-        complain (errno);
+        report_write_error (errno);
       return false;
     }
-  state.complained = false;
+  state.write_error_reported = false;
   if ((size_t) written < length)
     {
-      state.rest_length = length - (size_t) written;
-      if (state.rest_length > sizeof state.rest)
+      state.partial_line_length = length - (size_t) written;
+      if (state.partial_line_length > sizeof state.partial_line)
         {
           /* The rest does not fit: terminate the truncated line so that it does not corrupt the
            * next. */
-          state.rest[0] = '\n';
-          state.rest_length = 1;
+          state.partial_line[0] = '\n';
+          state.partial_line_length = 1;
           return false;
         }
-      memcpy (state.rest, data + written, state.rest_length);
+      memcpy (state.partial_line, data + written, state.partial_line_length);
     }
   return true;
 }
@@ -232,8 +232,8 @@
 report_dropped (const struct timeval *at)
 {
   json_t *fields = json_pack ("{s:I}", "lines", (json_int_t) state.dropped);
-  char *line =
-      render (at, LOG_LEVEL_WARNING, module_names[LOG_MODULE_HOST], "log_lines_dropped", fields);
+  char *line = format_line (at, LOG_LEVEL_WARNING, module_names[LOG_MODULE_HOST],
+                            "log_lines_dropped", fields);
 
   if (line != NULL && write_text (line))
     state.dropped = 0;
@@ -290,19 +290,20 @@
 enum status
 log_open (const char *path, enum log_level level)
 {
-  struct stat about;
+  struct stat file_status;
   int module;
 
   log_close ();
-  state.shared = path != NULL && strcmp (path, LOG_STANDARD_OUTPUT) == 0;
-  state.fd = path == NULL   ? open_stderr ()
-             : state.shared ? STDOUT_FILENO
-                            : open (path, O_WRONLY | O_APPEND | O_CREAT | O_NONBLOCK | O_CLOEXEC,
-                                    LOG_FILE_MODE);
+  state.is_standard_output = path != NULL && strcmp (path, LOG_STANDARD_OUTPUT) == 0;
+  state.fd =
+      path == NULL ? open_stderr ()
+      : state.is_standard_output
+          ? STDOUT_FILENO
+          : open (path, O_WRONLY | O_APPEND | O_CREAT | O_NONBLOCK | O_CLOEXEC, LOG_FILE_MODE);
   if (state.fd < 0)
     return status_fail (STATUS_IO, "cannot open log file %s: %s",
                         path == NULL ? "(standard error)" : path, strerror (errno));
-  state.is_socket = fstat (state.fd, &about) == 0 && S_ISSOCK (about.st_mode);
+  state.is_socket = fstat (state.fd, &file_status) == 0 && S_ISSOCK (file_status.st_mode);
   /* A reader that closes its end of the log must not terminate the process. */
   signal (SIGPIPE, SIG_IGN);
   /* A log or journal file that reaches the file size limit must not terminate it either: the write
@@ -332,8 +333,8 @@
 {
   if (state.fd >= 0)
     {
-      flush_rest ();
-      if (!state.shared)
+      flush_partial_line ();
+      if (!state.is_standard_output)
         close (state.fd);
     }
   free (state.line);
@@ -349,7 +350,7 @@
 }
 
 int
-log_enabled (enum log_module module, enum log_level level)
+log_is_enabled (enum log_module module, enum log_level level)
 {
   const log4c_category_t *category = state.categories[module];
 
@@ -359,7 +360,7 @@
 /* Limits the CPU time spent on logging under high request rates.  Warnings and errors are few and
  * always written. */
 static bool
-over_budget (enum log_level level)
+exceeds_line_rate (enum log_level level)
 {
   struct timespec now;
 
@@ -386,7 +387,7 @@
   json_error_t error;
   va_list args;
 
-  if (!log_enabled (module, level) || over_budget (level))
+  if (!log_is_enabled (module, level) || exceeds_line_rate (level))
     return;
   if (fields != NULL)
     {
--- a/src/log.h
+++ b/src/log.h
@@ -65,7 +65,7 @@
     enum log_module module, enum log_level level, const char *event, const char *fields, ...);
 
 /* Lets a caller build expensive fields only when the line will be written. */
-int log_enabled (enum log_module module, enum log_level level);
+int log_is_enabled (enum log_module module, enum log_level level);
 
 END_DECLS
 
--- a/src/loop.c
+++ b/src/loop.c
@@ -12,10 +12,10 @@
 #include <unistd.h>
 #include <utlist.h>
 
-#define POLL_MARGIN (USEC_PER_MSEC / 10)
+#define POLL_MARGIN_US (USEC_PER_MSEC / 10)
 
 /* Descriptors other than connections: files, peers, listeners. */
-#define LOOP_OTHER_DESCRIPTORS 8192
+#define LOOP_DESCRIPTOR_RESERVE 8192
 
 /* Maximum size of the headers of one HTTP message; the limit of http_server.c is lower.  There are
  * as many header tables as descriptors: a connection that waits for one would read the data
@@ -23,10 +23,10 @@
 #define LOOP_HEADER_BYTES 16384
 
 /* Maximum size of one read or write of lws; larger answers are sent in pieces of this size. */
-#define LOOP_SERVICE_BUFFER 16384
+#define LOOP_SERVICE_BUFFER_BYTES 16384
 
 /* Timeout of lws for an incomplete handshake or header. */
-#define LOOP_HANDSHAKE_SECONDS 10
+#define LOOP_HANDSHAKE_TIMEOUT_SECONDS 10
 
 struct loop
 {
@@ -36,7 +36,7 @@
   lws_sorted_usec_list_t wake;
   bool stopped;
   uint32_t connections_max;
-  struct watch_slot *again; /* slots whose writable request is deferred */
+  struct watch_slot *deferred; /* slots whose writable request is deferred */
   struct loop_watch signal_watch;
   struct loop_signal *signal_handler;
   int signal_fd;
@@ -48,8 +48,8 @@
   struct loop *loop;
   struct loop_watch *watch; /* NULL once unwatched */
   struct lws *wsi;
-  bool writing; /* its writable() callback is running */
-  bool again;   /* in the list of deferred requests */
+  bool in_writable; /* its writable() callback is running */
+  bool deferred;    /* in the list of deferred requests */
   struct watch_slot *prev;
   struct watch_slot *next;
 };
@@ -77,31 +77,31 @@
  * made within the callback is lost and an answer larger than two buffers would stop in the middle.
  * Such a request is deferred until lws has returned. */
 static void
-want_again (struct watch_slot *slot)
+defer_writable_request (struct watch_slot *slot)
 {
-  if (slot->again)
+  if (slot->deferred)
     return;
-  slot->again = true;
-  DL_APPEND (slot->loop->again, slot);
+  slot->deferred = true;
+  DL_APPEND (slot->loop->deferred, slot);
 }
 
 static void
-forget_again (struct watch_slot *slot)
+cancel_deferred_request (struct watch_slot *slot)
 {
-  if (!slot->again)
+  if (!slot->deferred)
     return;
-  slot->again = false;
-  DL_DELETE (slot->loop->again, slot);
+  slot->deferred = false;
+  DL_DELETE (slot->loop->deferred, slot);
 }
 
 static void
-tell_writable (struct watch_slot *slot)
+notify_writable (struct watch_slot *slot)
 {
   if (slot->watch == NULL || slot->watch->ops->writable == NULL)
     return;
-  slot->writing = true;
+  slot->in_writable = true;
   slot->watch->ops->writable (slot->watch, loop_now (slot->loop));
-  slot->writing = false;
+  slot->in_writable = false;
 }
 
 static int
@@ -118,12 +118,12 @@
     {
       if (slot->watch == NULL)
         return -1;
-      slot->watch->ops->ready (slot->watch, loop_now (slot->loop));
+      slot->watch->ops->readable (slot->watch, loop_now (slot->loop));
       return slot->watch == NULL ? -1 : 0;
     }
   if (reason == LWS_CALLBACK_RAW_WRITEABLE_FILE)
     {
-      tell_writable (slot);
+      notify_writable (slot);
       return slot->watch == NULL ? -1 : 0;
     }
   if (reason == LWS_CALLBACK_RAW_CLOSE_FILE)
@@ -133,12 +133,12 @@
       slot->watch = NULL;
       if (watch != NULL)
         {
-          watch->owner = NULL;
+          watch->slot = NULL;
           if (watch->ops->hung_up != NULL)
             watch->ops->hung_up (watch, loop_now (slot->loop));
         }
       lws_set_opaque_user_data (wsi, NULL);
-      forget_again (slot);
+      cancel_deferred_request (slot);
       talloc_free (slot);
     }
   return 0;
@@ -167,10 +167,10 @@
  * So the limit of the process is lowered (never raised), with room for descriptors that are not
  * connections. */
 static void
-bound_descriptors (uint32_t connections_max)
+limit_descriptors (uint32_t connections_max)
 {
   struct rlimit limit;
-  rlim_t wanted = (rlim_t) connections_max + LOOP_OTHER_DESCRIPTORS;
+  rlim_t wanted = (rlim_t) connections_max + LOOP_DESCRIPTOR_RESERVE;
 
   if (getrlimit (RLIMIT_NOFILE, &limit) != 0 || limit.rlim_cur <= wanted)
     return;
@@ -179,23 +179,23 @@
 }
 
 static bool
-make_context (struct loop *loop, bool tls)
+create_context (struct loop *loop, bool tls)
 {
   struct lws_context_creation_info info = {
     .port = CONTEXT_PORT_NO_LISTEN,
     .options = LWS_SERVER_OPTION_EXPLICIT_VHOSTS | (tls ? LWS_SERVER_OPTION_DO_SSL_GLOBAL_INIT : 0)
                | LWS_SERVER_OPTION_NO_LWS_SYSTEM_STATES | LWS_SERVER_OPTION_DISABLE_IPV6,
     .max_http_header_data2 = LOOP_HEADER_BYTES,
-    .pt_serv_buf_size = LOOP_SERVICE_BUFFER,
-    .timeout_secs = LOOP_HANDSHAKE_SECONDS,
-    .timeout_secs_ah_idle = LOOP_HANDSHAKE_SECONDS,
+    .pt_serv_buf_size = LOOP_SERVICE_BUFFER_BYTES,
+    .timeout_secs = LOOP_HANDSHAKE_TIMEOUT_SECONDS,
+    .timeout_secs_ah_idle = LOOP_HANDSHAKE_TIMEOUT_SECONDS,
     .alpn = "http/1.1",
     .protocols = watch_protocols,
     .vhost_name = "watch",
   };
 
   lws_set_log_level (0, NULL);
-  bound_descriptors (loop->connections_max);
+  limit_descriptors (loop->connections_max);
   loop->context = lws_create_context (&info);
   if (loop->context == NULL)
     return false;
@@ -204,7 +204,7 @@
 }
 
 static struct loop *
-make_loop (void *parent, uint32_t connections_max, bool tls)
+create_loop (void *parent, uint32_t connections_max, bool tls)
 {
   struct loop *loop = talloc_zero (parent, struct loop);
 
@@ -214,7 +214,7 @@
   loop->connections_max = connections_max;
   talloc_set_destructor (loop, destroy_loop);
   loop->timers = timer_service_new (loop);
-  if (loop->timers == NULL || !make_context (loop, tls))
+  if (loop->timers == NULL || !create_context (loop, tls))
     {
       status_fail (STATUS_NO_MEMORY, "cannot create the event loop for %u connections",
                    connections_max);
@@ -227,13 +227,13 @@
 struct loop *
 loop_new (void *parent, uint32_t connections_max)
 {
-  return make_loop (parent, connections_max, true);
+  return create_loop (parent, connections_max, true);
 }
 
 struct loop *
-loop_new_plain (void *parent, uint32_t connections_max)
+loop_new_without_tls (void *parent, uint32_t connections_max)
 {
-  return make_loop (parent, connections_max, false);
+  return create_loop (parent, connections_max, false);
 }
 
 struct timer_service *
@@ -256,7 +256,7 @@
 
 /* Takes ownership of `fd`; lws closes it once adopted. */
 static enum status
-adopt (struct loop *loop, struct loop_watch *watch, int fd)
+adopt_descriptor (struct loop *loop, struct loop_watch *watch, int fd)
 {
   lws_sock_file_fd_type own = { .filefd = fd };
   struct watch_slot *slot;
@@ -282,7 +282,7 @@
       talloc_free (slot);
       return status_fail (STATUS_LIMIT, "too many descriptors in the event loop");
     }
-  watch->owner = slot;
+  watch->slot = slot;
   return STATUS_OK;
 }
 
@@ -293,24 +293,24 @@
 
   if (own < 0)
     return status_fail (STATUS_IO, "cannot watch descriptor %d: %s", fd, strerror (errno));
-  return adopt (loop, watch, own);
+  return adopt_descriptor (loop, watch, own);
 }
 
 enum status
 loop_adopt_socket (struct loop *loop, struct loop_watch *watch, int fd)
 {
-  return adopt (loop, watch, fd);
+  return adopt_descriptor (loop, watch, fd);
 }
 
 void
-loop_want_write (struct loop_watch *watch)
+loop_request_writable (struct loop_watch *watch)
 {
-  struct watch_slot *slot = watch->owner;
+  struct watch_slot *slot = watch->slot;
 
   if (slot == NULL)
     return;
-  if (slot->writing)
-    want_again (slot);
+  if (slot->in_writable)
+    defer_writable_request (slot);
   else
     lws_callback_on_writable (slot->wsi);
 }
@@ -318,13 +318,13 @@
 void
 loop_unwatch (struct loop *loop, struct loop_watch *watch)
 {
-  struct watch_slot *slot = watch->owner;
+  struct watch_slot *slot = watch->slot;
 
   (void) loop;
   if (slot == NULL)
     return;
   slot->watch = NULL;
-  watch->owner = NULL;
+  watch->slot = NULL;
   lws_set_timeout (slot->wsi, PENDING_TIMEOUT_USER_OK, LWS_TO_KILL_ASYNC);
 }
 
@@ -338,7 +338,7 @@
     loop->signal_handler->ops->raised (loop->signal_handler, (int) info.ssi_signo, now);
 }
 
-static const struct loop_watch_ops signal_watch_ops = { .ready = read_signals };
+static const struct loop_watch_ops signal_watch_ops = { .readable = read_signals };
 
 enum status
 loop_on_signal (struct loop *loop, struct loop_signal *handler, const int *signals, int n_signals)
@@ -354,7 +354,7 @@
   if (loop->signal_fd < 0)
     return status_fail (STATUS_IO, "cannot create the signal descriptor: %s", strerror (errno));
   loop->signal_handler = handler;
-  if (loop->signal_watch.owner != NULL)
+  if (loop->signal_watch.slot != NULL)
     return STATUS_OK;
   loop->signal_watch.ops = &signal_watch_ops;
   return loop_watch_fd (loop, &loop->signal_watch, loop->signal_fd);
@@ -373,34 +373,34 @@
 
 /* Rounds a wait of `span` microseconds up to whole milliseconds.  lws rounds the poll timeout down
  * and would poll without waiting during the last millisecond before a timer: hundreds of polls per
- * second on an idle host.  POLL_MARGIN covers the clock reading of lws; a timer is late by less
+ * second on an idle host.  POLL_MARGIN_US covers the clock reading of lws; a timer is late by less
  * than 1.1 ms. */
 static int64_t
-poll_wait (int64_t span)
+round_up_wait (int64_t span)
 {
   int64_t rest = span % USEC_PER_MSEC;
 
   if (span <= 0)
     return 1;
-  return span + (rest == 0 ? 0 : USEC_PER_MSEC - rest) + POLL_MARGIN;
+  return span + (rest == 0 ? 0 : USEC_PER_MSEC - rest) + POLL_MARGIN_US;
 }
 
 static void
-write_again (struct loop *loop)
+request_deferred_writable (struct loop *loop)
 {
-  while (loop->again != NULL)
+  while (loop->deferred != NULL)
     {
-      struct watch_slot *slot = loop->again;
+      struct watch_slot *slot = loop->deferred;
 
-      forget_again (slot);
+      cancel_deferred_request (slot);
       lws_callback_on_writable (slot->wsi);
     }
 }
 
 static void
-serve (struct loop *loop, int64_t latest)
+run_once (struct loop *loop, int64_t latest)
 {
-  int64_t next = timer_service_next (loop->timers);
+  int64_t next = timer_service_next_due (loop->timers);
   int64_t now = loop_now (loop);
 
   if (next > latest)
@@ -408,10 +408,10 @@
   if (next == USEC_NEVER)
     lws_sul_cancel (&loop->wake);
   else
-    lws_sul_schedule (loop->context, 0, &loop->wake, on_wake, poll_wait (next - now));
+    lws_sul_schedule (loop->context, 0, &loop->wake, on_wake, round_up_wait (next - now));
   if (lws_service (loop->context, 0) < 0)
     loop->stopped = true;
-  write_again (loop);
+  request_deferred_writable (loop);
   timer_service_run (loop->timers, loop_now (loop));
 }
 
@@ -420,7 +420,7 @@
 {
   loop->stopped = false;
   while (!loop->stopped)
-    serve (loop, USEC_NEVER);
+    run_once (loop, USEC_NEVER);
 }
 
 void
@@ -430,7 +430,7 @@
 }
 
 void
-loop_once (struct loop *loop, int64_t wait)
+loop_run_once (struct loop *loop, int64_t wait)
 {
-  serve (loop, loop_now (loop) + wait);
+  run_once (loop, loop_now (loop) + wait);
 }
--- a/src/loop.h
+++ b/src/loop.h
@@ -19,9 +19,10 @@
 struct loop_watch_ops
 {
   /* The descriptor is readable. */
-  void (*ready) (struct loop_watch *watch, int64_t now);
+  void (*readable) (struct loop_watch *watch, int64_t now);
 
-  /* The descriptor is writable, as requested by loop_want_write(); NULL where never requested. */
+  /* The descriptor is writable, as requested by loop_request_writable(); NULL where never
+   * requested. */
   void (*writable) (struct loop_watch *watch, int64_t now);
 
   /* The loop closed an adopted descriptor after the peer hung up; NULL where none is adopted. */
@@ -32,7 +33,7 @@
 struct loop_watch
 {
   const struct loop_watch_ops *ops;
-  void *owner; /* internal state of the loop */
+  void *slot; /* internal state of the loop */
 };
 
 struct loop_signal;
@@ -54,7 +55,7 @@
 
 /* As loop_new(), without TLS: the OpenSSL initialisation reads all certificates of the system,
  * which takes a host with a seventh of a core a quarter of a second at each start. */
-struct loop *loop_new_plain (void *parent, uint32_t connections_max);
+struct loop *loop_new_without_tls (void *parent, uint32_t connections_max);
 
 struct timer_service *loop_timers (struct loop *loop);
 
@@ -78,7 +79,7 @@
 enum status loop_adopt_socket (struct loop *loop, struct loop_watch *watch, int fd);
 
 /* Requests one writable() call when the descriptor accepts data. */
-void loop_want_write (struct loop_watch *watch);
+void loop_request_writable (struct loop_watch *watch);
 
 /* Calls `handler` from the loop when one of `signals` arrives.  One handler serves all signals. */
 enum status loop_on_signal (struct loop *loop,
@@ -91,7 +92,7 @@
 void loop_stop (struct loop *loop);
 
 /* Runs one iteration, waiting for at most `wait` microseconds; for tests. */
-void loop_once (struct loop *loop, int64_t wait);
+void loop_run_once (struct loop *loop, int64_t wait);
 
 END_DECLS
 
--- a/src/member.c
+++ b/src/member.c
@@ -82,8 +82,8 @@
       talloc_free (host);
       return NULL;
     }
-  text_copy_cut (host->name, sizeof host->name, name);
-  text_copy_cut (entry->name, sizeof entry->name, name);
+  text_copy_truncated (host->name, sizeof host->name, name);
+  text_copy_truncated (entry->name, sizeof entry->name, name);
   host->state_changed_at = now;
   /* The first probe comes at random in the next round, so that not all hosts probe a new one at
    * once. */
--- a/src/member_control.c
+++ b/src/member_control.c
@@ -41,7 +41,7 @@
 {
   struct member_control *control = (struct member_control *) wire;
 
-  control->port->ops->forget (control->port, host);
+  control->port->ops->remove_host (control->port, host);
 }
 
 static const struct member_transport_ops wire_ops = {
@@ -119,7 +119,7 @@
       return NULL;
     }
   talloc_set_destructor (control, free_control);
-  config->port->ops->listen (config->port, PEER_CHANNEL_MEMBER, &control->listener);
+  config->port->ops->set_listener (config->port, PEER_CHANNEL_MEMBER, &control->listener);
   timer_arm (control->timers, &control->timer, config->now);
   if (config->dump != NULL)
     dump_add (config->dump, &control->source);
--- a/src/member_probe.c
+++ b/src/member_probe.c
@@ -77,7 +77,7 @@
     return;
   host->probe_round = member->round;
   *probe = (struct member_probe){ .number = ++member->next_number, .started = now };
-  text_copy_cut (probe->host, sizeof probe->host, host->name);
+  text_copy_truncated (probe->host, sizeof probe->host, host->name);
   member_send (member, host->name, MEMBER_PING, probe->number, "");
 }
 
@@ -95,7 +95,7 @@
         return;
       if (strcmp (helper->name, last) != 0)
         member_send (member, helper->name, MEMBER_PROBE_FOR, probe->number, probe->host);
-      text_copy_cut (last, sizeof last, helper->name);
+      text_copy_truncated (last, sizeof last, helper->name);
     }
 }
 
@@ -146,8 +146,8 @@
       relay->number = ++member->next_number;
       relay->asker_number = head->number;
       relay->until = now + MEMBER_DIRECT_TIMEOUT;
-      text_copy_cut (relay->asker, sizeof relay->asker, asker);
-      text_copy_cut (relay->about, sizeof relay->about, head->about);
+      text_copy_truncated (relay->asker, sizeof relay->asker, asker);
+      text_copy_truncated (relay->about, sizeof relay->about, head->about);
       member_send (member, head->about, MEMBER_PING, relay->number, "");
       return;
     }
@@ -367,7 +367,7 @@
       else if (member_apply_vitals (member, item.host.name, &item.vitals))
         member_queue_vitals (member, member_find (member, item.host.name));
     }
-  return pack_read_end (&reader);
+  return pack_read_is_complete (&reader);
 }
 
 void
--- a/src/member_update.c
+++ b/src/member_update.c
@@ -125,7 +125,7 @@
   const struct board_host *entry = member_board_entry (member, host);
   struct member_item item = { .form = MEMBER_FORM_VITALS };
 
-  text_copy_cut (item.host.name, sizeof item.host.name, host->name);
+  text_copy_truncated (item.host.name, sizeof item.host.name, host->name);
   item.vitals = (struct member_vitals){
     .incarnation = entry->incarnation,
     .version = host == member->self ? member->vitals.version : host->vitals_version,
@@ -167,7 +167,7 @@
   member_write_head (&out, head);
   if (items->length > 0)
     bytes_append (&out, items->data, items->length);
-  if (!bytes_failed (&out) && !bytes_failed (items))
+  if (!bytes_has_failed (&out) && !bytes_has_failed (items))
     {
       counter_add (member->messages_out, 1);
       counter_add (member->bytes_out, (double) out.length);
@@ -233,7 +233,7 @@
   struct member_head head = { .kind = kind, .number = number };
   struct bytes items;
 
-  text_copy_cut (head.about, sizeof head.about, about);
+  text_copy_truncated (head.about, sizeof head.about, about);
   bytes_init (&items, member);
   head.n_items = write_suspicion (member, host, &items);
   /* A joining host has no view yet; its only update is its own record. */
--- a/src/member_wire.c
+++ b/src/member_wire.c
@@ -44,7 +44,7 @@
   read_vitals (reader, &head->vitals);
   head->digest = (uint32_t) pack_read_uint (reader, UINT32_MAX);
   head->n_items = pack_read_array (reader, MEMBER_ITEMS_MAX);
-  return pack_read_ok (reader);
+  return pack_read_is_ok (reader);
 }
 
 void
@@ -87,7 +87,7 @@
   if (item->form == MEMBER_FORM_VITALS)
     {
       read_vitals (reader, &item->vitals);
-      return pack_read_ok (reader) && host->name[0] != '\0';
+      return pack_read_is_ok (reader) && host->name[0] != '\0';
     }
   host->incarnation = pack_read_uint (reader, UINT64_MAX);
   item->sequence = pack_read_uint (reader, UINT64_MAX);
@@ -96,7 +96,7 @@
   host->behind = (flags & FLAG_BEHIND) != 0;
   host->cut_off = (flags & FLAG_CUT_OFF) != 0;
   if (item->form == MEMBER_FORM_STATE)
-    return pack_read_ok (reader) && host->name[0] != '\0';
+    return pack_read_is_ok (reader) && host->name[0] != '\0';
   pack_read_text (reader, host->domain, sizeof host->domain);
   pack_read_text (reader, host->region, sizeof host->region);
   pack_read_text (reader, host->entry_address, sizeof host->entry_address);
@@ -105,5 +105,5 @@
   pack_read_text (reader, host->peer_address, sizeof host->peer_address);
   pack_read_text (reader, host->public_key, sizeof host->public_key);
   host->voter = pack_read_bool (reader);
-  return pack_read_ok (reader) && host->name[0] != '\0';
+  return pack_read_is_ok (reader) && host->name[0] != '\0';
 }
--- a/src/operator.c
+++ b/src/operator.c
@@ -94,7 +94,7 @@
   struct operator_api *api = request->api;
   enum access_role role = ACCESS_ADMIN;
 
-  text_copy_cut (request->who, sizeof request->who, "anonymous");
+  text_copy_truncated (request->who, sizeof request->who, "anonymous");
   if (api->config.access != NULL)
     role = access_operator (api->config.access, request->exchange, request->who);
   if (role >= role_needed (request->kind, request->exchange->method))
@@ -236,7 +236,7 @@
 {
   struct operator_route *route = &api->routes[i];
 
-  text_copy_cut (route->prefix, sizeof route->prefix, path);
+  text_copy_truncated (route->prefix, sizeof route->prefix, path);
   route->api = api;
   route->kind = kind;
   route->route.ops = &route_ops;
--- a/src/operator_body.c
+++ b/src/operator_body.c
@@ -8,8 +8,8 @@
 fail (struct operator_fault *fault, int code, const char *field, const char *message)
 {
   fault->code = code;
-  text_copy_cut (fault->field, sizeof fault->field, field);
-  text_copy_cut (fault->message, sizeof fault->message, message);
+  text_copy_truncated (fault->field, sizeof fault->field, field);
+  text_copy_truncated (fault->message, sizeof fault->message, message);
   return false;
 }
 
--- a/src/operator_change.c
+++ b/src/operator_change.c
@@ -291,9 +291,9 @@
   bytes_init (&entry, pending);
   store_group_begin_entry (STORE_PART_RESOURCES, &entry);
   store_change_pack (&pending->change, &entry);
-  status = bytes_failed (&entry) ? status_fail (STATUS_NO_MEMORY, "no memory for an entry")
-                                 : consensus->ops->propose (consensus, entry.data, entry.length,
-                                                            &pending->proposal, deadline, now);
+  status = bytes_has_failed (&entry) ? status_fail (STATUS_NO_MEMORY, "no memory for an entry")
+                                     : consensus->ops->propose (consensus, entry.data, entry.length,
+                                                                &pending->proposal, deadline, now);
   bytes_clear (&entry);
   pending->proposed = status == STATUS_OK;
   if (status != STATUS_OK)
@@ -450,9 +450,9 @@
   bytes_init (&pending->object, pending);
   talloc_set_destructor (pending, pending_destroy);
   pending->change.kind = request->kind;
-  text_copy_cut (pending->change.name, sizeof pending->change.name, request->name);
-  text_copy_cut (pending->change.host, sizeof pending->change.host, api->config.host);
-  text_copy_cut (pending->who, sizeof pending->who, request->who);
+  text_copy_truncated (pending->change.name, sizeof pending->change.name, request->name);
+  text_copy_truncated (pending->change.host, sizeof pending->change.host, api->config.host);
+  text_copy_truncated (pending->who, sizeof pending->who, request->who);
   pending->change.time_ms = request->now / USEC_PER_MSEC + api->config.wall_offset_ms;
   pending->deadline = request->now + CHANGE_WITHIN;
   pending->wait = read_wait (request->exchange);
--- a/src/operator_list.c
+++ b/src/operator_list.c
@@ -139,7 +139,7 @@
     }
   bytes_init (&body, api);
   write_list (request, &token, &body);
-  if (bytes_failed (&body))
+  if (bytes_has_failed (&body))
     http_reply_error (request->exchange, 500, NULL, "out of memory");
   else
     operator_reply (api, request->exchange, 200, body.data, body.length, request->now);
--- a/src/operator_watch.c
+++ b/src/operator_watch.c
@@ -78,7 +78,7 @@
   bytes_append_format (&line, "data: {\"type\":\"%s\",\"object\":", type);
   bytes_append (&line, object->data, object->length);
   bytes_append_text (&line, "}\n\n");
-  whole = !bytes_failed (object) && !bytes_failed (&line);
+  whole = !bytes_has_failed (object) && !bytes_has_failed (&line);
   if (whole)
     watch->exchange->ops->write (watch->exchange, line.data, line.length);
   bytes_clear (&line);
--- a/src/order.c
+++ b/src/order.c
@@ -79,7 +79,7 @@
   target->next_at = now;
   target->backoff = USEC_PER_SEC;
   bytes_init (&target->body, target);
-  text_copy_cut (target->name, sizeof target->name, name);
+  text_copy_truncated (target->name, sizeof target->name, name);
   DL_APPEND (orders->targets, target);
   return target;
 }
@@ -114,7 +114,7 @@
       if (target == NULL)
         continue;
       target->seen = true;
-      text_copy_cut (target->assignment, sizeof target->assignment, wanted->name);
+      text_copy_truncated (target->assignment, sizeof target->assignment, wanted->name);
       order_target_advance (target, entry, now);
     }
   DL_FOREACH_SAFE (orders->targets, target, following)
@@ -149,12 +149,12 @@
       || (orders->fence_proposed_at != 0 && now < orders->fence_proposed_at + FENCE_RETRY_PERIOD))
     return;
   orders->fence_proposed_at = now;
-  text_copy_cut (change.host, sizeof change.host, orders->config.host);
+  text_copy_truncated (change.host, sizeof change.host, orders->config.host);
   bytes_init (&entry, orders);
   store_group_begin_entry (STORE_PART_RESOURCES, &entry);
   store_change_pack (&change, &entry);
   orders->fence_proposed =
-      !bytes_failed (&entry)
+      !bytes_has_failed (&entry)
       && consensus->ops->propose (consensus, entry.data, entry.length, &orders->fence_proposal,
                                   now + FENCE_TIMEOUT, now)
              == STATUS_OK;
--- a/src/order_plan.c
+++ b/src/order_plan.c
@@ -92,7 +92,7 @@
 set_step (struct order_step *out, enum order_kind kind, const char *value)
 {
   out->kind = kind;
-  text_copy_cut (out->value, sizeof out->value, value);
+  text_copy_truncated (out->value, sizeof out->value, value);
   return true;
 }
 
--- a/src/order_status.c
+++ b/src/order_status.c
@@ -62,13 +62,13 @@
   };
   struct bytes entry;
 
-  text_copy_cut (change.name, sizeof change.name, object->name);
-  text_copy_cut (change.host, sizeof change.host, orders->config.host);
+  text_copy_truncated (change.name, sizeof change.name, object->name);
+  text_copy_truncated (change.host, sizeof change.host, orders->config.host);
   bytes_init (&entry, orders);
   store_group_begin_entry (STORE_PART_RESOURCES, &entry);
   store_change_pack (&change, &entry);
   orders->status_proposed =
-      !bytes_failed (&entry)
+      !bytes_has_failed (&entry)
       && consensus->ops->propose (consensus, entry.data, entry.length, &orders->status_proposal,
                                   now + STATUS_PROPOSAL_TIMEOUT, now)
              == STATUS_OK;
@@ -94,7 +94,7 @@
       bool differs = text != NULL && (object->status == NULL || strcmp (object->status, text) != 0);
 
       json_decref (status);
-      text_copy_cut (orders->status_cursor, sizeof orders->status_cursor, object->name);
+      text_copy_truncated (orders->status_cursor, sizeof orders->status_cursor, object->name);
       if (differs)
         propose (orders, object, text, now);
       free (text);
--- a/src/order_target.c
+++ b/src/order_target.c
@@ -55,7 +55,7 @@
 static void
 fail (struct order_target *target, const char *message, int64_t now)
 {
-  text_copy_cut (target->fault, sizeof target->fault, message);
+  text_copy_truncated (target->fault, sizeof target->fault, message);
   target->phase = target->step_pending ? ORDER_PHASE_SETTLING : ORDER_PHASE_IDLE;
   back_off (target, now);
 }
--- a/src/pack.h
+++ b/src/pack.h
@@ -2,7 +2,7 @@
  *
  * libmpack tokens are the codec.  This layer adds a sticky failure, so that a decoder reads all
  * fields in a row and checks once.  A failed read returns zero values, never bytes outside the
- * message; a decoder applies nothing before pack_read_ok(). */
+ * message; a decoder applies nothing before pack_read_is_ok(). */
 #ifndef PACK_H
 #define PACK_H
 
@@ -56,14 +56,14 @@
 
 /* Whether all reads so far succeeded. */
 static inline bool
-pack_read_ok (const struct pack_reader *reader)
+pack_read_is_ok (const struct pack_reader *reader)
 {
   return !reader->failed;
 }
 
 /* Whether all reads succeeded and the message was read to its end. */
 static inline bool
-pack_read_end (const struct pack_reader *reader)
+pack_read_is_complete (const struct pack_reader *reader)
 {
   return !reader->failed && reader->left == 0;
 }
--- a/src/peer.h
+++ b/src/peer.h
@@ -14,7 +14,7 @@
 
 BEGIN_DECLS
 
-#define PEER_MESSAGE_MAX (4u << 20)
+#define PEER_MESSAGE_BYTES_MAX (4u << 20)
 
 /* name, text */
 #define PEER_CHANNEL_LIST(X)                                                                       \
@@ -65,7 +65,7 @@
                               const char *host,
                               const char *address,
                               const char *public_key);
-  void (*forget) (struct peer_port *port, const char *host);
+  void (*remove_host) (struct peer_port *port, const char *host);
 
   /* STATUS_NOT_FOUND for an unknown host, STATUS_AGAIN when its queue is full.  STATUS_OK does not
    * guarantee delivery. */
@@ -76,9 +76,9 @@
                        size_t length);
 
   /* Sets the listener of a channel; one listener per channel. */
-  void (*listen) (struct peer_port *port,
-                  enum peer_channel channel,
-                  struct peer_listener *listener);
+  void (*set_listener) (struct peer_port *port,
+                        enum peer_channel channel,
+                        struct peer_listener *listener);
 };
 
 END_DECLS
--- a/src/peer_direct.c
+++ b/src/peer_direct.c
@@ -5,7 +5,7 @@
 struct peer_direct
 {
   struct peer_port port;
-  struct peer_port *under;
+  struct peer_port *inner;
 };
 
 static enum status
@@ -13,15 +13,15 @@
 {
   struct peer_direct *self = (struct peer_direct *) port;
 
-  return self->under->ops->set_address (self->under, host, address, public_key);
+  return self->inner->ops->set_address (self->inner, host, address, public_key);
 }
 
 static void
-forget (struct peer_port *port, const char *host)
+remove_host (struct peer_port *port, const char *host)
 {
   struct peer_direct *self = (struct peer_direct *) port;
 
-  self->under->ops->forget (self->under, host);
+  self->inner->ops->remove_host (self->inner, host);
 }
 
 static enum status
@@ -32,29 +32,29 @@
               size_t length)
 {
   struct peer_direct *self = (struct peer_direct *) port;
-  enum status status = self->under->ops->send (self->under, host, channel, data, length);
+  enum status status = self->inner->ops->send (self->inner, host, channel, data, length);
 
   if (status != STATUS_NOT_FOUND)
     return status;
-  status = self->under->ops->set_address (self->under, host, host, NULL);
+  status = self->inner->ops->set_address (self->inner, host, host, NULL);
   if (status != STATUS_OK)
     return status;
-  return self->under->ops->send (self->under, host, channel, data, length);
+  return self->inner->ops->send (self->inner, host, channel, data, length);
 }
 
 static void
-listen_channel (struct peer_port *port, enum peer_channel channel, struct peer_listener *listener)
+set_listener (struct peer_port *port, enum peer_channel channel, struct peer_listener *listener)
 {
   struct peer_direct *self = (struct peer_direct *) port;
 
-  self->under->ops->listen (self->under, channel, listener);
+  self->inner->ops->set_listener (self->inner, channel, listener);
 }
 
 static const struct peer_port_ops port_ops = {
   .set_address = set_address,
-  .forget = forget,
+  .remove_host = remove_host,
   .send = send_message,
-  .listen = listen_channel,
+  .set_listener = set_listener,
 };
 
 struct peer_port *
@@ -65,6 +65,6 @@
   if (self == NULL)
     return NULL;
   self->port.ops = &port_ops;
-  self->under = port;
+  self->inner = port;
   return &self->port;
 }
--- a/src/peer_trust.c
+++ b/src/peer_trust.c
@@ -71,7 +71,7 @@
 
   if (trust == NULL)
     return NULL;
-  trust->keys = table_new (trust, sizeof (struct trusted_key), PEER_TRUST_MAX);
+  trust->keys = table_new (trust, sizeof (struct trusted_key), PEER_TRUST_KEYS_MAX);
   if (trust->keys == NULL)
     {
       talloc_free (trust);
@@ -125,8 +125,8 @@
   key = table_add (trust->keys, &handle);
   if (key == NULL)
     return status_fail (STATUS_LIMIT, "no room for another host's key");
-  text_copy_cut (key->host, sizeof key->host, host);
-  text_copy_cut (key->public_key, sizeof key->public_key, public_key);
+  text_copy_truncated (key->host, sizeof key->host, host);
+  text_copy_truncated (key->public_key, sizeof key->public_key, public_key);
   key->order = trust->added++;
   insert_key (trust, key);
   return STATUS_OK;
@@ -142,7 +142,7 @@
 }
 
 const char *
-peer_trust_host (const struct peer_trust *trust, const char *public_key)
+peer_trust_find_host (const struct peer_trust *trust, const char *public_key)
 {
   const struct trusted_key *key = find_key (trust, public_key);
 
--- a/src/peer_trust.h
+++ b/src/peer_trust.h
@@ -8,7 +8,7 @@
 
 BEGIN_DECLS
 
-#define PEER_TRUST_MAX 2048
+#define PEER_TRUST_KEYS_MAX 2048
 
 /* A host has two keys during a key rotation; adding a third removes the oldest. */
 #define PEER_TRUST_KEYS_PER_HOST 2
@@ -23,7 +23,7 @@
 void peer_trust_revoke (struct peer_trust *trust, const char *host);
 
 /* The host that owns the key, NULL for an unknown key. */
-const char *peer_trust_host (const struct peer_trust *trust, const char *public_key);
+const char *peer_trust_find_host (const struct peer_trust *trust, const char *public_key);
 
 END_DECLS
 
--- a/src/peer_zap.c
+++ b/src/peer_zap.c
@@ -43,16 +43,16 @@
 
 /* False when no request is pending.  Frames past the last known one are read and discarded. */
 static bool
-receive (struct peer_zap *zap, struct zap_request *out)
+receive_request (struct peer_zap *zap, struct zap_request *out)
 {
   int more = 1;
 
   memset (out, 0, sizeof *out);
   while (more)
     {
-      char spare[ZAP_FRAME_MAX];
+      char discarded[ZAP_FRAME_MAX];
       bool known = out->n_frames < ZAP_FRAMES;
-      char *frame = known ? out->frames[out->n_frames] : spare;
+      char *frame = known ? out->frames[out->n_frames] : discarded;
       int length = zmq_recv (zap->socket, frame, ZAP_FRAME_MAX - 1, ZMQ_DONTWAIT);
       size_t size = sizeof more;
 
@@ -68,21 +68,23 @@
 
 /* Writes the key of the request as Z85 text; false unless it belongs to a known host. */
 static bool
-known_key (const struct peer_zap *zap, const struct zap_request *request, char key[BOARD_KEY_SIZE])
+is_known_key (const struct peer_zap *zap,
+              const struct zap_request *request,
+              char key[BOARD_KEY_SIZE])
 {
   if (request->n_frames != ZAP_FRAMES || strcmp (request->frames[ZAP_FRAME_MECHANISM], "CURVE") != 0
       || request->lengths[ZAP_FRAME_KEY] != ZAP_KEY_BYTES)
     return false;
   zmq_z85_encode (key, (const uint8_t *) request->frames[ZAP_FRAME_KEY], ZAP_KEY_BYTES);
-  return peer_trust_host (zap->trust, key) != NULL;
+  return peer_trust_find_host (zap->trust, key) != NULL;
 }
 
 /* ZeroMQ attaches the key to every message of the connection as its "User-Id" property. */
 static void
-answer (struct peer_zap *zap, const struct zap_request *request)
+send_reply (struct peer_zap *zap, const struct zap_request *request)
 {
   char key[BOARD_KEY_SIZE] = "";
-  bool known = known_key (zap, request, key);
+  bool known = is_known_key (zap, request, key);
   const char *parts[] = { ZAP_VERSION,           request->frames[ZAP_FRAME_REQUEST],
                           known ? "200" : "400", known ? "OK" : "unknown key",
                           known ? key : "",      "" };
@@ -101,18 +103,18 @@
 }
 
 static void
-ready (struct loop_watch *watch, int64_t now)
+readable (struct loop_watch *watch, int64_t now)
 {
   struct peer_zap *zap = (struct peer_zap *) watch;
   struct zap_request request;
 
   (void) now;
   /* The ZMQ_FD descriptor is edge-triggered: read until no request is left. */
-  while (receive (zap, &request))
-    answer (zap, &request);
+  while (receive_request (zap, &request))
+    send_reply (zap, &request);
 }
 
-static const struct loop_watch_ops watch_ops = { .ready = ready };
+static const struct loop_watch_ops watch_ops = { .readable = readable };
 
 static int
 free_zap (struct peer_zap *zap)
--- a/src/peer_zmq.c
+++ b/src/peer_zmq.c
@@ -23,69 +23,70 @@
 #include <talloc.h>
 #include <zmq.h>
 
-/* ZeroMQ closes a connection that sends a message larger than PEER_MESSAGE_MAX plus this; a message
- * just over PEER_MESSAGE_MAX is counted and dropped here. */
-#define PEER_ENVELOPE_ROOM 65536
+/* ZeroMQ closes a connection that sends a message larger than PEER_MESSAGE_BYTES_MAX plus this; a
+ * message just over PEER_MESSAGE_BYTES_MAX is counted and dropped here. */
+#define PEER_ENVELOPE_OVERHEAD_BYTES 65536
 
 #define PEER_SOCKETS_MAX 1100
-#define PEER_RECONNECT_MS 100
+#define PEER_RECONNECT_MIN_MS 100
 #define PEER_RECONNECT_MAX_MS 2000
 #define PEER_CONNECT_TIMEOUT_MS 2000
 #define PEER_RETRANSMIT_MAX_MS 5000
-#define PEER_HANDSHAKE_MS 3000
+#define PEER_HANDSHAKE_TIMEOUT_MS 3000
 
 static void
-ready (struct loop_watch *watch, int64_t now)
+readable (struct loop_watch *watch, int64_t now)
 {
   peer_zmq_receive (CONTAINER_OF (watch, struct peer_zmq, watch), now);
 }
 
 static void
-again (struct timer *timer, int64_t now)
+resume_receive (struct timer *timer, int64_t now)
 {
-  peer_zmq_receive (CONTAINER_OF (timer, struct peer_zmq, again), now);
+  peer_zmq_receive (CONTAINER_OF (timer, struct peer_zmq, resume_receive), now);
 }
 
-static const struct loop_watch_ops watch_ops = { .ready = ready };
-static const struct timer_ops again_ops = { .fire = again };
+static const struct loop_watch_ops watch_ops = { .readable = readable };
+static const struct timer_ops resume_receive_ops = { .fire = resume_receive };
 
 /* ---- sending ---- */
 
 static bool
-set_int (void *socket, int option, int value)
+set_int_option (void *socket, int option, int value)
 {
   return zmq_setsockopt (socket, option, &value, sizeof value) == 0;
 }
 
 static bool
-set_text (void *socket, int option, const char *text)
+set_text_option (void *socket, int option, const char *text)
 {
   return zmq_setsockopt (socket, option, text, strlen (text)) == 0;
 }
 
 static bool
-set_common (struct peer_zmq *peer, void *socket)
+set_common_options (struct peer_zmq *peer, void *socket)
 {
-  return set_int (socket, ZMQ_LINGER, 0) && set_int (socket, ZMQ_SNDHWM, peer->queue_messages)
-         && set_int (socket, ZMQ_RCVHWM, peer->queue_messages)
-         && set_int (socket, ZMQ_TCP_MAXRT, peer->retransmit_max_ms)
-         && set_int (socket, ZMQ_TCP_KEEPALIVE, 1)
-         && set_int (socket, ZMQ_HANDSHAKE_IVL, PEER_HANDSHAKE_MS);
+  return set_int_option (socket, ZMQ_LINGER, 0)
+         && set_int_option (socket, ZMQ_SNDHWM, peer->queue_messages)
+         && set_int_option (socket, ZMQ_RCVHWM, peer->queue_messages)
+         && set_int_option (socket, ZMQ_TCP_MAXRT, peer->retransmit_max_ms)
+         && set_int_option (socket, ZMQ_TCP_KEEPALIVE, 1)
+         && set_int_option (socket, ZMQ_HANDSHAKE_IVL, PEER_HANDSHAKE_TIMEOUT_MS);
 }
 
 static bool
-set_client (struct peer_zmq *peer, void *socket, const char *server_key)
+set_dealer_options (struct peer_zmq *peer, void *socket, const char *server_key)
 {
-  if (!set_common (peer, socket) || !set_int (socket, ZMQ_IMMEDIATE, 1)
-      || !set_int (socket, ZMQ_RECONNECT_IVL, PEER_RECONNECT_MS)
-      || !set_int (socket, ZMQ_RECONNECT_IVL_MAX, peer->reconnect_max_ms)
-      || !set_int (socket, ZMQ_CONNECT_TIMEOUT, peer->connect_timeout_ms))
+  if (!set_common_options (peer, socket) || !set_int_option (socket, ZMQ_IMMEDIATE, 1)
+      || !set_int_option (socket, ZMQ_RECONNECT_IVL, PEER_RECONNECT_MIN_MS)
+      || !set_int_option (socket, ZMQ_RECONNECT_IVL_MAX, peer->reconnect_max_ms)
+      || !set_int_option (socket, ZMQ_CONNECT_TIMEOUT, peer->connect_timeout_ms))
     return false;
-  if (!peer->curve)
+  if (!peer->uses_curve)
     return true;
-  return set_text (socket, ZMQ_CURVE_SERVERKEY, server_key)
-         && set_text (socket, ZMQ_CURVE_PUBLICKEY, peer->public_key)
-         && set_text (socket, ZMQ_CURVE_SECRETKEY, peer->secret_key);
+  return set_text_option (socket, ZMQ_CURVE_SERVERKEY, server_key)
+         && set_text_option (socket, ZMQ_CURVE_PUBLICKEY, peer->public_key)
+         && set_text_option (socket, ZMQ_CURVE_SECRETKEY, peer->secret_key);
 }
 
 static enum status
@@ -98,7 +99,8 @@
   if (to->socket == NULL)
     return status_fail (STATUS_LIMIT, "cannot create the socket for peer %s: %s", to->name,
                         zmq_strerror (errno));
-  if (set_client (peer, to->socket, to->public_key) && zmq_connect (to->socket, endpoint) == 0)
+  if (set_dealer_options (peer, to->socket, to->public_key)
+      && zmq_connect (to->socket, endpoint) == 0)
     return STATUS_OK;
   status_fail (STATUS_INVALID, "cannot connect to peer %s at %s: %s", to->name, to->address,
                zmq_strerror (errno));
@@ -144,7 +146,7 @@
   const char *key = public_key == NULL ? "" : public_key;
   enum status status;
 
-  if (peer->curve && key[0] == '\0')
+  if (peer->uses_curve && key[0] == '\0')
     return status_fail (STATUS_DENIED, "peer %s has no public key", host);
   if (to != NULL && strcmp (to->address, address) == 0 && strcmp (to->public_key, key) == 0)
     return STATUS_OK;
@@ -153,9 +155,9 @@
   to = talloc_zero (peer, struct peer);
   if (to == NULL)
     return status_fail (STATUS_NO_MEMORY, "no memory for peer %s", host);
-  text_copy_cut (to->name, sizeof to->name, host);
-  text_copy_cut (to->address, sizeof to->address, address);
-  text_copy_cut (to->public_key, sizeof to->public_key, key);
+  text_copy_truncated (to->name, sizeof to->name, host);
+  text_copy_truncated (to->address, sizeof to->address, address);
+  text_copy_truncated (to->public_key, sizeof to->public_key, key);
   status = connect_peer (peer, to);
   if (status != STATUS_OK)
     {
@@ -167,7 +169,7 @@
 }
 
 static void
-forget (struct peer_port *port, const char *host)
+remove_host (struct peer_port *port, const char *host)
 {
   struct peer_zmq *peer = (struct peer_zmq *) port;
   struct peer *gone = find_peer (peer, host);
@@ -179,11 +181,11 @@
 /* Tracks whether messages to a peer find a connection and logs each change; the first connection to
  * a peer is not a change. */
 static void
-note_sent (struct peer *to, bool sent)
+update_reachability (struct peer *to, bool sent)
 {
-  bool first = !to->was_reached;
+  bool first = !to->was_connected;
 
-  to->was_reached = to->was_reached || sent;
+  to->was_connected = to->was_connected || sent;
   if (first || to->unreachable != sent)
     return;
   to->unreachable = !sent;
@@ -206,7 +208,7 @@
 
   if (to == NULL)
     return status_fail (STATUS_NOT_FOUND, "no peer %s", host);
-  if (length > PEER_MESSAGE_MAX)
+  if (length > PEER_MESSAGE_BYTES_MAX)
     return status_fail (STATUS_TOO_LARGE, "message of %zu bytes to %s", length, host);
   bytes_init (&envelope, NULL);
   pack_array (&envelope, PEER_ENVELOPE_FIELDS);
@@ -214,7 +216,7 @@
   pack_text (&envelope, peer->name);
   pack_uint (&envelope, (uint64_t) channel);
   pack_binary (&envelope, data, length);
-  if (bytes_failed (&envelope))
+  if (bytes_has_failed (&envelope))
     {
       bytes_clear (&envelope);
       return status_fail (STATUS_NO_MEMORY, "no memory for a message to %s", host);
@@ -229,39 +231,39 @@
     }
   else
     counter_add (peer->not_sent, 1);
-  note_sent (to, sent >= 0);
+  update_reachability (to, sent >= 0);
   bytes_clear (&envelope);
   return sent >= 0 ? STATUS_OK : STATUS_AGAIN;
 }
 
 static void
-listen_channel (struct peer_port *port, enum peer_channel channel, struct peer_listener *listener)
+set_listener (struct peer_port *port, enum peer_channel channel, struct peer_listener *listener)
 {
   ((struct peer_zmq *) port)->listeners[channel] = listener;
 }
 
 static const struct peer_port_ops port_ops = {
   .set_address = set_address,
-  .forget = forget,
+  .remove_host = remove_host,
   .send = send_message,
-  .listen = listen_channel,
+  .set_listener = set_listener,
 };
 
 /* ---- construction ---- */
 
 static bool
-set_server (struct peer_zmq *peer)
+set_router_options (struct peer_zmq *peer)
 {
-  int64_t message_max = PEER_MESSAGE_MAX + PEER_ENVELOPE_ROOM;
+  int64_t message_max = PEER_MESSAGE_BYTES_MAX + PEER_ENVELOPE_OVERHEAD_BYTES;
 
-  if (!set_common (peer, peer->router)
+  if (!set_common_options (peer, peer->router)
       || zmq_setsockopt (peer->router, ZMQ_MAXMSGSIZE, &message_max, sizeof message_max) != 0)
     return false;
-  if (!peer->curve)
+  if (!peer->uses_curve)
     return true;
-  return set_int (peer->router, ZMQ_CURVE_SERVER, 1)
-         && set_text (peer->router, ZMQ_ZAP_DOMAIN, "cherryarch")
-         && set_text (peer->router, ZMQ_CURVE_SECRETKEY, peer->secret_key);
+  return set_int_option (peer->router, ZMQ_CURVE_SERVER, 1)
+         && set_text_option (peer->router, ZMQ_ZAP_DOMAIN, "cherryarch")
+         && set_text_option (peer->router, ZMQ_CURVE_SECRETKEY, peer->secret_key);
 }
 
 static enum status
@@ -272,7 +274,7 @@
   const char *colon;
 
   peer->router = zmq_socket (peer->context, ZMQ_ROUTER);
-  if (peer->router == NULL || !set_server (peer))
+  if (peer->router == NULL || !set_router_options (peer))
     return status_fail (STATUS_IO, "cannot create the peer socket: %s", zmq_strerror (errno));
   snprintf (endpoint, sizeof endpoint, "tcp://%s", listen);
   if (zmq_bind (peer->router, endpoint) != 0)
@@ -302,7 +304,7 @@
   struct peer *each;
   struct peer *next;
 
-  timer_disarm (loop_timers (peer->loop), &peer->again);
+  timer_disarm (loop_timers (peer->loop), &peer->resume_receive);
   loop_unwatch (peer->loop, &peer->watch);
   HASH_ITER (hh, peer->peers, each, next)
     {
@@ -328,8 +330,9 @@
 {
   peer->malformed = counter_get (counters, "cherryarch_peer_malformed_total",
                                  "Messages of peers that could not be read.", NULL);
-  peer->wrong_name = counter_get (counters, "cherryarch_peer_wrong_name_total",
-                                  "Messages whose sender's key is not that of its name.", NULL);
+  peer->sender_mismatch =
+      counter_get (counters, "cherryarch_peer_wrong_name_total",
+                   "Messages whose sender's key is not that of its name.", NULL);
   peer->not_sent = counter_get (counters, "cherryarch_peer_not_sent_total",
                                 "Messages dropped for want of a connection or of room.", NULL);
   peer->messages_in = counter_get (counters, "cherryarch_peer_messages_total",
@@ -361,7 +364,7 @@
   peer->trust = peer_trust_new (peer);
   if (peer->trust == NULL)
     return status_fail (STATUS_NO_MEMORY, "out of memory");
-  if (peer->curve
+  if (peer->uses_curve
       && peer_zap_new (peer, peer->context, config->loop, config->counters, peer->trust) == NULL)
     return STATUS_IO;
   status = bind_router (peer, config->listen);
@@ -369,9 +372,9 @@
 }
 
 static int
-or_default (uint32_t value, int otherwise)
+value_or_default (uint32_t value, int default_value)
 {
-  return value == 0 ? otherwise : (int) value;
+  return value == 0 ? default_value : (int) value;
 }
 
 struct peer_port *
@@ -383,18 +386,18 @@
     return NULL;
   peer->port.ops = &port_ops;
   peer->watch.ops = &watch_ops;
-  peer->again.ops = &again_ops;
+  peer->resume_receive.ops = &resume_receive_ops;
   peer->loop = config->loop;
-  peer->curve = config->secret_key != NULL;
+  peer->uses_curve = config->secret_key != NULL;
   peer->queue_messages = (int) config->queue_messages;
-  peer->reconnect_max_ms = or_default (config->reconnect_max_ms, PEER_RECONNECT_MAX_MS);
-  peer->connect_timeout_ms = or_default (config->connect_timeout_ms, PEER_CONNECT_TIMEOUT_MS);
-  peer->retransmit_max_ms = or_default (config->retransmit_max_ms, PEER_RETRANSMIT_MAX_MS);
-  text_copy_cut (peer->name, sizeof peer->name, config->name);
-  if (peer->curve)
+  peer->reconnect_max_ms = value_or_default (config->reconnect_max_ms, PEER_RECONNECT_MAX_MS);
+  peer->connect_timeout_ms = value_or_default (config->connect_timeout_ms, PEER_CONNECT_TIMEOUT_MS);
+  peer->retransmit_max_ms = value_or_default (config->retransmit_max_ms, PEER_RETRANSMIT_MAX_MS);
+  text_copy_truncated (peer->name, sizeof peer->name, config->name);
+  if (peer->uses_curve)
     {
-      text_copy_cut (peer->secret_key, sizeof peer->secret_key, config->secret_key);
-      text_copy_cut (peer->public_key, sizeof peer->public_key, config->public_key);
+      text_copy_truncated (peer->secret_key, sizeof peer->secret_key, config->secret_key);
+      text_copy_truncated (peer->public_key, sizeof peer->public_key, config->public_key);
     }
   register_counters (peer, config->counters);
   talloc_set_destructor (peer, free_port);
@@ -413,7 +416,7 @@
 }
 
 enum status
-peer_zmq_trust (struct peer_port *port, const char *host, const char *public_key)
+peer_zmq_set_trusted_key (struct peer_port *port, const char *host, const char *public_key)
 {
   struct peer_zmq *peer = (struct peer_zmq *) port;
 
@@ -424,7 +427,7 @@
 }
 
 void
-peer_zmq_count (const struct peer_port *port, struct peer_zmq_traffic *out)
+peer_zmq_get_traffic (const struct peer_port *port, struct peer_zmq_traffic *out)
 {
   *out = ((const struct peer_zmq *) port)->traffic;
 }
--- a/src/peer_zmq.h
+++ b/src/peer_zmq.h
@@ -33,7 +33,9 @@
 /* Sets the public key that a host must present.  Connections with unknown keys are refused, and a
  * message is dropped when the key of its connection does not belong to the host it names as its
  * sender.  NULL `public_key` revokes the keys of the host. */
-enum status peer_zmq_trust (struct peer_port *port, const char *host, const char *public_key);
+enum status peer_zmq_set_trusted_key (struct peer_port *port,
+                                      const char *host,
+                                      const char *public_key);
 
 /* Bytes and messages since the start, for measuring the idle cost. */
 struct peer_zmq_traffic
@@ -44,7 +46,7 @@
   uint64_t bytes_out;
 };
 
-void peer_zmq_count (const struct peer_port *port, struct peer_zmq_traffic *out);
+void peer_zmq_get_traffic (const struct peer_port *port, struct peer_zmq_traffic *out);
 
 END_DECLS
 
--- a/src/peer_zmq_private.h
+++ b/src/peer_zmq_private.h
@@ -19,20 +19,20 @@
   char public_key[BOARD_KEY_SIZE];
   void *socket;
   UT_hash_handle hh;
-  bool was_reached; /* a message was sent to it at least once */
-  bool unreachable; /* the last message found no connection, or a full queue */
+  bool was_connected; /* a message was sent to it at least once */
+  bool unreachable;   /* the last message found no connection, or a full queue */
 };
 
 struct peer_zmq
 {
   struct peer_port port; /* first member: the vtable */
   struct loop_watch watch;
-  struct timer again; /* fires when messages remain after a full batch */
+  struct timer resume_receive; /* fires when messages remain after a full batch */
   struct loop *loop;
   struct peer_trust *trust;
   void *context;
   void *router;
-  bool curve;
+  bool uses_curve;
   char name[RESOURCE_NAME_SIZE];
   char secret_key[BOARD_KEY_SIZE];
   char public_key[BOARD_KEY_SIZE];
@@ -45,7 +45,7 @@
   struct peer_listener *listeners[PEER_CHANNEL_COUNT];
   struct peer_zmq_traffic traffic;
   struct counter *malformed;
-  struct counter *wrong_name;
+  struct counter *sender_mismatch;
   struct counter *not_sent;
   struct counter *messages_in;
   struct counter *messages_out;
--- a/src/peer_zmq_receive.c
+++ b/src/peer_zmq_receive.c
@@ -6,7 +6,7 @@
 #include <zmq.h>
 
 /* Messages received per loop iteration, so that a message flood leaves time for other events. */
-#define PEER_BATCH 256
+#define PEER_RECEIVE_BATCH 256
 
 struct envelope
 {
@@ -27,28 +27,28 @@
     return false;
   pack_read_text (&reader, out->from, sizeof out->from);
   out->channel = (enum peer_channel) pack_read_uint (&reader, PEER_CHANNEL_COUNT - 1);
-  out->payload = pack_read_binary (&reader, PEER_MESSAGE_MAX, &out->length);
-  return pack_read_end (&reader) && out->from[0] != '\0';
+  out->payload = pack_read_binary (&reader, PEER_MESSAGE_BYTES_MAX, &out->length);
+  return pack_read_is_complete (&reader) && out->from[0] != '\0';
 }
 
 /* Prevents a host with a known key from sending in the name of another, or from continuing on an
  * open connection after its key was revoked or replaced.  Each message carries the key its
  * connection authenticated with, and the owner of that key is looked up for each message. */
 static bool
-is_sender (const struct peer_zmq *peer, zmq_msg_t *message, const char *from)
+sender_is_authentic (const struct peer_zmq *peer, zmq_msg_t *message, const char *from)
 {
   const char *key;
   const char *host;
 
-  if (!peer->curve)
+  if (!peer->uses_curve)
     return true;
   key = zmq_msg_gets (message, "User-Id");
-  host = key == NULL ? NULL : peer_trust_host (peer->trust, key);
+  host = key == NULL ? NULL : peer_trust_find_host (peer->trust, key);
   return host != NULL && strcmp (host, from) == 0;
 }
 
 static void
-deliver (struct peer_zmq *peer, zmq_msg_t *message, int64_t now)
+dispatch_message (struct peer_zmq *peer, zmq_msg_t *message, int64_t now)
 {
   struct envelope envelope;
   struct peer_listener *listener;
@@ -62,9 +62,9 @@
       counter_add (peer->malformed, 1);
       return;
     }
-  if (!is_sender (peer, message, envelope.from))
+  if (!sender_is_authentic (peer, message, envelope.from))
     {
-      counter_add (peer->wrong_name, 1);
+      counter_add (peer->sender_mismatch, 1);
       return;
     }
   listener = peer->listeners[envelope.channel];
@@ -75,7 +75,7 @@
 /* Receives one message of any number of frames.  A valid message has two: the routing id and the
  * envelope.  False when no message is pending. */
 static bool
-receive_one (struct peer_zmq *peer, int64_t now)
+receive_message (struct peer_zmq *peer, int64_t now)
 {
   unsigned frames = 0;
   int more = 1;
@@ -93,7 +93,7 @@
       more = zmq_msg_more (&message);
       frames++;
       if (!more && frames == 2)
-        deliver (peer, &message, now);
+        dispatch_message (peer, &message, now);
       else if (!more)
         counter_add (peer->malformed, 1);
       zmq_msg_close (&message);
@@ -108,8 +108,8 @@
 {
   unsigned n = 0;
 
-  while (n < PEER_BATCH && receive_one (peer, now))
+  while (n < PEER_RECEIVE_BATCH && receive_message (peer, now))
     n++;
-  if (n == PEER_BATCH)
-    timer_arm (loop_timers (peer->loop), &peer->again, now);
+  if (n == PEER_RECEIVE_BATCH)
+    timer_arm (loop_timers (peer->loop), &peer->resume_receive, now);
 }
--- a/src/quarantine_control.c
+++ b/src/quarantine_control.c
@@ -37,7 +37,7 @@
 {
   struct peer_port *port = control->config.port;
 
-  if (bytes_failed (message))
+  if (bytes_has_failed (message))
     return false;
   counter_add (control->messages, 1);
   counter_add (control->bytes, (double) message->length);
@@ -97,7 +97,7 @@
   if (quarantine_at (control->table, control->next_to_send) == NULL)
     control->next_to_send = 0;
   write_message (kind, &written, n, &message);
-  if (n > 0 && !bytes_failed (&written))
+  if (n > 0 && !bytes_has_failed (&written))
     send_message (control, host, &message);
   bytes_clear (&message);
   bytes_clear (&written);
@@ -157,7 +157,7 @@
       quarantine_encode_suspect (suspect, now, &written);
       n++;
     }
-  if (n > 0 && !bytes_failed (&written))
+  if (n > 0 && !bytes_has_failed (&written))
     send_update (control, &written, n, peers, n_peers);
   bytes_clear (&written);
 }
@@ -483,7 +483,7 @@
       return NULL;
     }
   create_counters (control);
-  config->port->ops->listen (config->port, PEER_CHANNEL_QUARANTINE, &control->listener);
+  config->port->ops->set_listener (config->port, PEER_CHANNEL_QUARANTINE, &control->listener);
   timer_arm (config->timers, &control->timer, 0);
   talloc_set_destructor (control, free_control);
   return control;
--- a/src/quarantine_wire.c
+++ b/src/quarantine_wire.c
@@ -61,7 +61,7 @@
 
   if (length != REQUEST_DIGEST_SIZE)
     in->failed = true;
-  if (pack_read_ok (in))
+  if (pack_read_is_ok (in))
     memcpy (out->bytes, bytes, REQUEST_DIGEST_SIZE);
 }
 
@@ -76,14 +76,14 @@
   out->n_trials = (uint32_t) pack_read_uint (in, QUARANTINE_TRIALS_MAX);
   out->last_trial = read_age (in, now);
   out->n_crashes = pack_read_array (in, QUARANTINE_CRASHES_MAX);
-  for (uint32_t i = 0; i < out->n_crashes && pack_read_ok (in); i++)
+  for (uint32_t i = 0; i < out->n_crashes && pack_read_is_ok (in); i++)
     {
       out->crashes[i].incarnation = pack_read_uint (in, UINT64_MAX);
       out->crashes[i].from = read_age (in, now);
       out->crashes[i].to = read_age (in, now);
       out->crashes[i].retracted = pack_read_bool (in);
     }
-  return pack_read_ok (in);
+  return pack_read_is_ok (in);
 }
 
 bool
@@ -111,5 +111,5 @@
     default:
       return false;
     }
-  return pack_read_end (&in);
+  return pack_read_is_complete (&in);
 }
--- a/src/raft.c
+++ b/src/raft.c
@@ -101,7 +101,7 @@
   raft->state_changed = true;
   bytes_init (&out, raft);
   raft_members_write (members, &out);
-  if (bytes_failed (&out))
+  if (bytes_has_failed (&out))
     return status_fail (STATUS_NO_MEMORY, "members of a new group");
   status = raft_append_local (raft, RAFT_ENTRY_MEMBERS, out.data, (uint32_t) out.length);
   bytes_clear (&out);
--- a/src/raft_change.c
+++ b/src/raft_change.c
@@ -85,7 +85,7 @@
     return status;
   bytes_init (&out, raft);
   raft_members_write (&members, &out);
-  if (bytes_failed (&out))
+  if (bytes_has_failed (&out))
     return status_fail (STATUS_NO_MEMORY, "members");
   status = raft_append_local (raft, RAFT_ENTRY_MEMBERS, out.data, (uint32_t) out.length);
   bytes_clear (&out);
--- a/src/raft_config.c
+++ b/src/raft_config.c
@@ -160,6 +160,7 @@
       pack_read_text (&in, member->name, sizeof member->name);
       member->voter = pack_read_bool (&in);
     }
-  return pack_read_end (&in) ? STATUS_OK
-                             : status_fail (STATUS_MALFORMED, "malformed members of a group");
+  return pack_read_is_complete (&in)
+             ? STATUS_OK
+             : status_fail (STATUS_MALFORMED, "malformed members of a group");
 }
--- a/src/raft_message.c
+++ b/src/raft_message.c
@@ -63,7 +63,7 @@
   bytes_init (&members, out->parent);
   if (m->offset == 0)
     raft_members_write (&m->members, &members);
-  out->failed |= bytes_failed (&members);
+  out->failed |= bytes_has_failed (&members);
   pack_binary (out, members.data, (uint32_t) members.length);
   bytes_clear (&members);
   pack_binary (out, m->data, m->length);
@@ -191,7 +191,7 @@
     status = read_entries (parent, &in, m);
   if (status == STATUS_OK && (fields[kind] & HAS_CHUNK))
     read_chunk (&in, m);
-  if (status == STATUS_OK && !pack_read_end (&in))
+  if (status == STATUS_OK && !pack_read_is_complete (&in))
     status = status_fail (STATUS_MALFORMED, "malformed raft message of kind %s", kind_texts[kind]);
   if (status != STATUS_OK)
     TALLOC_FREE (m->entries);
--- a/src/raft_snapshot.c
+++ b/src/raft_snapshot.c
@@ -101,7 +101,7 @@
     }
   if (m->offset == in->data.length)
     bytes_append (&in->data, m->data, m->length);
-  if (bytes_failed (&in->data) || in->data.length > in->total)
+  if (bytes_has_failed (&in->data) || in->data.length > in->total)
     {
       bytes_clear (&in->data);
       reply_progress (raft, m, 0);
--- a/src/registry.c
+++ b/src/registry.c
@@ -260,5 +260,5 @@
   registration->slots = (uint32_t) pack_read_uint (in, UINT32_MAX);
   registration->warmup_remaining = (int64_t) pack_read_uint (in, INT64_MAX);
   *age = (int64_t) pack_read_uint (in, INT64_MAX);
-  return pack_read_ok (in);
+  return pack_read_is_ok (in);
 }
--- a/src/request_age.c
+++ b/src/request_age.c
@@ -59,7 +59,7 @@
   if (request_age->n_routes < ROUTES_MAX)
     oldest = &request_age->routes[request_age->n_routes++];
   *oldest = (struct route_times){ .usual = 0 };
-  text_copy_cut (oldest->route, sizeof oldest->route, route);
+  text_copy_truncated (oldest->route, sizeof oldest->route, route);
   return oldest;
 }
 
--- a/src/resource_field.c
+++ b/src/resource_field.c
@@ -7,7 +7,7 @@
 enum status
 field_problem (struct resource_problem *problem, const char *path, const char *message)
 {
-  text_copy_cut (problem->field, sizeof problem->field, path);
+  text_copy_truncated (problem->field, sizeof problem->field, path);
   return status_fail (STATUS_INVALID, "%s: %s", path, message);
 }
 
--- a/src/role_base.c
+++ b/src/role_base.c
@@ -162,7 +162,7 @@
     .request_timeout = H1_DEFAULT_REQUEST_TIMEOUT,
     .idle_timeout = OWN_IDLE_TIMEOUT,
   };
-  base->loop = loop_new_plain (base, settings->connections_max);
+  base->loop = loop_new_without_tls (base, settings->connections_max);
   base->counters = counters_new (base);
   if (base->loop == NULL || base->counters == NULL)
     return STATUS_NO_MEMORY;
--- a/src/settings.c
+++ b/src/settings.c
@@ -47,7 +47,7 @@
   if (parser->status == STATUS_OK)
     {
       parser->status = STATUS_INVALID;
-      text_copy_cut (parser->message, sizeof parser->message, message);
+      text_copy_truncated (parser->message, sizeof parser->message, message);
     }
 }
 
--- a/src/settings_value.c
+++ b/src/settings_value.c
@@ -192,21 +192,22 @@
   switch (key->type)
     {
     case SETTING_NAME:
-      text_copy_cut (out, SETTING_TEXT_SIZE,
-                     "1 to 63 letters, digits, '-' and '.', no '-' or '.' first");
+      text_copy_truncated (out, SETTING_TEXT_SIZE,
+                           "1 to 63 letters, digits, '-' and '.', no '-' or '.' first");
       break;
     case SETTING_LISTEN:
-      text_copy_cut (out, SETTING_TEXT_SIZE,
-                     "IP:PORT, an IPv4 number others reach (not 0.0.0.0), port 0 to 65535");
+      text_copy_truncated (out, SETTING_TEXT_SIZE,
+                           "IP:PORT, an IPv4 number others reach (not 0.0.0.0), port 0 to 65535");
       break;
     case SETTING_PATH:
       snprintf (out, SETTING_TEXT_SIZE, "a path of at most %d bytes", SETTINGS_PATH_SIZE - 1);
       break;
     case SETTING_HASH:
-      text_copy_cut (out, SETTING_TEXT_SIZE, "64 lower-case hex digits, made by `keygen --token`");
+      text_copy_truncated (out, SETTING_TEXT_SIZE,
+                           "64 lower-case hex digits, made by `keygen --token`");
       break;
     case SETTING_BOOL:
-      text_copy_cut (out, SETTING_TEXT_SIZE, "yes or no");
+      text_copy_truncated (out, SETTING_TEXT_SIZE, "yes or no");
       break;
     case SETTING_COUNT:
       snprintf (out, SETTING_TEXT_SIZE, "a whole number from %llu to %llu", low, high);
@@ -220,7 +221,7 @@
                 "at most %llu of NAME@IP:PORT or NAME@IP:PORT/KEY, parted by commas", high);
       break;
     case SETTING_LEVEL:
-      text_copy_cut (out, SETTING_TEXT_SIZE, "error, warning, info or debug");
+      text_copy_truncated (out, SETTING_TEXT_SIZE, "error, warning, info or debug");
       break;
     }
 }
--- a/src/share.c
+++ b/src/share.c
@@ -63,7 +63,7 @@
   entry = talloc_zero (coordinator, struct entry);
   if (entry == NULL)
     return NULL;
-  text_copy_cut (entry->organisation, sizeof entry->organisation, organisation);
+  text_copy_truncated (entry->organisation, sizeof entry->organisation, organisation);
   entry->coordinator_since = now;
   HASH_ADD_STR (coordinator->entries, organisation, entry);
   return entry;
@@ -104,7 +104,7 @@
   lease = talloc_zero (entry, struct lease);
   if (lease == NULL)
     return NULL;
-  text_copy_cut (lease->host, sizeof lease->host, host);
+  text_copy_truncated (lease->host, sizeof lease->host, host);
   LL_PREPEND (entry->leases, lease);
   return lease;
 }
@@ -212,12 +212,12 @@
   pack_reader_init (&reader, data, length);
   out->kind = (enum share_message_kind) pack_read_uint (&reader, SHARE_GRANT);
   out->n_items = pack_read_array (&reader, SHARE_ITEMS_MAX);
-  if (!pack_read_ok (&reader) || out->kind < SHARE_REQUEST)
+  if (!pack_read_is_ok (&reader) || out->kind < SHARE_REQUEST)
     return status_fail (STATUS_MALFORMED, "not a share message: invalid kind or item count");
   out->items = talloc_zero_array (parent, struct share_item, out->n_items + 1);
   if (out->items == NULL)
     return status_fail (STATUS_NO_MEMORY, "out of memory for %u share items", out->n_items);
-  for (i = 0; i < out->n_items && pack_read_ok (&reader); i++)
+  for (i = 0; i < out->n_items && pack_read_is_ok (&reader); i++)
     {
       struct share_item *item = &out->items[i];
 
@@ -226,7 +226,7 @@
       item->sent_at = pack_read_uint (&reader, INT64_MAX);
       valid = valid && is_in_range (out->kind, item->value);
     }
-  if (valid && pack_read_end (&reader))
+  if (valid && pack_read_is_complete (&reader))
     return STATUS_OK;
   TALLOC_FREE (out->items);
   out->n_items = 0;
--- a/src/share_control.c
+++ b/src/share_control.c
@@ -118,7 +118,7 @@
   bytes_init (&bytes, control);
   share_message_write (message, &bytes);
   /* A message that cannot be sent is lost; the next period requests again. */
-  if (!bytes_failed (&bytes))
+  if (!bytes_has_failed (&bytes))
     control->config.port->ops->send (control->config.port, host, PEER_CHANNEL_LIMIT, bytes.data,
                                      bytes.length);
   bytes_clear (&bytes);
@@ -275,7 +275,7 @@
       talloc_free (control);
       return NULL;
     }
-  config->port->ops->listen (config->port, PEER_CHANNEL_LIMIT, &control->listener);
+  config->port->ops->set_listener (config->port, PEER_CHANNEL_LIMIT, &control->listener);
   timer_arm (config->timers, &control->timer, config->now + SHARE_PERIOD);
   talloc_set_destructor (control, control_free);
   return control;
--- a/src/snapshot.c
+++ b/src/snapshot.c
@@ -64,7 +64,7 @@
 
   bytes_append (out, header, sizeof header);
   raft_members_write (&snapshot->members, out);
-  if (bytes_failed (out))
+  if (bytes_has_failed (out))
     return;
   members_length = out->length - HEADER_SIZE;
   format_put (header, MAGIC);
@@ -125,8 +125,8 @@
   write_head (snapshot, &file);
   bytes_append (&file, payload, snapshot->length);
   snprintf (name, sizeof name, NAME_FORMAT, snapshot->index);
-  status = bytes_failed (&file) ? status_fail (STATUS_NO_MEMORY, "snapshot")
-                                : disk_replace_file (disk, name, file.data, file.length);
+  status = bytes_has_failed (&file) ? status_fail (STATUS_NO_MEMORY, "snapshot")
+                                    : disk_replace_file (disk, name, file.data, file.length);
   bytes_clear (&file);
   return status == STATUS_OK ? remove_older (disk, snapshot->index) : status;
 }
--- a/src/sse.c
+++ b/src/sse.c
@@ -44,7 +44,7 @@
       decoder->name[0] = '\0';
       return STATUS_OK;
     }
-  text_copy_cut (name, sizeof name, decoder->name);
+  text_copy_truncated (name, sizeof name, decoder->name);
   decoder->name[0] = '\0';
   /* The newline of the last line is not part of the data. */
   data.data[--data.length] = '\0';
@@ -64,7 +64,7 @@
     return end_event (decoder, sink);
   value = field_value (line, "event");
   if (value != NULL)
-    text_copy_cut (decoder->name, sizeof decoder->name, value);
+    text_copy_truncated (decoder->name, sizeof decoder->name, value);
   value = field_value (line, "data");
   if (value == NULL)
     return STATUS_OK;
@@ -76,7 +76,7 @@
 static enum status
 check_bounds (const struct sse_decoder *decoder, size_t more)
 {
-  if (bytes_failed (&decoder->line) || bytes_failed (&decoder->data))
+  if (bytes_has_failed (&decoder->line) || bytes_has_failed (&decoder->data))
     return status_fail (STATUS_NO_MEMORY, "no memory for an event");
   if (decoder->line.length + decoder->data.length + more > decoder->max_event_bytes)
     return status_fail (STATUS_TOO_LARGE, "an event of over %zu bytes", decoder->max_event_bytes);
--- a/src/stage.h
+++ b/src/stage.h
@@ -65,7 +65,7 @@
  * of each document. */
 void stage_append_prompt_start (const struct stage_data *data, size_t max, struct bytes *out);
 
-/* Appends the body of the call; check bytes_failed().  Caches the input's JSON text in `data`,
+/* Appends the body of the call; check bytes_has_failed().  Caches the input's JSON text in `data`,
  * because a long document goes to several stages and escaping it is most of the work of a body. */
 void stage_append_body (const struct stage_spec *spec,
                         struct stage_data *data,
--- a/src/stage_body.c
+++ b/src/stage_body.c
@@ -95,7 +95,7 @@
     {
       bytes_consume (&text, text.length);
       stage_append_json (json_object_get (document, "text"), &text);
-      if (bytes_failed (&text) || bytes_failed (out))
+      if (bytes_has_failed (&text) || bytes_has_failed (out))
         break;
       /* The text without its opening quote overwrites the closing quote of the string so far. */
       out->length--;
--- a/src/status.c
+++ b/src/status.c
@@ -8,7 +8,7 @@
 
 static char last_message[STATUS_MESSAGE_SIZE];
 
-static const char *const texts[] = {
+static const char *const status_texts[] = {
 #define X(name, text) [STATUS_##name] = text,
   STATUS_LIST (X)
 #undef X
@@ -19,7 +19,7 @@
 {
   if ((unsigned) status >= STATUS_COUNT)
     return "unknown status";
-  return texts[status];
+  return status_texts[status];
 }
 
 enum status
--- a/src/store.c
+++ b/src/store.c
@@ -42,7 +42,7 @@
     .status = object->status,
   };
 
-  text_copy_cut (event.name, sizeof event.name, object->name);
+  text_copy_truncated (event.name, sizeof event.name, object->name);
   store_history_add (store->history, &event);
   LL_FOREACH_SAFE (store->listeners, listener, following)
   listener->ops->changed (listener, &event);
@@ -293,8 +293,8 @@
   store_clock_save (&store->clock, out);
   store_objects_save (&store->objects, out);
   store_ids_save (store->ids, out);
-  return bytes_failed (out) ? status_fail (STATUS_NO_MEMORY, "no memory for a snapshot")
-                            : STATUS_OK;
+  return bytes_has_failed (out) ? status_fail (STATUS_NO_MEMORY, "no memory for a snapshot")
+                                : STATUS_OK;
 }
 
 static enum status
--- a/src/store_clock.c
+++ b/src/store_clock.c
@@ -42,7 +42,7 @@
   clock->entries++;
   drop_silent_hosts (clock);
   slot = find_slot (clock, host);
-  text_copy_cut (clock->seen[slot].host, sizeof clock->seen[slot].host, host);
+  text_copy_truncated (clock->seen[slot].host, sizeof clock->seen[slot].host, host);
   clock->seen[slot].time_ms = time_ms;
   clock->seen[slot].entry = clock->entries;
   for (i = 0; i < clock->n_seen; i++)
--- a/src/store_group.c
+++ b/src/store_group.c
@@ -63,7 +63,7 @@
   for (number = 0; number < STORE_PART_COUNT && status == STATUS_OK; number++)
     if (group->parts[number] != NULL)
       status = save_part (group->parts[number], number, out);
-  if (status == STATUS_OK && bytes_failed (out))
+  if (status == STATUS_OK && bytes_has_failed (out))
     return status_fail (STATUS_NO_MEMORY, "no memory for a snapshot");
   return status;
 }
--- a/src/store_ids.c
+++ b/src/store_ids.c
@@ -108,7 +108,7 @@
   id->added_ms = now_ms;
   bytes_init (&id->answer, id);
   bytes_append (&id->answer, answer, length);
-  INVARIANT (!bytes_failed (&id->answer));
+  INVARIANT (!bytes_has_failed (&id->answer));
   HASH_ADD_STR (ids->by_id, change_id, id);
   DL_APPEND (ids->oldest, id);
   ids->count++;
--- a/src/store_pack.h
+++ b/src/store_pack.h
@@ -45,7 +45,7 @@
 static inline enum status
 store_read_end (const struct pack_reader *in)
 {
-  if (!pack_read_end (in))
+  if (!pack_read_is_complete (in))
     return status_fail (STATUS_MALFORMED, "entry or message is malformed");
   return STATUS_OK;
 }
--- a/src/subscriber.c
+++ b/src/subscriber.c
@@ -38,7 +38,7 @@
     .named_at = now,
     .last_nonce = self->self.incarnation,
   };
-  text_copy_cut (controller->name, sizeof controller->name, name);
+  text_copy_truncated (controller->name, sizeof controller->name, name);
   return controller;
 }
 
@@ -53,7 +53,7 @@
 
       if (controller->seed || now - last <= CONTROLLER_TTL)
         continue;
-      self->config.port->ops->forget (self->config.port, controller->name);
+      self->config.port->ops->remove_host (self->config.port, controller->name);
       talloc_free (controller->list);
       *controller = self->controllers[--self->n_controllers];
       self->view_stale = true;
@@ -82,7 +82,7 @@
   bytes_init (&out, NULL);
   sync_write_header (SYNC_REQUEST, &out);
   sync_write_request (&request, &out);
-  if (!bytes_failed (&out))
+  if (!bytes_has_failed (&out))
     self->config.port->ops->send (self->config.port, controller->name, PEER_CHANNEL_SYNC, out.data,
                                   out.length);
   bytes_clear (&out);
@@ -358,7 +358,7 @@
         controller->seed = true;
     }
   create_counters (self);
-  config->port->ops->listen (config->port, PEER_CHANNEL_SYNC, &self->listener);
+  config->port->ops->set_listener (config->port, PEER_CHANNEL_SYNC, &self->listener);
   timer_arm (config->timers, &self->tick, 0);
   talloc_set_destructor (self, free_subscriber);
   return self;
--- a/src/subscriber_state.c
+++ b/src/subscriber_state.c
@@ -93,7 +93,7 @@
 
   for (uint32_t i = 0; i < n && list != NULL; i++)
     sync_read_host (in, &list[i]);
-  if (list == NULL || !pack_read_ok (in))
+  if (list == NULL || !pack_read_is_ok (in))
     {
       talloc_free (list);
       return;
@@ -115,7 +115,7 @@
       struct known_controller *controller;
 
       pack_read_text (in, name, sizeof name);
-      if (!pack_read_ok (in))
+      if (!pack_read_is_ok (in))
         return;
       controller = subscriber_add_controller (self, name, now);
       if (controller != NULL)
@@ -172,7 +172,7 @@
     return;
   if (state.has_document)
     text = pack_read_binary (in, SYNC_DOCUMENT_MAX, &length);
-  if (!pack_read_ok (in))
+  if (!pack_read_is_ok (in))
     return;
   controller->heard = now;
   subscriber_set_reachable (self, controller, true, now);
@@ -181,12 +181,12 @@
     document_take (self->document, state.document, text, length);
   read_targets (self, in, now);
   read_renewals (self, in, now);
-  if (state.has_hosts && pack_read_ok (in))
+  if (state.has_hosts && pack_read_is_ok (in))
     read_hosts (self, controller, in);
-  if (pack_read_ok (in))
+  if (pack_read_is_ok (in))
     read_controllers (self, in, now);
   subscriber_report_changed (self, revision, now);
-  if (!pack_read_end (in))
+  if (!pack_read_is_complete (in))
     {
       counter_add (self->malformed, 1);
       return;
--- a/src/sync.c
+++ b/src/sync.c
@@ -16,7 +16,7 @@
   if (pack_read_uint (in, UINT64_MAX) != SYNC_VERSION)
     in->failed = true;
   *type = (enum sync_message) pack_read_uint (in, SYNC_MESSAGE_COUNT - 1);
-  return pack_read_ok (in);
+  return pack_read_is_ok (in);
 }
 
 void
@@ -41,7 +41,7 @@
   host->incarnation = pack_read_uint (in, UINT64_MAX);
   host->ready = pack_read_bool (in);
   host->leaving = pack_read_bool (in);
-  return pack_read_ok (in);
+  return pack_read_is_ok (in);
 }
 
 void
@@ -90,7 +90,7 @@
   state->hosts = pack_read_uint (in, UINT64_MAX);
   state->has_document = pack_read_bool (in);
   state->has_hosts = pack_read_bool (in);
-  return pack_read_ok (in);
+  return pack_read_is_ok (in);
 }
 
 void
@@ -109,5 +109,5 @@
   renewal->started = pack_read_uint (in, UINT64_MAX);
   renewal->sequence = pack_read_uint (in, UINT64_MAX);
   renewal->age = pack_read_uint (in, INT64_MAX);
-  return pack_read_ok (in);
+  return pack_read_is_ok (in);
 }
--- a/src/table.c
+++ b/src/table.c
@@ -82,7 +82,7 @@
 
 /* Allocates a slot and returns its index, TABLE_NO_SLOT when the table is full or out of memory. */
 static uint32_t
-take_slot (struct table *table)
+allocate_slot (struct table *table)
 {
   uint32_t index = table->first_free;
 
@@ -103,7 +103,7 @@
 void *
 table_add (struct table *table, struct handle *out)
 {
-  uint32_t index = take_slot (table);
+  uint32_t index = allocate_slot (table);
   struct table_slot *slot;
   void *entry;
 
--- a/src/target_watch.c
+++ b/src/target_watch.c
@@ -254,8 +254,8 @@
   if (watched == NULL)
     return NULL;
   watched->watch = watch;
-  text_copy_cut (watched->id, sizeof watched->id, target->id);
-  text_copy_cut (watched->address, sizeof watched->address, target->address);
+  text_copy_truncated (watched->id, sizeof watched->id, target->id);
+  text_copy_truncated (watched->address, sizeof watched->address, target->address);
   watched->started = target->started;
   watched->incarnation = target->id_hash;
   watched->broke_at = now;
--- a/src/tcp.c
+++ b/src/tcp.c
@@ -147,7 +147,7 @@
 
       if (sent < 0 && is_transient (errno))
         {
-          loop_want_write (&stream->watch);
+          loop_request_writable (&stream->watch);
           return;
         }
       if (sent < 0)
@@ -238,7 +238,7 @@
 }
 
 static const struct loop_watch_ops stream_watch_ops = {
-  .ready = on_readable,
+  .readable = on_readable,
   .writable = on_writable,
   .hung_up = on_hung_up,
 };
@@ -297,7 +297,7 @@
   stream->connecting = true;
   status = open_stream (stream, fd);
   if (status == STATUS_OK)
-    loop_want_write (&stream->watch);
+    loop_request_writable (&stream->watch);
   return status;
 }
 
@@ -315,10 +315,10 @@
       bytes_init (stream->unsent, stream->unsent);
     }
   bytes_append (stream->unsent, data, length);
-  if (bytes_failed (stream->unsent))
+  if (bytes_has_failed (stream->unsent))
     tcp_fail (stream, TCP_END_MEMORY);
   else
-    loop_want_write (&stream->watch);
+    loop_request_writable (&stream->watch);
 }
 
 void
@@ -423,7 +423,7 @@
     }
 }
 
-static const struct loop_watch_ops listener_watch_ops = { .ready = on_acceptable };
+static const struct loop_watch_ops listener_watch_ops = { .readable = on_acceptable };
 
 enum status
 tcp_listen (struct tcp_listener *listener,
--- a/src/text.h
+++ b/src/text.h
@@ -23,7 +23,7 @@
 
 /* Copies `text`, truncated to `size - 1` bytes. */
 static inline void
-text_copy_cut (char *out, size_t size, const char *text)
+text_copy_truncated (char *out, size_t size, const char *text)
 {
   snprintf (out, size, "%s", text);
 }
--- a/src/timer.c
+++ b/src/timer.c
@@ -123,7 +123,7 @@
 }
 
 int64_t
-timer_service_next (const struct timer_service *service)
+timer_service_next_due (const struct timer_service *service)
 {
   return service->count == 0 ? USEC_NEVER : service->heap[1]->due;
 }
--- a/src/timer.h
+++ b/src/timer.h
@@ -43,7 +43,7 @@
 unsigned timer_service_run (struct timer_service *service, int64_t now);
 
 /* The due time of the earliest timer, USEC_NEVER when none is armed. */
-int64_t timer_service_next (const struct timer_service *service);
+int64_t timer_service_next_due (const struct timer_service *service);
 
 END_DECLS
 
--- a/src/tls_session.c
+++ b/src/tls_session.c
@@ -100,7 +100,7 @@
 
   while ((n = BIO_read (session->out, piece, sizeof piece)) > 0)
     bytes_append (out, piece, (size_t) n);
-  return bytes_failed (out) ? status_fail (STATUS_NO_MEMORY, "out of memory") : STATUS_OK;
+  return bytes_has_failed (out) ? status_fail (STATUS_NO_MEMORY, "out of memory") : STATUS_OK;
 }
 
 static bool
@@ -128,7 +128,7 @@
   ERR_clear_error ();
   while ((n = SSL_read (session->ssl, piece, sizeof piece)) > 0)
     bytes_append (plain, piece, (size_t) n);
-  if (bytes_failed (plain))
+  if (bytes_has_failed (plain))
     return status_fail (STATUS_NO_MEMORY, "out of memory");
   if (wants_more (session, n) || SSL_get_error (session->ssl, n) == SSL_ERROR_ZERO_RETURN)
     return STATUS_OK;
--- a/src/work.c
+++ b/src/work.c
@@ -112,12 +112,13 @@
   local->demand.due = order->due;
   local->demand.may_reject = order->may_reject;
   local->deadline = order->deadline;
-  text_copy_cut (local->origin, sizeof local->origin, work->config.name);
-  text_copy_cut (local->request, sizeof local->request, order->request);
-  text_copy_cut (local->pool, sizeof local->pool, order->pool);
-  text_copy_cut (local->domain, sizeof local->domain, order->domain);
-  text_copy_cut (local->preferred_domain, sizeof local->preferred_domain, order->preferred_domain);
-  text_copy_cut (local->key, sizeof local->key, order->key);
+  text_copy_truncated (local->origin, sizeof local->origin, work->config.name);
+  text_copy_truncated (local->request, sizeof local->request, order->request);
+  text_copy_truncated (local->pool, sizeof local->pool, order->pool);
+  text_copy_truncated (local->domain, sizeof local->domain, order->domain);
+  text_copy_truncated (local->preferred_domain, sizeof local->preferred_domain,
+                       order->preferred_domain);
+  text_copy_truncated (local->key, sizeof local->key, order->key);
   if (order->inputs_copy != NULL)
     local->inputs = talloc_strdup (local, order->inputs_copy);
   order->local = local;
@@ -146,13 +147,13 @@
   struct work_owner *owner;
 
   work_choose_domain (work, order, now);
-  text_copy_cut (order->owner, sizeof order->owner,
-                 work_owner_of (work, order->pool, order->domain, now));
+  text_copy_truncated (order->owner, sizeof order->owner,
+                       work_owner_of (work, order->pool, order->domain, now));
   timer_arm (work->config.timers, &order->timer, order->deadline);
   owner = work_owner_get (work, order->owner);
   if (owner == NULL || strcmp (order->owner, work->config.name) == 0)
     {
-      text_copy_cut (order->owner, sizeof order->owner, work->config.name);
+      text_copy_truncated (order->owner, sizeof order->owner, work->config.name);
       work_owner_add_orders (work, order->owner, 1);
       run_locally (work, order, now);
       return;
@@ -361,7 +362,7 @@
   for (uint32_t i = 0; i < out->n; i++)
     if (!work_message_read_result (in, &out->results[i]))
       return false;
-  return pack_read_end (in);
+  return pack_read_is_complete (in);
 }
 
 /* An earlier owner may still answer: its results are as good, but only if complete.  Results for an
@@ -397,7 +398,7 @@
   uint64_t number = pack_read_uint (in, UINT64_MAX);
   struct work_order *order;
 
-  if (!pack_read_end (in))
+  if (!pack_read_is_complete (in))
     return;
   order = find_order (work, number);
   if (order != NULL && strcmp (order->owner, from) == 0 && order->ops->taken != NULL)
@@ -416,7 +417,7 @@
   if (pack_read_uint (&in, UINT64_MAX) != WORK_FORMAT)
     return;
   type = pack_read_uint (&in, WORK_MESSAGE_COUNT - 1);
-  if (!pack_read_ok (&in))
+  if (!pack_read_is_ok (&in))
     return;
   work_owner_heard (work, from, now);
   if (type == WORK_RUN)
@@ -478,7 +479,7 @@
                               "Stages ordered again for want of news.", NULL);
   work->failed = counter_get (config->counters, "cherryarch_work_failed_total",
                               "Stages that could not be made in time.", NULL);
-  config->port->ops->listen (config->port, PEER_CHANNEL_WORK, &work->listener);
+  config->port->ops->set_listener (config->port, PEER_CHANNEL_WORK, &work->listener);
   talloc_set_destructor (work, free_work);
   return work;
 }
--- a/src/work_book.c
+++ b/src/work_book.c
@@ -87,8 +87,8 @@
   booking->number = ++work->last_number;
   work_choose_shard (work, booking->pool, booking->home_domain, &booking->refused_shards,
                      booking->domain, now);
-  text_copy_cut (booking->owner, sizeof booking->owner,
-                 work_owner_of (work, booking->pool, booking->domain, now));
+  text_copy_truncated (booking->owner, sizeof booking->owner,
+                       work_owner_of (work, booking->pool, booking->domain, now));
   if (strcmp (booking->owner, work->config.name) == 0)
     book_locally (work, booking, now);
   else
@@ -143,8 +143,8 @@
 {
   if (booking->work == NULL)
     return;
-  text_copy_cut (order->booked_domain, sizeof order->booked_domain, booking->domain);
-  text_copy_cut (order->booked_owner, sizeof order->booked_owner, booking->owner);
+  text_copy_truncated (order->booked_domain, sizeof order->booked_domain, booking->domain);
+  text_copy_truncated (order->booked_owner, sizeof order->booked_owner, booking->owner);
   order->refused_shards = booking->refused_shards;
   end_booking (booking->work, booking);
 }
@@ -188,7 +188,7 @@
   demand.urgency = (uint32_t) pack_read_uint (in, UINT32_MAX);
   demand.due = now + (int64_t) pack_read_uint (in, INT32_MAX);
   demand.may_reject = pack_read_bool (in);
-  if (!pack_read_end (in)
+  if (!pack_read_is_complete (in)
       || batch_book (work->config.batch, name.pool, name.domain, name.request, name.stage, &demand,
                      now))
     return;
@@ -203,7 +203,7 @@
   struct booking_name name;
 
   read_name (in, &name);
-  if (pack_read_end (in))
+  if (pack_read_is_complete (in))
     batch_unbook (work->config.batch, name.pool, name.domain, name.request, name.stage);
 }
 
@@ -213,7 +213,7 @@
   uint64_t number = pack_read_uint (in, UINT64_MAX);
   struct work_booking *booking;
 
-  if (!pack_read_end (in))
+  if (!pack_read_is_complete (in))
     return;
   DL_FOREACH (work->bookings, booking)
     if (booking->number == number && strcmp (booking->owner, from) == 0)
--- a/src/work_message.c
+++ b/src/work_message.c
@@ -15,7 +15,7 @@
 {
   enum status status = STATUS_NO_MEMORY;
 
-  if (!bytes_failed (out))
+  if (!bytes_has_failed (out))
     status = work->config.port->ops->send (work->config.port, host, PEER_CHANNEL_WORK, out->data,
                                            out->length);
   bytes_clear (out);
@@ -34,7 +34,7 @@
 {
   pack_read_text (in, out->target, sizeof out->target);
   pack_read_text (in, out->handle, sizeof out->handle);
-  return pack_read_ok (in);
+  return pack_read_is_ok (in);
 }
 
 static uint64_t
--- a/src/work_owner.c
+++ b/src/work_owner.c
@@ -41,7 +41,7 @@
   if (owner == NULL)
     return NULL;
   *owner = (struct work_owner){ .n_orders = 0 };
-  text_copy_cut (owner->name, sizeof owner->name, name);
+  text_copy_truncated (owner->name, sizeof owner->name, name);
   return owner;
 }
 
@@ -104,8 +104,8 @@
       if (work->n_shards == WORK_SHARDS_MAX)
         return;
       shard = &work->shards[work->n_shards++];
-      text_copy_cut (shard->pool, sizeof shard->pool, pool);
-      text_copy_cut (shard->domain, sizeof shard->domain, domain);
+      text_copy_truncated (shard->pool, sizeof shard->pool, pool);
+      text_copy_truncated (shard->domain, sizeof shard->domain, domain);
     }
   shard->wait = wait;
   shard->smoothed_wait = smoothed_wait;
@@ -191,7 +191,7 @@
     }
   if (best == NULL)
     return false;
-  text_copy_cut (out, ROUTING_NAME_SIZE, best->domain);
+  text_copy_truncated (out, ROUTING_NAME_SIZE, best->domain);
   return true;
 }
 
@@ -207,7 +207,7 @@
 
   if (domain[0] == '\0' || refused->n == WORK_REFUSED_SHARDS_MAX)
     return false;
-  text_copy_cut (refused->domains[refused->n++], ROUTING_NAME_SIZE, domain);
+  text_copy_truncated (refused->domains[refused->n++], ROUTING_NAME_SIZE, domain);
   has_other =
       work_pool_is_split (work, pool) && work_choose_shard (work, pool, "", refused, other, 0);
   log_event (LOG_MODULE_FLOW, LOG_LEVEL_INFO, "part-refused", "{s:s,s:s,s:s,s:i,s:b}", "id",
@@ -257,7 +257,7 @@
   const struct work_shard_list none = { .n = 0 };
 
   if (can_use_booked_shard (work, order))
-    text_copy_cut (order->domain, sizeof order->domain, order->booked_domain);
+    text_copy_truncated (order->domain, sizeof order->domain, order->booked_domain);
   else if (!work_choose_shard (work, order->pool, wanted, &order->refused_shards, order->domain,
                                now))
     work_choose_shard (work, order->pool, wanted, &none, order->domain, now);
--- a/src/work_remote.c
+++ b/src/work_remote.c
@@ -68,7 +68,7 @@
   deadline = pack_read_uint (in, INT32_MAX);
   read.demand.may_reject = pack_read_bool (in);
   read.demand.n_pieces = (uint32_t) pack_read_uint (in, DIALECT_PIECES_MAX);
-  if (!pack_read_end (in) || read.demand.n_pieces == 0
+  if (!pack_read_is_complete (in) || read.demand.n_pieces == 0
       || batch_find_order (work->config.batch, from, number) != NULL)
     return;
   order = batch_order_new (work->config.batch, read.demand.n_pieces);
@@ -79,7 +79,7 @@
   read.n_pending = order->n_pending;
   read.attempts = order->attempts;
   *order = read;
-  text_copy_cut (order->origin, sizeof order->origin, from);
+  text_copy_truncated (order->origin, sizeof order->origin, from);
   order->demand.due = now + (int64_t) due;
   order->deadline = now + (int64_t) deadline;
   if (inputs_length > 0)
@@ -93,7 +93,7 @@
   uint64_t number = pack_read_uint (in, UINT64_MAX);
   struct batch_order *order;
 
-  if (!pack_read_end (in))
+  if (!pack_read_is_complete (in))
     return;
   order = batch_find_order (work->config.batch, from, number);
   if (order != NULL)
--- a/tests/flow_harness.h
+++ b/tests/flow_harness.h
@@ -321,9 +321,9 @@
   {
     int64_t until = now + span;
 
-    while (timer_service_next (timers) <= until)
+    while (timer_service_next_due (timers) <= until)
       {
-        now = timer_service_next (timers);
+        now = timer_service_next_due (timers);
         timer_service_run (timers, now);
         store_unless_manual ();
       }
--- a/tests/h1_client_harness.h
+++ b/tests/h1_client_harness.h
@@ -76,7 +76,7 @@
 class H1Client : public ::testing::Test
 {
 protected:
-  struct loop *loop = loop_new_plain (nullptr, 64);
+  struct loop *loop = loop_new_without_tls (nullptr, 64);
   struct counters *counters = counters_new (loop);
   struct h1_client *client = make_h1_client (loop, counters);
   std::unique_ptr<raw_target> target = std::make_unique<raw_target> (loop);
--- a/tests/sync_harness.h
+++ b/tests/sync_harness.h
@@ -24,7 +24,7 @@
     static const struct peer_port_ops ops = {
       .set_address = [] (struct peer_port *, const char *, const char *,
                          const char *) { return STATUS_OK; },
-      .forget = [] (struct peer_port *, const char *) {},
+      .remove_host = [] (struct peer_port *, const char *) {},
       .send =
           [] (struct peer_port *base, const char *host, enum peer_channel channel, const void *data,
               size_t length) {
@@ -36,7 +36,7 @@
                                      std::string (static_cast<const char *> (data), length));
             return STATUS_OK;
           },
-      .listen =
+      .set_listener =
           [] (struct peer_port *base, enum peer_channel channel, struct peer_listener *listener) {
             reinterpret_cast<recording_port *> (base)->listeners[channel] = listener;
           },
--- a/tests/unit_base.cc
+++ b/tests/unit_base.cc
@@ -82,11 +82,11 @@
       timer_arm (service, &r[i].timer, 30 - i * 10);
     }
   timer_disarm (service, &r[1].timer);
-  EXPECT_EQ (timer_service_next (service), 10);
+  EXPECT_EQ (timer_service_next_due (service), 10);
   EXPECT_EQ (timer_service_run (service, 9), 0u);
   EXPECT_EQ (timer_service_run (service, 30), 2u);
   EXPECT_EQ (order, (std::vector<int>{ 2, 0 }));
-  EXPECT_EQ (timer_service_next (service), USEC_NEVER);
+  EXPECT_EQ (timer_service_next_due (service), USEC_NEVER);
   talloc_free (service);
 }
 
@@ -129,7 +129,7 @@
     bytes_append_format (&bytes, "%d,", i);
   bytes_consume (&bytes, 4);
   EXPECT_EQ (std::string (bytes.data, 4), "2,3,");
-  EXPECT_FALSE (bytes_failed (&bytes));
+  EXPECT_FALSE (bytes_has_failed (&bytes));
   bytes_clear (&bytes);
 }
 
@@ -140,18 +140,18 @@
   struct bytes bytes;
 
   bytes_init (&bytes, nullptr);
-  bytes_append_within (&bytes, "1234", 4, 6);
-  bytes_append_within (&bytes, "56", 2, 6);
-  EXPECT_FALSE (bytes_failed (&bytes));
-  bytes_append_within (&bytes, "7", 1, 6);
-  EXPECT_TRUE (bytes_failed (&bytes));
+  bytes_append_limited (&bytes, "1234", 4, 6);
+  bytes_append_limited (&bytes, "56", 2, 6);
+  EXPECT_FALSE (bytes_has_failed (&bytes));
+  bytes_append_limited (&bytes, "7", 1, 6);
+  EXPECT_TRUE (bytes_has_failed (&bytes));
   bytes_consume (&bytes, 4);
-  bytes_append_within (&bytes, "8", 1, 6);
+  bytes_append_limited (&bytes, "8", 1, 6);
   bytes_append_text (&bytes, "9");
   EXPECT_EQ (std::string (bytes.data, bytes.length), "56");
-  EXPECT_TRUE (bytes_failed (&bytes));
+  EXPECT_TRUE (bytes_has_failed (&bytes));
   bytes_clear (&bytes);
-  EXPECT_FALSE (bytes_failed (&bytes));
+  EXPECT_FALSE (bytes_has_failed (&bytes));
 }
 
 TEST (Status, KeepsTheLastMessage)
--- a/tests/unit_consensus_remote.cc
+++ b/tests/unit_consensus_remote.cc
@@ -45,7 +45,7 @@
 }
 
 const struct peer_port_ops port_ops = {
-  .set_address = nullptr, .forget = nullptr, .send = port_send, .listen = port_listen
+  .set_address = nullptr, .remove_host = nullptr, .send = port_send, .set_listener = port_listen
 };
 
 struct caller
--- a/tests/unit_decide_share.cc
+++ b/tests/unit_decide_share.cc
@@ -133,7 +133,7 @@
 }
 
 const struct peer_port_ops port_ops = {
-  .set_address = nullptr, .forget = nullptr, .send = send_message, .listen = listen_to
+  .set_address = nullptr, .remove_host = nullptr, .send = send_message, .set_listener = listen_to
 };
 
 class ShareControl : public ::testing::Test
--- a/tests/unit_edges_answers.cc
+++ b/tests/unit_edges_answers.cc
@@ -78,7 +78,7 @@
 class Answers : public ::testing::Test
 {
 protected:
-  struct loop *loop = loop_new_plain (nullptr, 600);
+  struct loop *loop = loop_new_without_tls (nullptr, 600);
 
   void
   TearDown () override
@@ -93,7 +93,7 @@
     for (size_t at = 0; at < wire.size (); at += at_once ? wire.size () : 1)
       {
         ::send (server.taken.back (), &wire[at], at_once ? wire.size () : 1, MSG_NOSIGNAL);
-        loop_once (loop, 0);
+        loop_run_once (loop, 0);
       }
     server.hang_up ();
   }
--- a/tests/unit_edges_client.cc
+++ b/tests/unit_edges_client.cc
@@ -126,17 +126,17 @@
           {
             ::send (server.taken.back (), at, at_once ? strlen (at) : 1, MSG_NOSIGNAL);
             if (!at_once || at[1] == '\0')
-              loop_once (loop, 0);
+              loop_run_once (loop, 0);
           }
         for (int i = 0; i < 3; i++)
-          loop_once (loop, USEC_PER_MSEC);
+          loop_run_once (loop, USEC_PER_MSEC);
         server.hang_up (at_once);
         ASSERT_TRUE (run_until (loop, [&] { return probe.over (); })) << answer.story;
         EXPECT_EQ (probe.failures, 1) << answer.story;
         EXPECT_EQ (probe.ends, 0) << answer.story;
         EXPECT_TRUE (probe.sent) << answer.story;
         for (int i = 0; i < 3; i++)
-          loop_once (loop, USEC_PER_MSEC);
+          loop_run_once (loop, USEC_PER_MSEC);
         EXPECT_EQ (probe.failures + probe.ends, 1) << answer.story;
       }
   talloc_free (loop);
@@ -168,14 +168,14 @@
           {
             server.send (at_once ? answer : answer.substr (at, 1));
             if (!at_once)
-              loop_once (loop, 0);
+              loop_run_once (loop, 0);
           }
         server.hang_up ();
         ASSERT_TRUE (run_until (loop, [&] { return probe.over (); })) << answer;
         EXPECT_EQ (probe.ends, 1) << answer << at_once;
         EXPECT_EQ (probe.body, "hello") << answer << at_once;
         for (int i = 0; i < 3; i++)
-          loop_once (loop, USEC_PER_MSEC);
+          loop_run_once (loop, USEC_PER_MSEC);
         EXPECT_EQ (probe.failures + probe.ends, 1) << answer;
       }
   talloc_free (loop);
@@ -255,7 +255,7 @@
       EXPECT_EQ (probe.ends, 1) << round;
       server.hang_up ();
       for (int i = 0; i < 3; i++)
-        loop_once (loop, USEC_PER_MSEC);
+        loop_run_once (loop, USEC_PER_MSEC);
     }
 
   call_probe first;
@@ -285,7 +285,7 @@
       EXPECT_EQ (crossed.failures, 1);
       EXPECT_TRUE (crossed.sent);
       for (int i = 0; i < 3; i++)
-        loop_once (loop, USEC_PER_MSEC);
+        loop_run_once (loop, USEC_PER_MSEC);
       EXPECT_LT (accept4 (server.listener, nullptr, nullptr, SOCK_NONBLOCK), 0);
     }
   talloc_free (loop);
@@ -311,7 +311,7 @@
   ASSERT_EQ (server.taken.size (), 2u);
   ::send (server.taken[0], "HTTP/1.1 200 OK\r\ncontent-length: 4\r\n\r\nlate", 41, MSG_NOSIGNAL);
   for (int i = 0; i < 3; i++)
-    loop_once (loop, USEC_PER_MSEC);
+    loop_run_once (loop, USEC_PER_MSEC);
   EXPECT_FALSE (next.over ());
   server.send ("HTTP/1.1 200 OK\r\ncontent-length: 4\r\n\r\nnext");
   ASSERT_TRUE (run_until (loop, [&] { return next.over (); }));
@@ -380,7 +380,7 @@
       held->ops->write (held, piece.data (), piece.size ());
       all += piece;
       if (i % 50 == 0)
-        loop_once (server.loop, 0);
+        loop_run_once (server.loop, 0);
     }
   held->ops->finish (held);
   ASSERT_TRUE (run_until (server.loop, [&] { return probe.over (); }));
--- a/tests/unit_edges_framing.cc
+++ b/tests/unit_edges_framing.cc
@@ -126,7 +126,7 @@
 
         ::send (server->taken.back (), part.data (), part.size (), MSG_NOSIGNAL);
         if (!at_once)
-          loop_once (loop, 0);
+          loop_run_once (loop, 0);
       }
     if (how == ending::RESET && whole)
       run_until (loop, [&] { return probe.over (); });
--- a/tests/unit_edges_loop.cc
+++ b/tests/unit_edges_loop.cc
@@ -54,7 +54,7 @@
   lws_sul_schedule (
       loop_context (loop), 0, &later, [] (lws_sorted_usec_list_t *) {}, 60 * USEC_PER_SEC);
   for (int64_t wait = 0; wait < 200; wait++)
-    loop_once (loop, wait);
+    loop_run_once (loop, wait);
   EXPECT_LT (loop_now (loop), start + 30 * USEC_PER_SEC);
   lws_sul_cancel (&later);
   talloc_free (loop);
@@ -68,7 +68,7 @@
 };
 
 const struct loop_watch_ops pipe_probe_ops = {
-  .ready =
+  .readable =
       [] (struct loop_watch *watch, int64_t) {
         auto *probe = reinterpret_cast<struct pipe_probe *> (watch);
         char buffer[16];
@@ -93,12 +93,12 @@
   ASSERT_EQ (loop_watch_fd (loop, &probe.watch, ends[0]), STATUS_OK);
   ASSERT_EQ (write (ends[1], "ab", 2), 2);
   for (int64_t until = loop_now (loop) + WAIT; probe.seen.size () < 2 && loop_now (loop) < until;)
-    loop_once (loop, USEC_PER_SEC);
+    loop_run_once (loop, USEC_PER_SEC);
   EXPECT_EQ (probe.seen, "ab");
   loop_unwatch (loop, &probe.watch);
   ASSERT_EQ (write (ends[1], "c", 1), 1);
   for (int i = 0; i < 5; i++)
-    loop_once (loop, USEC_PER_MSEC);
+    loop_run_once (loop, USEC_PER_MSEC);
   EXPECT_EQ (probe.seen, "ab");
   char left;
   EXPECT_EQ (read (ends[0], &left, 1), 1); // still open, and its byte is unread
--- a/tests/unit_edges_peer.cc
+++ b/tests/unit_edges_peer.cc
@@ -96,7 +96,7 @@
     while (box.messages.size () == before && loop_now (loop) < end)
       {
         from->ops->send (from, to, PEER_CHANNEL_MEMBER, text, strlen (text));
-        loop_once (loop, 10 * USEC_PER_MSEC);
+        loop_run_once (loop, 10 * USEC_PER_MSEC);
       }
     return box.messages.size () > before;
   }
@@ -117,7 +117,7 @@
     while (count (counter) == before && loop_now (loop) < end)
       {
         from->ops->send (from, to, PEER_CHANNEL_MEMBER, "x", 1);
-        loop_once (loop, 10 * USEC_PER_MSEC);
+        loop_run_once (loop, 10 * USEC_PER_MSEC);
       }
     return count (counter) > before;
   }
@@ -133,7 +133,7 @@
   struct peer_port *a = host ("a", nullptr);
   struct peer_port *b = host ("b", nullptr);
 
-  b->ops->listen (b, PEER_CHANNEL_MEMBER, &box.listener);
+  b->ops->set_listener (b, PEER_CHANNEL_MEMBER, &box.listener);
   ASSERT_EQ (a->ops->set_address (a, "b", address (b).c_str (), nullptr), STATUS_OK);
   ASSERT_TRUE (send_until_received (a, "b", "hello"));
   EXPECT_EQ (box.messages[0], "a:hello");
@@ -147,11 +147,11 @@
   struct peer_zmq_traffic from;
   struct peer_zmq_traffic to;
 
-  b->ops->listen (b, PEER_CHANNEL_MEMBER, &box.listener);
+  b->ops->set_listener (b, PEER_CHANNEL_MEMBER, &box.listener);
   ASSERT_EQ (a->ops->set_address (a, "b", address (b).c_str (), nullptr), STATUS_OK);
   ASSERT_TRUE (send_until_received (a, "b", "hello"));
-  peer_zmq_count (a, &from);
-  peer_zmq_count (b, &to);
+  peer_zmq_get_traffic (a, &from);
+  peer_zmq_get_traffic (b, &to);
   EXPECT_GT (to.messages_in, 0U);
   EXPECT_GT (to.bytes_in, to.messages_in * strlen ("hello"));
   EXPECT_EQ (count ("cherryarch_peer_messages_total", "direction=\"out\""), from.messages_out);
@@ -167,8 +167,8 @@
   struct peer_port *a = host ("a", &ka);
   struct peer_port *b = host ("b", &kb);
 
-  b->ops->listen (b, PEER_CHANNEL_MEMBER, &box.listener);
-  ASSERT_EQ (peer_zmq_trust (b, "a", ka.public_key), STATUS_OK);
+  b->ops->set_listener (b, PEER_CHANNEL_MEMBER, &box.listener);
+  ASSERT_EQ (peer_zmq_set_trusted_key (b, "a", ka.public_key), STATUS_OK);
   ASSERT_EQ (a->ops->set_address (a, "b", address (b).c_str (), kb.public_key), STATUS_OK);
   ASSERT_TRUE (send_until_received (a, "b", "hello"));
   EXPECT_EQ (box.messages[0], "a:hello");
@@ -183,7 +183,7 @@
   struct peer_port *a = host ("a", &ka);
   struct peer_port *b = host ("b", &kb);
 
-  b->ops->listen (b, PEER_CHANNEL_MEMBER, &box.listener);
+  b->ops->set_listener (b, PEER_CHANNEL_MEMBER, &box.listener);
   ASSERT_EQ (a->ops->set_address (a, "b", address (b).c_str (), kb.public_key), STATUS_OK);
   ASSERT_TRUE (send_until_counted (a, "b", "cherryarch_peer_keys_refused_total"));
   EXPECT_TRUE (box.messages.empty ());
@@ -199,8 +199,8 @@
   struct peer_port *a = host ("c", &ka);
   struct peer_port *b = host ("b", &kb);
 
-  b->ops->listen (b, PEER_CHANNEL_MEMBER, &box.listener);
-  ASSERT_EQ (peer_zmq_trust (b, "a", ka.public_key), STATUS_OK);
+  b->ops->set_listener (b, PEER_CHANNEL_MEMBER, &box.listener);
+  ASSERT_EQ (peer_zmq_set_trusted_key (b, "a", ka.public_key), STATUS_OK);
   ASSERT_EQ (a->ops->set_address (a, "b", address (b).c_str (), kb.public_key), STATUS_OK);
   ASSERT_TRUE (send_until_counted (a, "b", "cherryarch_peer_wrong_name_total"));
   EXPECT_TRUE (box.messages.empty ());
@@ -215,11 +215,11 @@
   struct peer_port *a = host ("a", &ka);
   struct peer_port *b = host ("b", &kb);
 
-  b->ops->listen (b, PEER_CHANNEL_MEMBER, &box.listener);
-  ASSERT_EQ (peer_zmq_trust (b, "a", ka.public_key), STATUS_OK);
+  b->ops->set_listener (b, PEER_CHANNEL_MEMBER, &box.listener);
+  ASSERT_EQ (peer_zmq_set_trusted_key (b, "a", ka.public_key), STATUS_OK);
   ASSERT_EQ (a->ops->set_address (a, "b", address (b).c_str (), kb.public_key), STATUS_OK);
   ASSERT_TRUE (send_until_received (a, "b", "hello"));
-  ASSERT_EQ (peer_zmq_trust (b, "a", nullptr), STATUS_OK);
+  ASSERT_EQ (peer_zmq_set_trusted_key (b, "a", nullptr), STATUS_OK);
   size_t before = box.messages.size ();
   ASSERT_TRUE (send_until_counted (a, "b", "cherryarch_peer_wrong_name_total"));
   EXPECT_EQ (box.messages.size (), before);
@@ -234,14 +234,14 @@
   int linger = 0;
   int64_t end = loop_now (loop) + wait_bound;
 
-  b->ops->listen (b, PEER_CHANNEL_MEMBER, &box.listener);
+  b->ops->set_listener (b, PEER_CHANNEL_MEMBER, &box.listener);
   zmq_setsockopt (socket, ZMQ_LINGER, &linger, sizeof linger);
   ASSERT_EQ (zmq_connect (socket, ("tcp://" + address (b)).c_str ()), 0);
   zmq_send (socket, "\x94\x01\xa1", 3, 0);
   zmq_send (socket, "", 0, ZMQ_SNDMORE);
   zmq_send (socket, "three frames", 12, 0);
   while (count ("cherryarch_peer_malformed_total") < 2 && loop_now (loop) < end)
-    loop_once (loop, 10 * USEC_PER_MSEC);
+    loop_run_once (loop, 10 * USEC_PER_MSEC);
   EXPECT_EQ (count ("cherryarch_peer_malformed_total"), 2);
   EXPECT_TRUE (box.messages.empty ());
   zmq_close (socket);
