--- a/tests/unit_edges_peer_faults.cc
+++ b/tests/unit_edges_peer_faults.cc
@@ -53,7 +53,7 @@
     port = peer_zmq_new (nullptr, &config);
     EXPECT_NE (port, nullptr) << status_message ();
     listener.ops = &ops;
-    port->ops->listen (port, PEER_CHANNEL_MEMBER, &listener);
+    port->ops->set_listener (port, PEER_CHANNEL_MEMBER, &listener);
   }
 
   test_host (const test_host &) = delete;
@@ -124,8 +124,8 @@
 
   a.knows (b, &keys_b);
   b.knows (a, &keys_a);
-  peer_zmq_trust (a.port, "b", keys_b.open);
-  peer_zmq_trust (b.port, "a", keys_a.open);
+  peer_zmq_set_trusted_key (a.port, "b", keys_b.open);
+  peer_zmq_set_trusted_key (b.port, "a", keys_a.open);
   ASSERT_TRUE (a.say_when_connected ("b", "0"));
   for (int i = 1; i < 900; i++)
     ASSERT_EQ (a.say ("b", std::to_string (i)), STATUS_OK);
@@ -145,7 +145,7 @@
   struct ring ring;
   struct test_host a (ring.loop, "a", nullptr);
   struct test_host b (ring.loop, "b", nullptr);
-  std::string large (PEER_MESSAGE_MAX, 'l');
+  std::string large (PEER_MESSAGE_BYTES_MAX, 'l');
 
   a.knows (b, nullptr);
   EXPECT_EQ (a.say ("c", "x"), STATUS_NOT_FOUND);
@@ -157,7 +157,7 @@
   ASSERT_EQ (a.say ("b", "y"), STATUS_OK);
   ASSERT_TRUE (run_until (ring.loop, [&] { return b.heard.size () == 2; }));
   EXPECT_EQ (b.heard[1], "a:y");
-  a.port->ops->forget (a.port, "b");
+  a.port->ops->remove_host (a.port, "b");
   EXPECT_EQ (a.say ("b", "x"), STATUS_NOT_FOUND);
 }
 
@@ -173,7 +173,7 @@
   struct test_host b (ring.loop, "b", &keys_b);
   struct test_host x (ring.loop, "a", &keys_x); // claims to be a
 
-  peer_zmq_trust (b.port, "a", keys_a.open);
+  peer_zmq_set_trusted_key (b.port, "a", keys_a.open);
   x.knows (b, &keys_b);
   ASSERT_TRUE (run_until (ring.loop, [&] { return b.counted ("keys_refused") > 0; }));
   EXPECT_NE (x.say ("b", "lie"), STATUS_OK);
@@ -193,8 +193,8 @@
   struct test_host b (ring.loop, "b", &keys_b);
   struct test_host c (ring.loop, "a", &keys_c); // key of c, name of a
 
-  peer_zmq_trust (b.port, "a", keys_a.open);
-  peer_zmq_trust (b.port, "c", keys_c.open);
+  peer_zmq_set_trusted_key (b.port, "a", keys_a.open);
+  peer_zmq_set_trusted_key (b.port, "c", keys_c.open);
   c.knows (b, &keys_b);
   ASSERT_TRUE (c.say_when_connected ("b", "lie"));
   ASSERT_TRUE (run_until (ring.loop, [&] { return b.counted ("wrong_name") > 0; }));
@@ -213,7 +213,7 @@
   struct test_host a (ring.loop, "a", &keys_a);
   struct test_host b (ring.loop, "b", &keys_b);
 
-  peer_zmq_trust (b.port, "a", keys_a.open);
+  peer_zmq_set_trusted_key (b.port, "a", keys_a.open);
   a.knows (b, &keys_b);
   ASSERT_TRUE (a.say_when_connected ("b", "one"));
   ASSERT_TRUE (run_until (ring.loop, [&] { return b.heard.size () == 1; }));
@@ -222,13 +222,13 @@
     {
       double dropped = b.counted ("wrong_name");
 
-      EXPECT_EQ (peer_zmq_trust (b.port, "a", instead), STATUS_OK);
+      EXPECT_EQ (peer_zmq_set_trusted_key (b.port, "a", instead), STATUS_OK);
       ASSERT_EQ (a.say ("b", "two"), STATUS_OK);
       ASSERT_TRUE (run_until (
           ring.loop, [&] { return b.counted ("wrong_name") > dropped || b.heard.size () > 1; }));
       EXPECT_EQ (b.heard.size (), 1u);
     }
-  peer_zmq_trust (b.port, "a", keys_a.open);
+  peer_zmq_set_trusted_key (b.port, "a", keys_a.open);
   ASSERT_EQ (a.say ("b", "three"), STATUS_OK);
   ASSERT_TRUE (run_until (ring.loop, [&] { return b.heard.size () > 1; }));
   EXPECT_EQ (b.heard.back (), "a:three");
@@ -245,9 +245,9 @@
   struct test_host after (ring.loop, "a", &keys_new);
   struct test_host b (ring.loop, "b", &keys_b);
 
-  EXPECT_EQ (peer_zmq_trust (b.port, "a", keys_old.open), STATUS_OK);
-  EXPECT_EQ (peer_zmq_trust (b.port, "a", keys_new.open), STATUS_OK);
-  EXPECT_EQ (peer_zmq_trust (b.port, "c", keys_new.open), STATUS_CONFLICT);
+  EXPECT_EQ (peer_zmq_set_trusted_key (b.port, "a", keys_old.open), STATUS_OK);
+  EXPECT_EQ (peer_zmq_set_trusted_key (b.port, "a", keys_new.open), STATUS_OK);
+  EXPECT_EQ (peer_zmq_set_trusted_key (b.port, "c", keys_new.open), STATUS_CONFLICT);
   before.knows (b, &keys_b);
   after.knows (b, &keys_b);
   ASSERT_TRUE (before.say_when_connected ("b", "old"));
@@ -289,7 +289,7 @@
                  "a\x00"
                  "b\x00\xc4\x01x",
                  10), // NUL in the name
-    std::string (PEER_MESSAGE_MAX + 1000, 'x'),
+    std::string (PEER_MESSAGE_BYTES_MAX + 1000, 'x'),
   };
   int linger = 0;
 
@@ -322,14 +322,14 @@
   auto b = std::make_unique<struct test_host> (ring.loop, "b", &keys_b);
   std::string address = b->address ();
 
-  peer_zmq_trust (b->port, "a", keys_a.open);
+  peer_zmq_set_trusted_key (b->port, "a", keys_a.open);
   a.knows (*b, &keys_b);
   ASSERT_TRUE (a.say_when_connected ("b", "one"));
   ASSERT_TRUE (run_until (ring.loop, [&] { return b->heard.size () == 1; }));
   b.reset ();
   ASSERT_TRUE (run_until (ring.loop, [&] { return a.say ("b", "lost") == STATUS_AGAIN; }));
   b = std::make_unique<struct test_host> (ring.loop, "b", &keys_b);
-  peer_zmq_trust (b->port, "a", keys_a.open);
+  peer_zmq_set_trusted_key (b->port, "a", keys_a.open);
   a.knows (*b, &keys_b); // at its new port
   ASSERT_TRUE (a.say_when_connected ("b", "two"));
   ASSERT_TRUE (run_until (ring.loop, [&] { return b->heard.size () == 1; }));
--- a/tests/unit_edges_server.cc
+++ b/tests/unit_edges_server.cc
@@ -76,7 +76,7 @@
       // While the request is in progress, the pipelined data behind it must not make the loop spin.
       for (int64_t until = loop_now (server.loop) + 100 * USEC_PER_MSEC;
            loop_now (server.loop) < until; turns++)
-        loop_once (server.loop, 20 * USEC_PER_MSEC);
+        loop_run_once (server.loop, 20 * USEC_PER_MSEC);
       EXPECT_LT (turns, 50);
       test_server::echo (held);
       ASSERT_TRUE (caller.wait_closed ());
@@ -385,7 +385,7 @@
   held->ops->reply (held, 200, nullptr, 0, large.data (), large.size ());
   EXPECT_GT (http_server_pending (server.server), 0u);
   for (int i = 0; i < 10; i++)
-    loop_once (server.loop, 10 * USEC_PER_MSEC);
+    loop_run_once (server.loop, 10 * USEC_PER_MSEC);
   ASSERT_TRUE (run_until (server.loop, [&] {
     late.read_some ();
     return late.got.size () > large.size ();
@@ -509,8 +509,8 @@
   caller.send (post ("/work", "body"));
   ASSERT_TRUE (run_until (server.loop, [&] { return held != nullptr; }));
   http_server_stop_listening (server.server);
-  loop_once (server.loop, USEC_PER_MSEC);
-  loop_once (server.loop, USEC_PER_MSEC);
+  loop_run_once (server.loop, USEC_PER_MSEC);
+  loop_run_once (server.loop, USEC_PER_MSEC);
   struct sockaddr_in address = {};
   int fd = socket (AF_INET, SOCK_STREAM, 0);
   address.sin_family = AF_INET;
--- a/tests/unit_edges_support.h
+++ b/tests/unit_edges_support.h
@@ -30,7 +30,7 @@
     {
       if (loop_now (loop) > until)
         return false;
-      loop_once (loop, 20 * USEC_PER_MSEC);
+      loop_run_once (loop, 20 * USEC_PER_MSEC);
     }
   return true;
 }
--- a/tests/unit_edges_tcp.cc
+++ b/tests/unit_edges_tcp.cc
@@ -22,7 +22,7 @@
 // that was made within the writable callback.  The reader gives up.
 TEST (Tcp, SendsAllDataHoweverOftenTheBufferIsFull)
 {
-  struct loop *loop = loop_new_plain (nullptr, 16);
+  struct loop *loop = loop_new_without_tls (nullptr, 16);
   struct tcp_stream stream = {};
   std::string data (1u << 20, 'x');
   std::string got;
@@ -38,7 +38,7 @@
       char buffer[65536];
       ssize_t n;
 
-      loop_once (loop, USEC_PER_MSEC);
+      loop_run_once (loop, USEC_PER_MSEC);
       idle++;
       while ((n = recv (ends[1], buffer, sizeof buffer, 0)) > 0)
         {
@@ -117,7 +117,7 @@
     return peer->reset;
   }
 
-  struct loop *loop = loop_new_plain (nullptr, 16);
+  struct loop *loop = loop_new_without_tls (nullptr, 16);
   struct
   {
     struct tcp_stream stream; // must be the first member
@@ -191,8 +191,8 @@
 {
   fill ();
   write (std::string (TCP_UNSENT_MAX_BYTES, 'x'));
-  loop_once (loop, 0);
-  loop_once (loop, 0);
+  loop_run_once (loop, 0);
+  loop_run_once (loop, 0);
   EXPECT_EQ (n_ends, 1);
 }
 
--- a/tests/unit_fuzz.cc
+++ b/tests/unit_fuzz.cc
@@ -27,7 +27,7 @@
 
       bytes_init (&sample, nullptr);
       decoder->sample (i, &sample);
-      ASSERT_FALSE (bytes_failed (&sample));
+      ASSERT_FALSE (bytes_has_failed (&sample));
       EXPECT_EQ (fuzz_decode (decoder, sample.data, sample.length), STATUS_OK)
           << i << ": " << status_message ();
       bytes_clear (&sample);
--- a/tests/unit_h1_bodies.cc
+++ b/tests/unit_h1_bodies.cc
@@ -17,7 +17,7 @@
     start (probe, false, method);
     target->say (bytes);
     for (int i = 0; i < 20 && probe.ends == 0; i++)
-      loop_once (loop, 10 * USEC_PER_MSEC);
+      loop_run_once (loop, 10 * USEC_PER_MSEC);
   }
 };
 
@@ -35,7 +35,7 @@
       EXPECT_EQ (call.end, H1_END_WHOLE) << before;
       target->hang_up ();
       for (int i = 0; i < 5; i++)
-        loop_once (loop, 10 * USEC_PER_MSEC);
+        loop_run_once (loop, 10 * USEC_PER_MSEC);
     }
 }
 
@@ -74,7 +74,7 @@
   bytes_clear (&message);
   for (int i = 0; i < 5; i++)
     {
-      loop_once (loop, 10 * USEC_PER_MSEC);
+      loop_run_once (loop, 10 * USEC_PER_MSEC);
       target->look ();
     }
   EXPECT_EQ (target->got, "");
@@ -99,7 +99,7 @@
         },
     .gone = [] (struct h1_handler *, struct h1_exchange *, int64_t) {},
   };
-  struct loop *loop = loop_new_plain (nullptr, 64);
+  struct loop *loop = loop_new_without_tls (nullptr, 64);
   struct h1_limits limits = { .header_bytes = 16384,
                               .body_bytes = 1u << 20,
                               .request_timeout = 10 * USEC_PER_SEC,
@@ -131,9 +131,9 @@
       for (int64_t until = loop_now (loop) + EVENT_WAIT;
            n != 0 && got < handler.body.size () && loop_now (loop) < until;)
         {
-          loop_once (loop, 0);
+          loop_run_once (loop, 0);
           for (int64_t pause = loop_now (loop) + 100 * USEC_PER_MSEC; loop_now (loop) < pause;)
-            loop_once (loop, 10 * USEC_PER_MSEC);
+            loop_run_once (loop, 10 * USEC_PER_MSEC);
           n = recv (caller.fd, buffer.data (), buffer.size (), 0);
           if (n < 0 && errno != EAGAIN)
             break;
--- a/tests/unit_h1_client.cc
+++ b/tests/unit_h1_client.cc
@@ -40,7 +40,7 @@
       target->say (answer.bytes);
       // Bytes unread at the time of the reset would be lost.
       for (int i = 0; i < 3; i++)
-        loop_once (loop, USEC_PER_MSEC);
+        loop_run_once (loop, USEC_PER_MSEC);
       target->hang_up (answer.reset);
       ASSERT_TRUE (probe.wait ()) << answer.bytes;
       EXPECT_STREQ (h1_framing_text (probe.call.framing), h1_framing_text (answer.framing))
@@ -90,7 +90,7 @@
   void
   turn ()
   {
-    loop_once (loop, 0);
+    loop_run_once (loop, 0);
   }
 
   // Let the client read, and check whether the call has ended.
@@ -589,14 +589,14 @@
   struct bytes message;
 
   bytes_init (&message, nullptr);
-  bytes_append_within (&message, "GET / HTTP/1.1\r\n", 16, 16);
-  bytes_append_within (&message, "Host: h\r\n\r\n", 11, 16);
+  bytes_append_limited (&message, "GET / HTTP/1.1\r\n", 16, 16);
+  bytes_append_limited (&message, "Host: h\r\n\r\n", 11, 16);
   EXPECT_EQ (h1_call_start (client, &probe.call, target->address ().c_str (), &message, true,
                             loop_now (loop)),
              STATUS_NO_MEMORY);
   bytes_clear (&message);
   for (int i = 0; i < 3; i++)
-    loop_once (loop, USEC_PER_MSEC);
+    loop_run_once (loop, USEC_PER_MSEC);
   target->look ();
   EXPECT_EQ (target->connections, 0);
 }
--- a/tests/unit_h1_server.cc
+++ b/tests/unit_h1_server.cc
@@ -213,7 +213,7 @@
     return caller.reset ? CALLER_RESET : CALLER_ORDERLY;
   }
 
-  struct loop *loop = loop_new_plain (nullptr, 512);
+  struct loop *loop = loop_new_without_tls (nullptr, 512);
   struct counters *counters = counters_new (loop);
   struct h1_limits limits = { .header_bytes = 16384,
                               .body_bytes = 1u << 20,
@@ -650,7 +650,7 @@
     {
       h1_reply_data (exchange, "first ", 6);
       caller->send ("GET /" + std::to_string (4 + i) + " HTTP/1.1\r\nHost: h\r\n\r\n");
-      loop_once (loop, 0);
+      loop_run_once (loop, 0);
     }
   EXPECT_EQ (answers.targets.size (), 1u);
   h1_reply_end (exchange, true);
@@ -732,7 +732,7 @@
   h1_reply_begin (whole, 200, nullptr, -1);
   h1_reply_data (whole, "be", 2);
   h1_reply_data (cut, text.data (), text.size ());
-  loop_once (loop, 0);
+  loop_run_once (loop, 0);
   setsockopt (left->fd, SOL_SOCKET, SO_LINGER, &at_once, sizeof at_once);
   left->shut ();
   EXPECT_TRUE (run_until (loop, [&] { return answers.gone == 1; }));
@@ -892,7 +892,7 @@
       read (callers[draw (callers.size ())]);
     else if (what == 18 && draw (10) == 0 && !callers.empty ())
       leave (callers[draw (callers.size ())]);
-    loop_once (loop, 0);
+    loop_run_once (loop, 0);
   }
 
   static void
--- a/tests/unit_member_pack.cc
+++ b/tests/unit_member_pack.cc
@@ -29,7 +29,7 @@
   EXPECT_STREQ (text, "host-1");
   EXPECT_EQ (std::string (static_cast<const char *> (pack_read_binary (&reader, 2, &length)), 2),
              std::string ("\0\1", 2));
-  EXPECT_TRUE (pack_read_end (&reader));
+  EXPECT_TRUE (pack_read_is_complete (&reader));
   bytes_clear (&out);
 }
 
@@ -55,16 +55,16 @@
       pack_read_uint (&reader, UINT64_MAX);
       pack_read_text (&reader, text, sizeof text);
       pack_read_binary (&reader, 6, &length);
-      EXPECT_FALSE (pack_read_ok (&reader)) << cut;
+      EXPECT_FALSE (pack_read_is_ok (&reader)) << cut;
     }
   struct pack_reader small;
   pack_reader_init (&small, out.data, out.length);
   EXPECT_EQ (pack_read_uint (&small, 69999), 0u);
-  EXPECT_FALSE (pack_read_ok (&small));
+  EXPECT_FALSE (pack_read_is_ok (&small));
   struct pack_reader other;
   pack_reader_init (&other, out.data, out.length);
   EXPECT_FALSE (pack_read_bool (&other));
-  EXPECT_FALSE (pack_read_end (&other));
+  EXPECT_FALSE (pack_read_is_complete (&other));
   bytes_clear (&out);
 }
 
--- a/tests/unit_product_log.cc
+++ b/tests/unit_product_log.cc
@@ -107,8 +107,8 @@
   log_set_level (LOG_MODULE_PEER, LOG_LEVEL_DEBUG);
   log_event (LOG_MODULE_PEER, LOG_LEVEL_DEBUG, "seen", nullptr);
   log_event (LOG_MODULE_FLOW, LOG_LEVEL_INFO, "unseen", nullptr);
-  EXPECT_TRUE (log_enabled (LOG_MODULE_PEER, LOG_LEVEL_DEBUG));
-  EXPECT_FALSE (log_enabled (LOG_MODULE_FLOW, LOG_LEVEL_INFO));
+  EXPECT_TRUE (log_is_enabled (LOG_MODULE_PEER, LOG_LEVEL_DEBUG));
+  EXPECT_FALSE (log_is_enabled (LOG_MODULE_FLOW, LOG_LEVEL_INFO));
   ASSERT_EQ (lines ().size (), 1u);
   EXPECT_EQ (field (lines ()[0], "event"), "seen");
 }
@@ -116,7 +116,7 @@
 TEST_F (Log, EventsBeforeOpenAreDiscarded)
 {
   log_event (LOG_MODULE_HOST, LOG_LEVEL_ERROR, "early", nullptr);
-  EXPECT_FALSE (log_enabled (LOG_MODULE_HOST, LOG_LEVEL_ERROR));
+  EXPECT_FALSE (log_is_enabled (LOG_MODULE_HOST, LOG_LEVEL_ERROR));
   EXPECT_EQ (lines ().size (), 0u);
   EXPECT_EQ (log_open ("/nonexistent/folder/log", LOG_LEVEL_INFO), STATUS_IO);
 }
--- a/tests/unit_settings.cc
+++ b/tests/unit_settings.cc
@@ -214,7 +214,7 @@
   page << in.rdbuf ();
   bytes_init (&table, nullptr);
   settings_write_table (&table);
-  ASSERT_FALSE (bytes_failed (&table));
+  ASSERT_FALSE (bytes_has_failed (&table));
   EXPECT_NE (page.str ().find (table.data), std::string::npos)
       << "run: cherryarch check --keys, and replace the tables in docs/SETTINGS.md";
   bytes_clear (&table);
--- a/tests/unit_store_log.h
+++ b/tests/unit_store_log.h
@@ -170,9 +170,9 @@
   {
     int64_t until = now + span;
 
-    while (timer_service_next (timers) <= until)
+    while (timer_service_next_due (timers) <= until)
       {
-        int64_t due = timer_service_next (timers);
+        int64_t due = timer_service_next_due (timers);
 
         now = due > now ? due : now;
         timer_service_run (timers, now);
--- a/tests/unit_target_watch.cc
+++ b/tests/unit_target_watch.cc
@@ -114,7 +114,7 @@
     std::vector<std::pair<uint64_t, enum target_fate>> fates;
   } heard;
   void *parent = talloc_new (nullptr);
-  struct loop *loop = loop_new_plain (parent, 64);
+  struct loop *loop = loop_new_without_tls (parent, 64);
   struct registry *registry = registry_new (parent);
   struct target_watch *watch;
   struct balance_target at = {};
@@ -131,7 +131,7 @@
 
     address = was.address ();
   }
-  loop_once (loop, 0);
+  loop_run_once (loop, 0);
   EXPECT_EQ (target_watch_connection_broke (watch, target ("t1", address, 1, now), now),
              TARGET_FATE_UNKNOWN);
   ASSERT_TRUE (run_until (loop, [&] { return !heard.fates.empty (); }));
@@ -149,7 +149,7 @@
   for (int i = 0; i < 5; i++)
     target_watch_connection_broke (watch, target ("t1", there.address (), 1, now), now);
   ASSERT_TRUE (run_until (loop, [&] { return !there.taken.empty (); }));
-  loop_once (loop, 0);
+  loop_run_once (loop, 0);
   EXPECT_TRUE (heard.fates.empty ());
   target ("t1", there.address (), 2, now + TARGET_WATCH_RENEWAL_DELAY_MAX + 1);
   pass (TARGET_WATCH_RENEWAL_DELAY_MAX + TARGET_WATCH_PERIOD);
@@ -165,7 +165,7 @@
 
   target_watch_connection_broke (watch, target ("t1", there->address (), 1, now), now);
   ASSERT_TRUE (run_until (loop, [&] { return !there->taken.empty (); }));
-  loop_once (loop, 0);
+  loop_run_once (loop, 0);
   there.reset ();
   now += TARGET_WATCH_PERIOD;
   target_watch_connection_broke (watch, &at, now);
@@ -225,7 +225,7 @@
 
     address = was.address ();
   }
-  loop_once (loop, 0);
+  loop_run_once (loop, 0);
   target_watch_connection_broke (watch, target ("t1", address, 1, now), now);
   ASSERT_TRUE (run_until (loop, [&] { return last () == TARGET_FATE_ENDED; }));
   target ("t1", address, 2, now + TARGET_WATCH_RENEWAL_DELAY_MAX + 1);
--- a/tests/whole_launch.h
+++ b/tests/whole_launch.h
@@ -126,7 +126,7 @@
       {
         if (loop_now (loop) > until)
           return false;
-        loop_once (loop, 20 * USEC_PER_MSEC);
+        loop_run_once (loop, 20 * USEC_PER_MSEC);
       }
     return true;
   }
