--- a/bench/policy_choose.c
+++ b/bench/policy_choose.c
@@ -20,7 +20,8 @@
 {
   const struct board_target *entry = table_get (request->host->board->targets, target->handle);
 
-  return entry != NULL && board_target_usable (entry, now) && !was_tried (request, target->handle);
+  return entry != NULL && board_target_is_usable (entry, now)
+         && !was_tried (request, target->handle);
 }
 
 static uint32_t
--- a/bench/spread_directory.c
+++ b/bench/spread_directory.c
@@ -176,7 +176,7 @@
   uint32_t count = 0;
 
   while ((target = table_next (bed->hosts[host]->board->targets, &cursor, NULL)) != NULL)
-    count += board_target_usable (target, spread_net_now (bed->net)) ? 1 : 0;
+    count += board_target_is_usable (target, spread_net_now (bed->net)) ? 1 : 0;
   return count;
 }
 
@@ -266,7 +266,7 @@
         {
           const struct board_target *seen = board_find_target (bed->hosts[i]->board, t->name, NULL);
 
-          if (seen != NULL && board_target_usable (seen, spread_net_now (bed->net)))
+          if (seen != NULL && board_target_is_usable (seen, spread_net_now (bed->net)))
             last = spread_net_now (bed->net) - from;
         }
       run_bed (bed, POLL);
--- a/src/access.c
+++ b/src/access.c
@@ -17,7 +17,7 @@
 #define ADMIN_NAME "admin"
 #define ANONYMOUS_NAME "anonymous"
 /* Bytes.  Longer than any token that keygen generates; a longer one is rejected unhashed. */
-#define TOKEN_MAX 256
+#define TOKEN_BYTES_MAX 256
 
 struct token
 {
@@ -122,7 +122,7 @@
 /* NOLINTEND(readability-function-size) */
 
 static void
-build_tokens (struct access *access)
+rebuild_token_index (struct access *access)
 {
   const struct board_organisation *organisation;
   struct handle handle;
@@ -147,7 +147,7 @@
   (void) handle;
   (void) now;
   if (event == BOARD_CONFIG_CHANGED)
-    build_tokens ((struct access *) subscriber);
+    rebuild_token_index ((struct access *) subscriber);
 }
 
 static const struct board_subscriber_ops subscriber_ops = { .changed = board_changed };
@@ -179,20 +179,20 @@
       return NULL;
     }
   board_subscribe (board, &access->subscriber);
-  build_tokens (access);
+  rebuild_token_index (access);
   return access;
 }
 
-/* Hashes the bearer token; false when it is missing, empty or longer than TOKEN_MAX. */
+/* Hashes the bearer token; false when it is missing, empty or longer than TOKEN_BYTES_MAX. */
 static bool
-bearer_hash (const struct http_exchange *exchange, uint8_t out[RESOURCE_TOKEN_HASH_SIZE])
+hash_bearer_token (const struct http_exchange *exchange, uint8_t out[RESOURCE_TOKEN_HASH_SIZE])
 {
   const char *value = http_header (exchange, "authorization");
 
   if (value == NULL || strncasecmp (value, BEARER, BEARER_LENGTH) != 0)
     return false;
   value += BEARER_LENGTH;
-  if (value[0] == '\0' || strlen (value) > TOKEN_MAX)
+  if (value[0] == '\0' || strlen (value) > TOKEN_BYTES_MAX)
     return false;
   access_hash_token (value, out);
   return true;
@@ -200,17 +200,17 @@
 
 /* `named` is the value of the x-organisation header, NULL when absent. */
 static enum status
-caller_by_token (struct access *access,
-                 const struct http_exchange *exchange,
-                 const char *named,
-                 struct handle *out,
-                 char name[RESOURCE_NAME_SIZE])
+authenticate_by_token (struct access *access,
+                       const struct http_exchange *exchange,
+                       const char *named,
+                       struct handle *out,
+                       char name[RESOURCE_NAME_SIZE])
 {
   uint8_t hash[RESOURCE_TOKEN_HASH_SIZE];
   const struct board_organisation *organisation = NULL;
   const struct token *token = NULL;
 
-  if (bearer_hash (exchange, hash))
+  if (hash_bearer_token (exchange, hash))
     token = find_token (access, hash);
   if (token != NULL)
     organisation = table_get (access->board->organisations, token->organisation);
@@ -224,17 +224,17 @@
 }
 
 enum status
-access_caller (struct access *access,
-               const struct http_exchange *exchange,
-               struct handle *out,
-               char name[RESOURCE_NAME_SIZE])
+access_authenticate_caller (struct access *access,
+                            const struct http_exchange *exchange,
+                            struct handle *out,
+                            char name[RESOURCE_NAME_SIZE])
 {
   const char *named = http_header (exchange, "x-organisation");
 
   *out = (struct handle){ .generation = 0 };
   name[0] = '\0';
   if (http_header (exchange, "authorization") != NULL)
-    return caller_by_token (access, exchange, named, out, name);
+    return authenticate_by_token (access, exchange, named, out, name);
   if (access->require_tokens)
     return status_fail (STATUS_DENIED, "authorization: expected Bearer and a token");
   if (named == NULL)
@@ -247,9 +247,9 @@
 }
 
 enum access_role
-access_operator (struct access *access,
-                 const struct http_exchange *exchange,
-                 char name[RESOURCE_NAME_SIZE])
+access_authenticate_operator (struct access *access,
+                              const struct http_exchange *exchange,
+                              char name[RESOURCE_NAME_SIZE])
 {
   uint8_t hash[RESOURCE_TOKEN_HASH_SIZE];
   const struct operator_entry *entry;
@@ -260,7 +260,7 @@
       text_copy_truncated (name, RESOURCE_NAME_SIZE, ANONYMOUS_NAME);
       return ACCESS_ADMIN;
     }
-  if (!bearer_hash (exchange, hash))
+  if (!hash_bearer_token (exchange, hash))
     return ACCESS_NONE;
   if (access->has_admin && sodium_memcmp (hash, access->admin_hash, sizeof hash) == 0)
     {
--- a/src/access.h
+++ b/src/access.h
@@ -36,16 +36,16 @@
  * organisation other than the one in the header; STATUS_INVALID for a malformed header.  Where
  * tokens are not required, `out` is none for an undeclared organisation.  `name` receives the
  * organisation's name, "default" when the caller gave none. */
-enum status access_caller (struct access *access,
-                           const struct http_exchange *exchange,
-                           struct handle *out,
-                           char name[RESOURCE_NAME_SIZE]);
+enum status access_authenticate_caller (struct access *access,
+                                        const struct http_exchange *exchange,
+                                        struct handle *out,
+                                        char name[RESOURCE_NAME_SIZE]);
 
 /* The operator's role and name.  With no admin token in the settings and no operator resources
  * every operator is admin "anonymous". */
-enum access_role access_operator (struct access *access,
-                                  const struct http_exchange *exchange,
-                                  char name[RESOURCE_NAME_SIZE]);
+enum access_role access_authenticate_operator (struct access *access,
+                                               const struct http_exchange *exchange,
+                                               char name[RESOURCE_NAME_SIZE]);
 
 /* Adds or updates the operator of that name; `role` ACCESS_NONE removes it.  STATUS_NO_MEMORY, or
  * STATUS_INVALID for a name that is too long. */
--- a/src/batch.c
+++ b/src/batch.c
@@ -10,12 +10,12 @@
 
 static const char *const piece_end_texts[] = {
 #define X(name, text) [PIECE_##name] = text,
-  PIECE_END_LIST (X)
+  PIECE_OUTCOME_LIST (X)
 #undef X
 };
 
 const char *
-piece_end_text (enum piece_end end)
+piece_outcome_text (enum piece_outcome end)
 {
   return piece_end_texts[end];
 }
@@ -123,7 +123,7 @@
 }
 
 void
-batch_end_order (struct batch_order *order, enum piece_end end, int64_t now)
+batch_end_order (struct batch_order *order, enum piece_outcome end, int64_t now)
 {
   if (end == PIECE_DONE)
     update_smoothed_wait (order, now);
--- a/src/batch.h
+++ b/src/batch.h
@@ -95,7 +95,7 @@
 struct batch_order_ops
 {
   /* All pieces are done, or the order failed.  The order is freed after the call. */
-  void (*done) (struct batch_order *order, enum piece_end end, int64_t now);
+  void (*done) (struct batch_order *order, enum piece_outcome end, int64_t now);
 
   /* All its pieces are in calls.  May be called again, after a piece was requeued. */
   void (*taken) (struct batch_order *order, int64_t now);
--- a/src/batch_call.c
+++ b/src/batch_call.c
@@ -90,7 +90,7 @@
 {
   struct batch_pool *pool = call->pool;
 
-  if (result->end == PIECE_DONE)
+  if (result->outcome == PIECE_DONE)
     {
       memcpy (result->result.target, call->at->id, sizeof result->result.target);
       batch_record_result (pool, call->target, result->result.handle, piece,
@@ -99,7 +99,7 @@
       return;
     }
   /* Waiting does not bring back an input that is gone: whoever ordered the piece makes it again. */
-  if (result->end == PIECE_INPUT_GONE)
+  if (result->outcome == PIECE_INPUT_GONE)
     {
       struct batch_order *order = batch_order_of (pool->batch, piece);
 
@@ -107,7 +107,7 @@
         batch_end_order (order, PIECE_INPUT_GONE, now);
       return;
     }
-  batch_requeue (pool, piece, result->end != PIECE_NO_ROOM, now);
+  batch_requeue (pool, piece, result->outcome != PIECE_NO_ROOM, now);
 }
 
 static void
@@ -116,7 +116,7 @@
   uint32_t n[PIECE_END_COUNT] = { 0 };
 
   for (uint32_t i = 0; i < call->n; i++)
-    n[results[i].end]++;
+    n[results[i].outcome]++;
   if (n[PIECE_DONE] < call->n)
     log_event (LOG_MODULE_FLOW, LOG_LEVEL_INFO, "pieces-not-made", "{s:s,s:s,s:i,s:i,s:i,s:i}",
                "pool", call->pool->name, "target", call->at->id, "late", (int) n[PIECE_LATE],
@@ -131,9 +131,9 @@
 
   for (uint32_t i = 0; i < n; i++)
     {
-      if (results[i].end == PIECE_DONE)
+      if (results[i].outcome == PIECE_DONE)
         return false;
-      full |= results[i].end == PIECE_NO_ROOM;
+      full |= results[i].outcome == PIECE_NO_ROOM;
     }
   return full;
 }
@@ -144,7 +144,7 @@
 is_foreign_answer (const struct batch_call *call, const struct piece_result *results)
 {
   for (uint32_t i = 0; i < call->n; i++)
-    if (results[i].end == PIECE_DONE
+    if (results[i].outcome == PIECE_DONE
         && batch_handle_is_foreign (call->target, results[i].result.handle, &call->pieces[i]))
       {
         log_event (LOG_MODULE_FLOW, LOG_LEVEL_WARNING, "answer-of-another-call", "{s:s,s:s}",
@@ -161,7 +161,8 @@
   struct piece_result results[BATCH_CALL_PIECES_MAX];
 
   if (call->status != HTTP_STATUS_OK
-      || !dialect->ops->read_pieces (dialect, call->body.data, call->body.length, results, call->n)
+      || !dialect->ops->read_piece_results (dialect, call->body.data, call->body.length, results,
+                                            call->n)
       || is_foreign_answer (call, results))
     return false;
   log_not_made (call, results);
@@ -187,10 +188,10 @@
 {
   struct batch_call *call = CONTAINER_OF (base, struct batch_call, call);
   struct dialect *dialect = call->pool->batch->config.dialect;
-  struct answer_facts facts;
+  struct response_fields facts;
 
   (void) now;
-  dialect->ops->read_answer (dialect, head, &facts);
+  dialect->ops->read_response (dialect, head, &facts);
   /* An answer that names a request is to that request, not to stage work. */
   if (facts.id != NULL && facts.id[0] != '\0')
     return false;
@@ -296,7 +297,7 @@
 write_message (struct batch_call *call, int64_t now, struct bytes *out)
 {
   struct dialect *dialect = call->pool->batch->config.dialect;
-  struct piece_facts facts[BATCH_CALL_PIECES_MAX];
+  struct piece_fields facts[BATCH_CALL_PIECES_MAX];
 
   for (uint32_t i = 0; i < call->n; i++)
     {
@@ -304,7 +305,7 @@
 
       INVARIANT (order != NULL);
       call->pieces[i].content_hash = hash_content (order, &call->pieces[i]);
-      facts[i] = (struct piece_facts){
+      facts[i] = (struct piece_fields){
         .request = order->request,
         .stage = order->stage,
         .piece = call->pieces[i].index,
--- a/src/batch_private.h
+++ b/src/batch_private.h
@@ -115,7 +115,7 @@
 struct batch_pool *batch_get_pool (struct batch *batch, const char *name, const char *domain);
 bool batch_is_in_pool (const struct batch_pool *pool, const struct balance_target *at);
 struct batch_order *batch_order_of (struct batch *batch, const struct batch_piece *piece);
-void batch_end_order (struct batch_order *order, enum piece_end end, int64_t now);
+void batch_end_order (struct batch_order *order, enum piece_outcome end, int64_t now);
 void batch_complete_piece (struct batch_pool *pool,
                            const struct batch_piece *piece,
                            const struct piece_result *result,
--- a/src/board.c
+++ b/src/board.c
@@ -55,7 +55,7 @@
 
 /* XXX: linear scan; add an index by name when look-ups show up in a profile. */
 static void *
-find (const struct table *table, size_t name_offset, const char *name, struct handle *out)
+find_by_name (const struct table *table, size_t name_offset, const char *name, struct handle *out)
 {
   uint32_t cursor = 0;
   struct handle handle;
@@ -75,29 +75,30 @@
 struct board_host *
 board_find_host (const struct board *board, const char *name, struct handle *out)
 {
-  return find (board->hosts, offsetof (struct board_host, name), name, out);
+  return find_by_name (board->hosts, offsetof (struct board_host, name), name, out);
 }
 
 struct board_target *
 board_find_target (const struct board *board, const char *name, struct handle *out)
 {
-  return find (board->targets, offsetof (struct board_target, name), name, out);
+  return find_by_name (board->targets, offsetof (struct board_target, name), name, out);
 }
 
 struct board_pool *
 board_find_pool (const struct board *board, const char *name, struct handle *out)
 {
-  return find (board->pools, offsetof (struct board_pool, spec.name), name, out);
+  return find_by_name (board->pools, offsetof (struct board_pool, spec.name), name, out);
 }
 
 struct board_pipeline *
 board_find_pipeline (const struct board *board, const char *name, struct handle *out)
 {
-  return find (board->pipelines, offsetof (struct board_pipeline, spec.name), name, out);
+  return find_by_name (board->pipelines, offsetof (struct board_pipeline, spec.name), name, out);
 }
 
 struct board_organisation *
 board_find_organisation (const struct board *board, const char *name, struct handle *out)
 {
-  return find (board->organisations, offsetof (struct board_organisation, spec.name), name, out);
+  return find_by_name (board->organisations, offsetof (struct board_organisation, spec.name), name,
+                       out);
 }
--- a/src/board.h
+++ b/src/board.h
@@ -208,7 +208,7 @@
 
 /* May new work be sent to this target at `now`? */
 static inline bool
-board_target_usable (const struct board_target *target, int64_t now)
+board_target_is_usable (const struct board_target *target, int64_t now)
 {
   return target->state == TARGET_READY && now < target->lease_until;
 }
--- a/src/budget.h
+++ b/src/budget.h
@@ -17,30 +17,30 @@
 
 struct budget
 {
-  double held;
+  double tokens;
 };
 
 static inline struct budget
 budget_new (void)
 {
-  return (struct budget){ .held = BUDGET_START };
+  return (struct budget){ .tokens = BUDGET_START };
 }
 
 /* Adds `share` of one attempt, up to BUDGET_MAX. */
 static inline void
 budget_earn (struct budget *budget, double share)
 {
-  budget->held += share;
-  if (budget->held > BUDGET_MAX)
-    budget->held = BUDGET_MAX;
+  budget->tokens += share;
+  if (budget->tokens > BUDGET_MAX)
+    budget->tokens = BUDGET_MAX;
 }
 
 static inline bool
 budget_take (struct budget *budget)
 {
-  if (budget->held < 1)
+  if (budget->tokens < 1)
     return false;
-  budget->held -= 1;
+  budget->tokens -= 1;
   return true;
 }
 
--- a/src/caller.c
+++ b/src/caller.c
@@ -7,14 +7,14 @@
 #include <stdlib.h>
 #include <string.h>
 
-static enum status refuse (struct caller_error *error,
+static enum status reject (struct caller_error *error,
                            int code,
                            const char *field,
                            const char *format,
                            ...) __attribute__ ((format (printf, 4, 5)));
 
 static enum status
-refuse (struct caller_error *error, int code, const char *field, const char *format, ...)
+reject (struct caller_error *error, int code, const char *field, const char *format, ...)
 {
   va_list args;
 
@@ -54,13 +54,13 @@
   out->service = strncmp (path, CALLER_PREFIX_SERVICES, strlen (CALLER_PREFIX_SERVICES)) == 0;
   prefix = out->service ? CALLER_PREFIX_SERVICES : CALLER_PREFIX_PIPELINES;
   if (strncmp (path, prefix, strlen (prefix)) != 0 || path[strlen (prefix)] != '/')
-    return refuse (error, 404, "path", "expected %s/NAME/requests", prefix);
+    return reject (error, 404, "path", "expected %s/NAME/requests", prefix);
   name = path + strlen (prefix) + 1;
   end = strchr (name, '/');
   if (end == NULL || end == name || strcmp (end, last) != 0)
-    return refuse (error, 404, "path", "expected %s/NAME/requests", prefix);
+    return reject (error, 404, "path", "expected %s/NAME/requests", prefix);
   if ((size_t) (end - name) >= sizeof out->pipeline)
-    return refuse (error, 404, "path", "a name has at most %d characters", RESOURCE_NAME_SIZE - 1);
+    return reject (error, 404, "path", "a name has at most %d characters", RESOURCE_NAME_SIZE - 1);
   memcpy (out->pipeline, name, (size_t) (end - name));
   out->pipeline[end - name] = '\0';
   return STATUS_OK;
@@ -84,7 +84,7 @@
   errno = 0;
   value = strtoll (text, &end, 10);
   if (errno != 0 || end == text || *end != '\0' || value < min || value > max)
-    return refuse (error, 400, name, "expected a whole number from %lld to %lld", (long long) min,
+    return reject (error, 400, name, "expected a whole number from %lld to %lld", (long long) min,
                    (long long) max);
   *out = value;
   return STATUS_OK;
@@ -102,18 +102,18 @@
   int64_t priority = -1;
 
   if (id != NULL && !caller_id_is_valid (id))
-    return refuse (error, 400, "x-request-id", "expected 1 to %d printable characters, no spaces",
+    return reject (error, 400, "x-request-id", "expected 1 to %d printable characters, no spaces",
                    CALLER_ID_SIZE - 1);
   if (id != NULL)
     text_copy (out->id, sizeof out->id, id);
   if (repeatable != NULL && strcmp (repeatable, "yes") != 0 && strcmp (repeatable, "no") != 0)
-    return refuse (error, 400, "x-repeatable", "expected yes or no");
+    return reject (error, 400, "x-repeatable", "expected yes or no");
   if (repeatable != NULL)
     out->repeatable = repeatable[0] == 'y' ? CALLER_YES : CALLER_NO;
   if (read_number (exchange, "x-deadline-ms", 1, INT32_MAX, &window_ms, error) != STATUS_OK
       || read_number (exchange, "x-priority", 0, 9, &priority, error) != STATUS_OK)
     return STATUS_INVALID;
-  out->window = window_ms * USEC_PER_MSEC;
+  out->timeout = window_ms * USEC_PER_MSEC;
   out->priority = (int) priority;
   out->stream = accept != NULL && strstr (accept, "text/event-stream") != NULL;
   return STATUS_OK;
@@ -128,18 +128,18 @@
   json_t *value;
 
   if (!json_is_object (body))
-    return refuse (error, 400, "body", "expected an object");
+    return reject (error, 400, "body", "expected an object");
   if (json_string_length (input) == 0)
-    return refuse (error, 400, "input", "expected a text that is not empty");
+    return reject (error, 400, "input", "expected a text that is not empty");
   if (max_tokens != NULL
       && (!json_is_integer (max_tokens) || json_integer_value (max_tokens) < 1
           || json_integer_value (max_tokens) > CALLER_TOKENS_MAX))
-    return refuse (error, 400, "max_tokens", "expected a whole number from 1 to %d",
+    return reject (error, 400, "max_tokens", "expected a whole number from 1 to %d",
                    CALLER_TOKENS_MAX);
   json_object_foreach (body, name, value)
     {
       if (strcmp (name, "input") != 0 && strcmp (name, "max_tokens") != 0)
-        return refuse (error, 400, "body", "unknown field '%.40s'", name);
+        return reject (error, 400, "body", "unknown field '%.40s'", name);
     }
   out->max_tokens = (uint32_t) json_integer_value (max_tokens);
   out->input = json_incref (input);
@@ -158,27 +158,27 @@
   if (out->service)
     {
       status = stage_check_json (exchange->body, exchange->body_length, depth);
-      return status == STATUS_OK ? status : refuse (error, 400, "body", "%s", status_message ());
+      return status == STATUS_OK ? status : reject (error, 400, "body", "%s", status_message ());
     }
   body = stage_parse_json (exchange->body, exchange->body_length, depth);
   if (body == NULL)
-    return refuse (error, 400, "body", "%s", status_message ());
+    return reject (error, 400, "body", "%s", status_message ());
   status = read_pipeline_body (body, out, error);
   json_decref (body);
   return status;
 }
 
 enum status
-caller_read (const struct http_exchange *exchange,
-             const struct settings *settings,
-             struct caller_request *out,
-             struct caller_error *error)
+caller_parse_request (const struct http_exchange *exchange,
+                      const struct settings *settings,
+                      struct caller_request *out,
+                      struct caller_error *error)
 {
   *out = (struct caller_request){ .priority = -1 };
   if (read_path (exchange->path, out, error) != STATUS_OK)
     return STATUS_INVALID;
   if (strcmp (exchange->method, "POST") != 0)
-    return refuse (error, 405, "method", "expected POST");
+    return reject (error, 405, "method", "expected POST");
   if (read_headers (exchange, out, error) != STATUS_OK)
     return STATUS_INVALID;
   return read_body (exchange, settings->json_depth, out, error);
--- a/src/caller.h
+++ b/src/caller.h
@@ -21,7 +21,7 @@
 /* A yes/no header that may be absent. */
 enum caller_choice
 {
-  CALLER_NOT_SAID,
+  CALLER_UNSET,
   CALLER_YES,
   CALLER_NO
 };
@@ -31,7 +31,7 @@
   char pipeline[RESOURCE_NAME_SIZE];
   bool service;
   char id[CALLER_ID_SIZE]; /* "" when the caller gave none */
-  int64_t window;          /* time until the deadline, USEC; 0 when not given */
+  int64_t timeout;         /* time until the deadline, USEC; 0 when not given */
   enum caller_choice repeatable;
   int priority; /* -1 when not given */
   bool stream;
@@ -48,10 +48,10 @@
 };
 
 /* Parses and validates a request; on STATUS_INVALID `error` is filled in. */
-enum status caller_read (const struct http_exchange *exchange,
-                         const struct settings *settings,
-                         struct caller_request *out,
-                         struct caller_error *error);
+enum status caller_parse_request (const struct http_exchange *exchange,
+                                  const struct settings *settings,
+                                  struct caller_request *out,
+                                  struct caller_error *error);
 
 void caller_clear (struct caller_request *request);
 
--- a/src/controller.c
+++ b/src/controller.c
@@ -11,97 +11,98 @@
 #define TICK_PERIOD (250 * USEC_PER_MSEC)
 
 /* Timeout of a quorum read; after it the state is sent unconfirmed. */
-#define CONFIRM_WAIT (800 * USEC_PER_MSEC)
+#define QUORUM_READ_TIMEOUT (800 * USEC_PER_MSEC)
 
 /* Delay of a push, so that a burst of changes is sent as one message. */
 #define PUSH_DELAY (5 * USEC_PER_MSEC)
 
 /* ---- confirmation by a quorum ---- */
 
-static void ask_quorum (struct controller *controller, int64_t now);
+static void start_quorum_read (struct controller *controller, int64_t now);
 
 /* A quorum read confirms only requests that arrived before it started: its result does not cover
  * what was committed since. */
 static void
-answer_asks (struct controller *controller, bool confirmed, int64_t now)
+answer_requests (struct controller *controller, bool confirmed, int64_t now)
 {
   bool more = false;
 
   for (uint32_t i = 0; i < controller->n_hosts; i++)
     {
-      struct fed_host *host = &controller->hosts[i];
+      struct entry_host_record *host = &controller->hosts[i];
 
       if (host->nonce == 0)
         continue;
-      if (host->nonce == host->question)
+      if (host->nonce == host->read_nonce)
         controller_send_state (controller, host, confirmed, now);
       else
         more = true;
     }
   if (more)
-    ask_quorum (controller, now);
+    start_quorum_read (controller, now);
 }
 
 static void
-read_done (
+quorum_read_done (
     struct proposal *proposal, enum status status, const void *result, size_t length, int64_t now)
 {
-  struct controller *controller = CONTAINER_OF (proposal, struct controller, read);
+  struct controller *controller = CONTAINER_OF (proposal, struct controller, quorum_read);
 
   (void) result;
   (void) length;
-  controller->reading = false;
+  controller->quorum_read_pending = false;
   if (status != STATUS_OK)
     counter_add (controller->unconfirmed, 1);
-  if ((status == STATUS_OK) != controller->in_touch)
+  if ((status == STATUS_OK) != controller->has_quorum)
     {
-      controller->in_touch = status == STATUS_OK;
+      controller->has_quorum = status == STATUS_OK;
       log_event (LOG_MODULE_CONSENSUS, LOG_LEVEL_INFO,
-                 controller->in_touch ? "quorum-regained" : "quorum-lost", "{s:s,s:I}", "outcome",
+                 controller->has_quorum ? "quorum-regained" : "quorum-lost", "{s:s,s:I}", "outcome",
                  status_text (status), "document",
                  (json_int_t) document_version (controller->config.document));
     }
-  answer_asks (controller, status == STATUS_OK, now);
+  answer_requests (controller, status == STATUS_OK, now);
 }
 
-static const struct proposal_ops read_ops = { .done = read_done };
+static const struct proposal_ops quorum_read_ops = { .done = quorum_read_done };
 
 static void
-ask_quorum (struct controller *controller, int64_t now)
+start_quorum_read (struct controller *controller, int64_t now)
 {
   struct consensus *consensus = controller->config.consensus;
   enum status status;
 
-  if (controller->reading)
+  if (controller->quorum_read_pending)
     return;
   for (uint32_t i = 0; i < controller->n_hosts; i++)
-    controller->hosts[i].question = controller->hosts[i].nonce;
-  controller->reading = true;
-  status = consensus->ops->read (consensus, &controller->read, now + CONFIRM_WAIT, now);
+    controller->hosts[i].read_nonce = controller->hosts[i].nonce;
+  controller->quorum_read_pending = true;
+  status =
+      consensus->ops->read (consensus, &controller->quorum_read, now + QUORUM_READ_TIMEOUT, now);
   if (status == STATUS_OK)
     return;
-  controller->reading = false;
+  controller->quorum_read_pending = false;
   counter_add (controller->unconfirmed, 1);
-  answer_asks (controller, false, now);
+  answer_requests (controller, false, now);
 }
 
 /* ---- entry hosts ---- */
 
-static struct fed_host *
+static struct entry_host_record *
 find_host (struct controller *controller, const char *name)
 {
   for (uint32_t i = 0; i < controller->n_hosts; i++)
-    if (strcmp (controller->hosts[i].self.name, name) == 0)
+    if (strcmp (controller->hosts[i].info.name, name) == 0)
       return &controller->hosts[i];
   return NULL;
 }
 
 /* Finds or creates the record of a host; when all records are in use, replaces one whose lease has
  * expired.  NULL when there is none. */
-static struct fed_host *
-take_host (struct controller *controller, const char *name, int64_t now)
+static struct entry_host_record *
+find_or_add_host (struct controller *controller, const char *name, int64_t now)
 {
-  struct fed_host *host = find_host (controller, name);
+  struct entry_host_record *host = find_host (controller, name);
 
   if (host != NULL)
     return host;
@@ -109,16 +110,16 @@
     host = &controller->hosts[controller->n_hosts++];
   else
     for (uint32_t i = 0; i < controller->n_hosts && host == NULL; i++)
-      if (!controller_host_lives (&controller->hosts[i], now))
+      if (!controller_host_is_live (&controller->hosts[i], now))
         host = &controller->hosts[i];
   if (host != NULL)
-    *host = (struct fed_host){ .heard = now };
+    *host = (struct entry_host_record){ .heard_at = now };
   return host;
 }
 
 /* A host without a record gets no confirmation and therefore serves no requests. */
 static void
-refuse_host (struct controller *controller, const char *name)
+reject_host (struct controller *controller, const char *name)
 {
   counter_add (controller->hosts_refused, 1);
   log_event (LOG_MODULE_MEMBER, LOG_LEVEL_ERROR, "entry-host-refused", "{s:s,s:i}", "host", name,
@@ -126,21 +127,21 @@
 }
 
 static bool
-should_list (const struct fed_host *host, int64_t now)
+is_listable (const struct entry_host_record *host, int64_t now)
 {
-  return controller_host_lives (host, now) && !host->self.leaving;
+  return controller_host_is_live (host, now) && !host->info.leaving;
 }
 
 /* Updates the list of entry hosts; its revision increases whenever a host is added or removed. */
 static void
-update_list (struct controller *controller, int64_t now)
+update_host_list (struct controller *controller, int64_t now)
 {
   uint32_t listed = 0;
 
   for (uint32_t i = 0; i < controller->n_hosts; i++)
     {
-      struct fed_host *host = &controller->hosts[i];
-      bool should = should_list (host, now);
+      struct entry_host_record *host = &controller->hosts[i];
+      bool should = is_listable (host, now);
 
       listed += should ? 1 : 0;
       if (should == host->listed)
@@ -149,53 +150,58 @@
       controller->hosts_revision++;
       log_event (LOG_MODULE_MEMBER, LOG_LEVEL_INFO,
                  should ? "entry-host-listed" : "entry-host-unlisted", "{s:s,s:b,s:I}", "host",
-                 host->self.name, "leaving", host->self.leaving, "age_ms",
-                 (json_int_t) ((now - host->heard) / USEC_PER_MSEC));
+                 host->info.name, "leaving", host->info.leaving, "age_ms",
+                 (json_int_t) ((now - host->heard_at) / USEC_PER_MSEC));
     }
   gauge_set (controller->n_entries, listed);
 }
 
 static void
-got_ask (struct controller *controller, struct pack_reader *in, const char *from, int64_t now)
+handle_request (struct controller *controller,
+                struct pack_reader *in,
+                const char *from,
+                int64_t now)
 {
-  struct sync_request ask;
-  struct fed_host *host;
+  struct sync_request request;
+  struct entry_host_record *host;
 
-  if (!sync_read_request (in, &ask) || !pack_read_is_complete (in)
-      || strcmp (ask.self.name, from) != 0)
+  if (!sync_read_request (in, &request) || !pack_read_is_complete (in)
+      || strcmp (request.self.name, from) != 0)
     return;
-  host = take_host (controller, from, now);
+  host = find_or_add_host (controller, from, now);
   if (host == NULL)
     {
-      refuse_host (controller, from);
+      reject_host (controller, from);
       return;
     }
-  counter_add (controller->asks, 1);
+  counter_add (controller->requests, 1);
   /* Revisions that it holds from an earlier incarnation of this controller are void. */
-  if (ask.controller != controller->config.incarnation)
+  if (request.controller != controller->config.incarnation)
     {
-      ask.targets = 0;
-      ask.hosts = 0;
+      request.targets = 0;
+      request.hosts = 0;
       host->renewed_until = 0;
     }
-  host->self = ask.self;
-  host->heard = now;
-  host->nonce = ask.nonce;
-  host->document = ask.document;
-  host->targets = ask.targets;
-  host->hosts = ask.hosts;
-  update_list (controller, now);
-  ask_quorum (controller, now);
+  host->info = request.self;
+  host->heard_at = now;
+  host->nonce = request.nonce;
+  host->document_version = request.document;
+  host->targets_revision = request.targets;
+  host->hosts_revision = request.hosts;
+  update_host_list (controller, now);
+  start_quorum_read (controller, now);
 }
 
 uint32_t
-controller_hosts (const struct controller *controller, const char *out[SYNC_HOSTS_MAX], int64_t now)
+controller_list_live_hosts (const struct controller *controller,
+                            const char *out[SYNC_HOSTS_MAX],
+                            int64_t now)
 {
   uint32_t n = 0;
 
   for (uint32_t i = 0; i < controller->n_hosts; i++)
-    if (controller_host_lives (&controller->hosts[i], now))
-      out[n++] = controller->hosts[i].self.name;
+    if (controller_host_is_live (&controller->hosts[i], now))
+      out[n++] = controller->hosts[i].info.name;
   return n;
 }
 
@@ -203,7 +209,7 @@
 struct listed
 {
   const struct sync_host *host;
-  bool elsewhere;
+  bool in_other_domain;
   uint64_t rank;
 };
 
@@ -213,19 +219,19 @@
   const struct listed *left = a;
   const struct listed *right = b;
 
-  if (left->elsewhere != right->elsewhere)
-    return left->elsewhere ? 1 : -1;
+  if (left->in_other_domain != right->in_other_domain)
+    return left->in_other_domain ? 1 : -1;
   if (left->rank != right->rank)
     return left->rank < right->rank ? -1 : 1;
   return strcmp (left->host->name, right->host->name);
 }
 
 uint32_t
-controller_entries (const struct controller *controller,
-                    const char *domain,
-                    uint32_t most,
-                    const struct sync_host *out[SYNC_HOSTS_MAX],
-                    int64_t now)
+controller_list_entry_hosts (const struct controller *controller,
+                             const char *domain,
+                             uint32_t limit,
+                             const struct sync_host *out[SYNC_HOSTS_MAX],
+                             int64_t now)
 {
   uint64_t seed = XXH3_64bits (domain, strlen (domain));
   struct listed listed[SYNC_HOSTS_MAX];
@@ -233,20 +239,20 @@
 
   for (uint32_t i = 0; i < controller->n_hosts; i++)
     {
-      const struct fed_host *host = &controller->hosts[i];
-      const char *name = host->self.name;
+      const struct entry_host_record *host = &controller->hosts[i];
+      const char *name = host->info.name;
 
-      if (!controller_host_lives (host, now) || !host->self.ready || host->self.leaving)
+      if (!controller_host_is_live (host, now) || !host->info.ready || host->info.leaving)
         continue;
       listed[n++] = (struct listed){
-        .host = &host->self,
-        .elsewhere = strcmp (host->self.domain, domain) != 0,
+        .host = &host->info,
+        .in_other_domain = strcmp (host->info.domain, domain) != 0,
         .rank = XXH3_64bits_withSeed (name, strlen (name), seed),
       };
     }
   qsort (listed, n, sizeof listed[0], compare_listed);
-  if (n > most)
-    n = most;
+  if (n > limit)
+    n = limit;
   for (uint32_t i = 0; i < n; i++)
     out[i] = listed[i].host;
   return n;
@@ -257,14 +263,14 @@
 static void
 push_fired (struct timer *timer, int64_t now)
 {
-  struct controller *controller = CONTAINER_OF (timer, struct controller, push);
+  struct controller *controller = CONTAINER_OF (timer, struct controller, push_timer);
 
   for (uint32_t i = 0; i < controller->n_hosts; i++)
     {
-      struct fed_host *host = &controller->hosts[i];
+      struct entry_host_record *host = &controller->hosts[i];
       uint64_t nonce = host->nonce;
 
-      if (!controller_host_lives (host, now))
+      if (!controller_host_is_live (host, now))
         continue;
       host->nonce = 0;
       controller_send_state (controller, host, false, now);
@@ -277,10 +283,10 @@
 static const struct timer_ops push_ops = { .fire = push_fired };
 
 void
-controller_push_soon (struct controller *controller, int64_t now)
+controller_schedule_push (struct controller *controller, int64_t now)
 {
-  if (!timer_is_armed (&controller->push))
-    timer_arm (controller->config.timers, &controller->push, now + PUSH_DELAY);
+  if (!timer_is_armed (&controller->push_timer))
+    timer_arm (controller->config.timers, &controller->push_timer, now + PUSH_DELAY);
 }
 
 void
@@ -289,7 +295,7 @@
   log_event (LOG_MODULE_STORE, LOG_LEVEL_INFO, "document-changed", "{s:I,s:I}", "version",
              (json_int_t) document_version (controller->config.document), "bytes",
              (json_int_t) document_text (controller->config.document)->length);
-  controller_push_soon (controller, now);
+  controller_schedule_push (controller, now);
 }
 
 /* ---- messages, timers and construction ---- */
@@ -306,11 +312,11 @@
   if (!sync_read_type (&in, &type))
     return;
   if (type == SYNC_REQUEST)
-    got_ask (controller, &in, from, now);
+    handle_request (controller, &in, from, now);
   else if (type == SYNC_TARGET)
-    controller_got_target (controller, &in, from, now);
+    controller_handle_target (controller, &in, from, now);
   else if (type == SYNC_TARGET_ACK)
-    controller_got_received (controller, &in, from, now);
+    controller_handle_target_ack (controller, &in, from, now);
 }
 
 static const struct peer_listener_ops listener_ops = { .received = received };
@@ -320,7 +326,7 @@
 {
   struct controller *controller = CONTAINER_OF (timer, struct controller, tick);
 
-  update_list (controller, now);
+  update_host_list (controller, now);
   registry_expire (controller->registry, REGISTRY_RETENTION, now);
   timer_arm (controller->config.timers, timer, now + TICK_PERIOD);
 }
@@ -328,11 +334,11 @@
 static const struct timer_ops tick_ops = { .fire = tick_fired };
 
 static void
-take_counters (struct controller *controller)
+init_counters (struct controller *controller)
 {
   struct counters *counters = controller->config.counters;
 
-  controller->asks =
+  controller->requests =
       counter_get (counters, "cherryarch_controller_asks_total", "Questions of entry hosts.", NULL);
   controller->pushes = counter_get (counters, "cherryarch_controller_pushes_total",
                                     "Changes pushed to entry hosts.", NULL);
@@ -356,9 +362,9 @@
   struct consensus *consensus = controller->config.consensus;
 
   timer_disarm (controller->config.timers, &controller->tick);
-  timer_disarm (controller->config.timers, &controller->push);
-  if (controller->reading)
-    consensus->ops->withdraw (consensus, &controller->read);
+  timer_disarm (controller->config.timers, &controller->push_timer);
+  if (controller->quorum_read_pending)
+    consensus->ops->withdraw (consensus, &controller->quorum_read);
   return 0;
 }
 
@@ -370,19 +376,19 @@
   if (controller == NULL)
     return NULL;
   controller->config = *config;
-  controller->started = config->now;
+  controller->started_at = config->now;
   controller->registry = registry_new (controller);
   if (controller->registry == NULL)
     {
       talloc_free (controller);
       return NULL;
     }
-  controller->read.ops = &read_ops;
+  controller->quorum_read.ops = &quorum_read_ops;
   controller->tick.ops = &tick_ops;
-  controller->push.ops = &push_ops;
+  controller->push_timer.ops = &push_ops;
   controller->listener.ops = &listener_ops;
   controller->hosts_revision = 1;
-  take_counters (controller);
+  init_counters (controller);
   config->port->ops->set_listener (config->port, PEER_CHANNEL_SYNC, &controller->listener);
   timer_arm (config->timers, &controller->tick, 0);
   talloc_set_destructor (controller, free_controller);
--- a/src/controller.h
+++ b/src/controller.h
@@ -27,7 +27,7 @@
 /* Timeout for replicating a leaving target's registration to a majority of the controllers, which
  * precedes the acknowledgement.  It is below one second, after which a target without an answer
  * tries the next controller. */
-#define CONTROLLER_LEAVE_WAIT (700 * USEC_PER_MSEC)
+#define CONTROLLER_LEAVE_TIMEOUT (700 * USEC_PER_MSEC)
 
 struct controller;
 
@@ -64,9 +64,9 @@
   struct timer timer;
   struct controller *controller;
   uint64_t number;
-  uint32_t wanted; /* acknowledgements needed from other voters */
-  char seen[SYNC_CONTROLLERS_MAX][ROUTING_NAME_SIZE];
-  uint32_t n_seen;
+  uint32_t acks_needed; /* acknowledgements needed from other voters */
+  char acked_by[SYNC_CONTROLLERS_MAX][ROUTING_NAME_SIZE];
+  uint32_t n_acks;
 };
 
 struct controller_wait_ops
@@ -78,7 +78,7 @@
 /* May a target register here?  False at a controller that is not a member of the log and, where
  * there are other controllers, at one without a live entry host after CONTROLLER_START_GRACE: entry
  * hosts would never learn of the target, and it would get no work. */
-bool controller_reaches_entries (const struct controller *controller, int64_t now);
+bool controller_can_accept_targets (const struct controller *controller, int64_t now);
 
 /* Stores a target's registration: a renewal, leaving or gone.  True: accepted, and done() will not
  * be called. */
@@ -94,7 +94,7 @@
                             uint64_t started,
                             struct controller_wait *wait,
                             int64_t now);
-void controller_withdraw (struct controller *controller, struct controller_wait *wait);
+void controller_cancel_wait (struct controller *controller, struct controller_wait *wait);
 
 /* Lists the entry hosts that clients of a failure domain ("" for any) may use now, at most `most`;
  * returns the count.
@@ -104,17 +104,17 @@
  * that each host is in some list, then the rest in an order that differs between domains.  The
  * order is the same at all controllers and at all times: a client that got different hosts at each
  * request would drop its connections each time. */
-uint32_t controller_entries (const struct controller *controller,
-                             const char *domain,
-                             uint32_t most,
-                             const struct sync_host *out[SYNC_HOSTS_MAX],
-                             int64_t now);
+uint32_t controller_list_entry_hosts (const struct controller *controller,
+                                      const char *domain,
+                                      uint32_t limit,
+                                      const struct sync_host *out[SYNC_HOSTS_MAX],
+                                      int64_t now);
 
 /* Lists the names of the entry hosts whose leases are valid; returns the count.  The names stay
  * valid until the next message is handled. */
-uint32_t controller_hosts (const struct controller *controller,
-                           const char *out[SYNC_HOSTS_MAX],
-                           int64_t now);
+uint32_t controller_list_live_hosts (const struct controller *controller,
+                                     const char *out[SYNC_HOSTS_MAX],
+                                     int64_t now);
 
 /* Logs the new document version and schedules a push to the entry hosts. */
 void controller_document_changed (struct controller *controller, int64_t now);
--- a/src/controller_host.c
+++ b/src/controller_host.c
@@ -30,9 +30,9 @@
 
 /* Limits of the time that a shutdown waits for the transfer of leadership and for pending
  * responses. */
-#define DRAIN_BOUND (1500 * USEC_PER_MSEC)
-#define DRAIN_LEAST (400 * USEC_PER_MSEC)
-#define DRAIN_LOOK (50 * USEC_PER_MSEC)
+#define DRAIN_MAX (1500 * USEC_PER_MSEC)
+#define DRAIN_MIN (400 * USEC_PER_MSEC)
+#define DRAIN_POLL_PERIOD (50 * USEC_PER_MSEC)
 
 struct controller_host
 {
@@ -83,7 +83,7 @@
 {
   struct controller_host *host = CONTAINER_OF (peers, struct controller_host, peers);
 
-  return controller_hosts (host->controller, out, now);
+  return controller_list_live_hosts (host->controller, out, now);
 }
 
 static const struct quarantine_peers_ops peers_ops = { .list = list_hosts };
@@ -98,7 +98,7 @@
   bool leads = host->consensus->ops->is_leader (host->consensus);
   bool idle = h1_server_pending (host->control) == 0 && h1_server_pending (host->entries) == 0;
 
-  if ((since >= DRAIN_LEAST && !leads && idle) || since >= DRAIN_BOUND)
+  if ((since >= DRAIN_MIN && !leads && idle) || since >= DRAIN_MAX)
     {
       log_event (LOG_MODULE_HOST, LOG_LEVEL_INFO, "stopped", "{s:b,s:b}", "leads", leads, "idle",
                  idle);
@@ -107,7 +107,7 @@
     }
   if (leads)
     (void) consensus_voter_transfer (host->consensus, now);
-  timer_arm (host->base.timers, timer, now + DRAIN_LOOK);
+  timer_arm (host->base.timers, timer, now + DRAIN_POLL_PERIOD);
 }
 
 static const struct timer_ops drain_ops = { .fire = drain_fired };
@@ -154,8 +154,8 @@
     .disk = disk_posix_new (host, settings->data_folder, &status),
     .voters = voters,
     .n_voters = settings->n_seeds,
-    .wanted_voters = 2 * settings->losses + 1,
-    .join_only = !settings->may_form,
+    .wanted_voters = 2 * settings->tolerated_failures + 1,
+    .join_only = !settings->may_bootstrap,
     .port = host->base.port,
     .timers = host->base.timers,
     .machine = document_machine (host->document),
@@ -300,7 +300,7 @@
   log_event (LOG_MODULE_HOST, LOG_LEVEL_INFO, "started", "{s:s,s:s,s:s,s:s,s:s,s:i,s:b,s:I}",
              "name", settings->name, "version", CHERRYARCH_VERSION, "domain", settings->domain,
              "control", settings->control_address, "peer", settings->peer_address, "seeds",
-             (int) settings->n_seeds, "may_form", settings->may_form, "document",
+             (int) settings->n_seeds, "may_form", settings->may_bootstrap, "document",
              (json_int_t) document_version (host->document));
   loop_run (host->base.loop);
   talloc_free (host);
--- a/src/controller_state.c
+++ b/src/controller_state.c
@@ -3,14 +3,14 @@
 #include <string.h>
 
 bool
-controller_host_lives (const struct fed_host *host, int64_t now)
+controller_host_is_live (const struct entry_host_record *host, int64_t now)
 {
-  return now - host->heard <= CONTROLLER_HOST_LEASE;
+  return now - host->heard_at <= CONTROLLER_HOST_LEASE;
 }
 
 static void
 write_targets (struct controller *controller,
-               const struct fed_host *host,
+               const struct entry_host_record *host,
                int64_t now,
                struct bytes *out)
 {
@@ -20,27 +20,27 @@
 
   HASH_ITER (hh, controller->registry->targets, target, next)
     {
-      if (target->revision > host->targets)
+      if (target->revision > host->targets_revision)
         n++;
     }
   pack_array (out, n);
   HASH_ITER (hh, controller->registry->targets, target, next)
     {
-      if (target->revision > host->targets)
+      if (target->revision > host->targets_revision)
         registry_write (target, now, out);
     }
 }
 
 static bool
-renewal_is_due (const struct registry_target *target, const struct fed_host *host)
+renewal_is_due (const struct registry_target *target, const struct entry_host_record *host)
 {
-  return target->revision <= host->targets && target->last_heard_at > host->renewed_until
+  return target->revision <= host->targets_revision && target->last_heard_at > host->renewed_until
          && target->registration.state != REGISTRY_GONE;
 }
 
 static void
 write_renewals (struct controller *controller,
-                const struct fed_host *host,
+                const struct entry_host_record *host,
                 int64_t now,
                 struct bytes *out)
 {
@@ -78,7 +78,7 @@
   pack_array (out, n);
   for (uint32_t i = 0; i < controller->n_hosts; i++)
     if (controller->hosts[i].listed)
-      sync_write_host (&controller->hosts[i].self, out);
+      sync_write_host (&controller->hosts[i].info, out);
 }
 
 static void
@@ -94,7 +94,7 @@
 
 void
 controller_send_state (struct controller *controller,
-                       struct fed_host *host,
+                       struct entry_host_record *host,
                        bool confirmed,
                        int64_t now)
 {
@@ -107,8 +107,8 @@
     .document = document_version (document),
     .targets = controller->registry->revision,
     .hosts = controller->hosts_revision,
-    .has_document = document_version (document) > host->document,
-    .has_hosts = host->hosts != controller->hosts_revision,
+    .has_document = document_version (document) > host->document_version,
+    .has_hosts = host->hosts_revision != controller->hosts_revision,
   };
   struct bytes out;
 
@@ -123,16 +123,16 @@
     write_hosts (controller, &out);
   write_controllers (controller, &out);
   if (!bytes_has_failed (&out)
-      && controller->config.port->ops->send (controller->config.port, host->self.name,
+      && controller->config.port->ops->send (controller->config.port, host->info.name,
                                              PEER_CHANNEL_SYNC, out.data, out.length)
              == STATUS_OK)
     {
       /* Assume delivery; the next request states what the host holds, so a lost message is sent
        * again then. */
       host->renewed_until = now;
-      host->document = state.document;
-      host->targets = state.targets;
-      host->hosts = state.hosts;
+      host->document_version = state.document;
+      host->targets_revision = state.targets;
+      host->hosts_revision = state.hosts;
       host->nonce = 0;
     }
   bytes_clear (&out);
--- a/src/controller_target.c
+++ b/src/controller_target.c
@@ -32,7 +32,7 @@
     return target;
   log_target (target, by, now);
   gauge_set (controller->n_targets, HASH_COUNT (controller->registry->targets));
-  controller_push_soon (controller, now);
+  controller_schedule_push (controller, now);
   return target;
 }
 
@@ -80,9 +80,9 @@
 /* The number of other voters that must hold a registration so that, with this controller, it
  * survives as many losses as the log does. */
 static uint32_t
-others_wanted (const struct controller *controller,
-               const struct controller_member *members,
-               uint32_t n)
+count_acks_needed (const struct controller *controller,
+                   const struct controller_member *members,
+                   uint32_t n)
 {
   uint32_t voters = 0;
 
@@ -105,8 +105,8 @@
 
   wait->controller = controller;
   wait->number = ++controller->last_wait;
-  wait->wanted = others_wanted (controller, members, n);
-  wait->n_seen = 0;
+  wait->acks_needed = count_acks_needed (controller, members, n);
+  wait->n_acks = 0;
   bytes_init (&out, NULL);
   sync_write_header (SYNC_TARGET, &out);
   pack_uint (&out, controller->config.incarnation);
@@ -116,17 +116,17 @@
     if (strcmp (members[i].name, controller->config.name) != 0)
       port->ops->send (port, members[i].name, PEER_CHANNEL_SYNC, out.data, out.length);
   bytes_clear (&out);
-  if (wait->wanted == 0 && n > 0)
+  if (wait->acks_needed == 0 && n > 0)
     return true;
   wait->timer.ops = &wait_ops;
   wait->next = controller->waits;
   controller->waits = wait;
-  timer_arm (controller->config.timers, &wait->timer, now + CONTROLLER_LEAVE_WAIT);
+  timer_arm (controller->config.timers, &wait->timer, now + CONTROLLER_LEAVE_TIMEOUT);
   return false;
 }
 
 bool
-controller_reaches_entries (const struct controller *controller, int64_t now)
+controller_can_accept_targets (const struct controller *controller, int64_t now)
 {
   struct controller_member members[SYNC_CONTROLLERS_MAX];
   uint32_t n = controller->config.members (controller->config.members_context, members);
@@ -134,9 +134,9 @@
   if (find_member (members, n, controller->config.name) == NULL)
     return false;
   for (uint32_t i = 0; i < controller->n_hosts; i++)
-    if (controller_host_lives (&controller->hosts[i], now))
+    if (controller_host_is_live (&controller->hosts[i], now))
       return true;
-  return n == 1 || now - controller->started < CONTROLLER_START_GRACE;
+  return n == 1 || now - controller->started_at < CONTROLLER_START_GRACE;
 }
 
 /* A leaving target must get no new work even if this host fails right after the acknowledgement, so
@@ -175,7 +175,7 @@
 }
 
 void
-controller_withdraw (struct controller *controller, struct controller_wait *wait)
+controller_cancel_wait (struct controller *controller, struct controller_wait *wait)
 {
   struct controller_wait **at = &controller->waits;
 
@@ -187,10 +187,10 @@
 }
 
 void
-controller_got_target (struct controller *controller,
-                       struct pack_reader *in,
-                       const char *from,
-                       int64_t now)
+controller_handle_target (struct controller *controller,
+                          struct pack_reader *in,
+                          const char *from,
+                          int64_t now)
 {
   uint64_t incarnation = pack_read_uint (in, UINT64_MAX);
   uint64_t number = pack_read_uint (in, UINT64_MAX);
@@ -214,21 +214,21 @@
 /* Records an acknowledgement; true when the host had acknowledged already, as messages may be
  * duplicated. */
 static bool
-note_seen (struct controller_wait *wait, const char *from)
+record_ack (struct controller_wait *wait, const char *from)
 {
-  for (uint32_t i = 0; i < wait->n_seen; i++)
-    if (strcmp (wait->seen[i], from) == 0)
+  for (uint32_t i = 0; i < wait->n_acks; i++)
+    if (strcmp (wait->acked_by[i], from) == 0)
       return true;
-  if (wait->n_seen < SYNC_CONTROLLERS_MAX)
-    text_copy_truncated (wait->seen[wait->n_seen++], ROUTING_NAME_SIZE, from);
+  if (wait->n_acks < SYNC_CONTROLLERS_MAX)
+    text_copy_truncated (wait->acked_by[wait->n_acks++], ROUTING_NAME_SIZE, from);
   return false;
 }
 
 void
-controller_got_received (struct controller *controller,
-                         struct pack_reader *in,
-                         const char *from,
-                         int64_t now)
+controller_handle_target_ack (struct controller *controller,
+                              struct pack_reader *in,
+                              const char *from,
+                              int64_t now)
 {
   uint64_t incarnation = pack_read_uint (in, UINT64_MAX);
   uint64_t number = pack_read_uint (in, UINT64_MAX);
@@ -240,8 +240,8 @@
     return;
   while (wait != NULL && wait->number != number)
     wait = wait->next;
-  if (wait == NULL || !is_voter (members, n, from) || note_seen (wait, from)
-      || wait->n_seen < wait->wanted)
+  if (wait == NULL || !is_voter (members, n, from) || record_ack (wait, from)
+      || wait->n_acks < wait->acks_needed)
     return;
   finish_wait (wait, STATUS_OK, now);
 }
--- a/src/decide_dump.c
+++ b/src/decide_dump.c
@@ -10,8 +10,9 @@
     return NULL;
   return json_pack (
       "{s:s,s:b,s:i,s:f,s:f,s:b,s:I,s:f}", "name", entry->name, "usable",
-      board_target_usable (entry, now), "in_flight", (int) target->in_flight, "work", target->work,
-      "slowness", target->slowness, "ejected", target->eject.until != 0, "ejected_for_ms",
+      board_target_is_usable (entry, now), "in_flight", (int) target->in_flight, "work",
+      target->work, "slowness", target->slowness, "ejected", target->eject.until != 0,
+      "ejected_for_ms",
       (json_int_t) (target->eject.until > now ? (target->eject.until - now) / USEC_PER_MSEC : 0),
       "report_weight", decide_report_weight (&entry->report, now));
 }
@@ -108,7 +109,7 @@
         continue;
       json_array_append_new (list,
                              json_pack ("{s:s,s:f,s:f}", "name", entry->spec.name, "retries_left",
-                                        own->retries.held, "hedges_left", own->hedges.held));
+                                        own->retries.tokens, "hedges_left", own->hedges.tokens));
     }
   return list;
 }
--- a/src/decide_pool.c
+++ b/src/decide_pool.c
@@ -284,7 +284,7 @@
       double fresh;
 
       decide_slowness_decay (target, since);
-      if (entry == NULL || !board_target_usable (entry, now) || target->eject.until > now)
+      if (entry == NULL || !board_target_is_usable (entry, now) || target->eject.until > now)
         continue;
       usable++;
       pool->slots += slots_of (decide, entry) / target->slowness;
--- a/src/decide_target.c
+++ b/src/decide_target.c
@@ -142,7 +142,7 @@
 {
   const struct board_target *entry = table_get (search->decide->board->targets, target->handle);
 
-  if (entry == NULL || !board_target_usable (entry, search->now))
+  if (entry == NULL || !board_target_is_usable (entry, search->now))
     return false;
   if (eject_state (&target->eject, search->now) == EJECT_EJECTED)
     return false;
--- a/src/dialect.h
+++ b/src/dialect.h
@@ -28,7 +28,7 @@
 };
 
 /* Fields of a client's request other than its route.  Times are in USEC. */
-struct request_facts
+struct request_fields
 {
   char id[DIALECT_ID_SIZE];
   bool has_deadline;
@@ -46,7 +46,7 @@
 };
 
 /* Fields sent to a target in addition to the client's own headers. */
-struct call_facts
+struct call_fields
 {
   int64_t time_left;
   const char *target;       /* identity of the intended incarnation; any other rejects the call */
@@ -56,7 +56,7 @@
 };
 
 /* Fields of a target's response other than its status. */
-struct answer_facts
+struct response_fields
 {
   const char *id;     /* of the request it answers; NULL when not given */
   bool is_signed;     /* has the target's signature */
@@ -65,7 +65,7 @@
 };
 
 /* One piece of stage work. */
-struct piece_facts
+struct piece_fields
 {
   const char *request;
   uint32_t stage;
@@ -76,7 +76,7 @@
 };
 
 /* name, text */
-#define PIECE_END_LIST(X)                                                                          \
+#define PIECE_OUTCOME_LIST(X)                                                                      \
   X (DONE, "done")                                                                                 \
   X (LATE, "late")                                                                                 \
   X (INPUT_GONE, "input gone")                                                                     \
@@ -85,15 +85,15 @@
   X (BUSY, "too much waits before it")                                                             \
   X (ENDS_TARGETS, "targets ended under it")
 
-enum piece_end
+enum piece_outcome
 {
 #define X(name, text) PIECE_##name,
-  PIECE_END_LIST (X)
+  PIECE_OUTCOME_LIST (X)
 #undef X
       PIECE_END_COUNT
 };
 
-const char *piece_end_text (enum piece_end end);
+const char *piece_outcome_text (enum piece_outcome end);
 
 /* A result stored at the target that produced it. */
 struct stage_result
@@ -104,7 +104,7 @@
 
 struct piece_result
 {
-  enum piece_end end;
+  enum piece_outcome outcome;
   struct stage_result result; /* its target is not filled in by the dialect */
 };
 
@@ -118,27 +118,29 @@
   /* STATUS_INVALID with a message that names the header. */
   enum status (*read_request) (struct dialect *dialect,
                                const struct h1_head *head,
-                               struct request_facts *out);
+                               struct request_fields *out);
 
   /* Is a client's header forwarded?  Not those that this host sets itself. */
-  bool (*passes) (struct dialect *dialect, const char *name);
-  void (*write_call) (struct dialect *dialect, const struct call_facts *facts, struct bytes *out);
-  void (*read_answer) (struct dialect *dialect,
-                       const struct h1_head *head,
-                       struct answer_facts *out);
+  bool (*forwards_header) (struct dialect *dialect, const char *name);
+  void (*write_call_headers) (struct dialect *dialect,
+                              const struct call_fields *fields,
+                              struct bytes *out);
+  void (*read_response) (struct dialect *dialect,
+                         const struct h1_head *head,
+                         struct response_fields *out);
 
   /* Write complete HTTP requests to a target that runs pieces, and read its responses. */
   void (*write_pieces) (struct dialect *dialect,
                         const char *address,
                         const char *target,
-                        const struct piece_facts *pieces,
+                        const struct piece_fields *pieces,
                         uint32_t n_pieces,
                         struct bytes *out);
-  bool (*read_pieces) (struct dialect *dialect,
-                       const char *body,
-                       size_t length,
-                       struct piece_result *out,
-                       uint32_t n_pieces);
+  bool (*read_piece_results) (struct dialect *dialect,
+                              const char *body,
+                              size_t length,
+                              struct piece_result *out,
+                              uint32_t n_pieces);
   void (*write_free) (struct dialect *dialect,
                       const char *address,
                       const char *target,
--- a/src/entries.c
+++ b/src/entries.c
@@ -12,7 +12,7 @@
   const struct board_host *host;
   struct handle handle;
   double key; /* smaller is earlier */
-  bool taken;
+  bool chosen;
 };
 
 static const char *const tiers[] = {
@@ -28,7 +28,7 @@
 }
 
 static bool
-fits_tier (const struct board *board, const struct board_host *host, enum entries_tier tier)
+host_is_in_tier (const struct board *board, const struct board_host *host, enum entries_tier tier)
 {
   bool alive = host->state == HOST_ALIVE && !(host->self && (board->leaving || board->refusing));
 
@@ -52,10 +52,10 @@
 /* Assigns each host of the tier a key.  Sorted by key they are a weighted random sample without
  * replacement (Efraimidis and Spirakis, Weighted random sampling with a reservoir, 2006). */
 static uint32_t
-collect (const struct board *board,
-         enum entries_tier tier,
-         struct rng *rng,
-         struct candidate out[BOARD_HOSTS_MAX])
+collect_candidates (const struct board *board,
+                    enum entries_tier tier,
+                    struct rng *rng,
+                    struct candidate out[BOARD_HOSTS_MAX])
 {
   const struct board_host *host;
   struct handle handle;
@@ -66,7 +66,7 @@
     {
       double weight = 1 - host->load;
 
-      if (!fits_tier (board, host, tier))
+      if (!host_is_in_tier (board, host, tier))
         continue;
       if (weight < WEIGHT_MIN)
         weight = WEIGHT_MIN;
@@ -80,7 +80,7 @@
 }
 
 static int
-by_key (const void *a, const void *b)
+compare_keys (const void *a, const void *b)
 {
   double left = ((const struct candidate *) a)->key;
   double right = ((const struct candidate *) b)->key;
@@ -89,10 +89,10 @@
 }
 
 static bool
-domain_named (const struct candidate *candidates,
-              const uint32_t *round,
-              uint32_t n_round,
-              const char *domain)
+domain_is_in_round (const struct candidate *candidates,
+                    const uint32_t *round,
+                    uint32_t n_round,
+                    const char *domain)
 {
   for (uint32_t i = 0; i < n_round; i++)
     if (strcmp (candidates[round[i]].host->domain, domain) == 0)
@@ -103,7 +103,7 @@
 /* Goes over the hosts by key in rounds, each taking one host of every failure domain, so that a
  * caller whose host failed with its domain finds the next host in another one. */
 static void
-deal (struct candidate *candidates, uint32_t count, struct entries_choice *out)
+interleave_domains (struct candidate *candidates, uint32_t count, struct entries_choice *out)
 {
   uint32_t round[ENTRIES_MAX];
   uint32_t left = count;
@@ -114,10 +114,10 @@
 
       for (uint32_t i = 0; i < count && out->n_hosts < ENTRIES_MAX; i++)
         {
-          if (candidates[i].taken
-              || domain_named (candidates, round, n_round, candidates[i].host->domain))
+          if (candidates[i].chosen
+              || domain_is_in_round (candidates, round, n_round, candidates[i].host->domain))
             continue;
-          candidates[i].taken = true;
+          candidates[i].chosen = true;
           round[n_round++] = i;
           out->hosts[out->n_hosts++] = candidates[i].handle;
           left--;
@@ -138,8 +138,8 @@
   if (self != NULL && self->cut_off)
     tier = ENTRIES_ELSEWHERE;
   for (; tier < ENTRIES_NONE && count == 0; tier++)
-    count = collect (board, tier, &rng, candidates);
+    count = collect_candidates (board, tier, &rng, candidates);
   *out = (struct entries_choice){ .tier = count == 0 ? ENTRIES_NONE : tier - 1 };
-  qsort (candidates, count, sizeof candidates[0], by_key);
-  deal (candidates, count, out);
+  qsort (candidates, count, sizeof candidates[0], compare_keys);
+  interleave_domains (candidates, count, out);
 }
--- a/src/entry_host.c
+++ b/src/entry_host.c
@@ -14,16 +14,16 @@
 /* On a shutdown requests are accepted for this long, while clients remove this host from their
  * lists; then they are rejected as not run, for a retry at another host.  What remains of
  * shutdown_bound must be enough for a stream to end. */
-#define TAKE_ON (2000 * USEC_PER_MSEC)
+#define DRAIN_ACCEPT_TIME (2000 * USEC_PER_MSEC)
 
 /* The process does not exit earlier, so that a client with a stale list gets a rejection instead of
  * a closed port. */
-#define STAY_AT_LEAST (3000 * USEC_PER_MSEC)
+#define DRAIN_MIN (3000 * USEC_PER_MSEC)
 
 /* Remaining requests are aborted this long before shutdown_bound. */
-#define END_MARGIN (400 * USEC_PER_MSEC)
+#define DRAIN_ABORT_MARGIN (400 * USEC_PER_MSEC)
 
-#define DRAIN_LOOK (50 * USEC_PER_MSEC)
+#define DRAIN_POLL_PERIOD (50 * USEC_PER_MSEC)
 
 /* Timeout of a connection attempt to a target. */
 #define TARGET_CONNECT_TIMEOUT (1000 * USEC_PER_MSEC)
@@ -83,9 +83,9 @@
 /* ---- shutdown ---- */
 
 static void
-end (struct entry_host *host, bool whole)
+stop (struct entry_host *host, bool drained)
 {
-  log_event (LOG_MODULE_HOST, LOG_LEVEL_INFO, "stopped", "{s:b,s:i}", "whole", whole, "in_flight",
+  log_event (LOG_MODULE_HOST, LOG_LEVEL_INFO, "stopped", "{s:b,s:i}", "whole", drained, "in_flight",
              (int) forward_in_flight (host->forward));
   loop_stop (host->base.loop);
 }
@@ -96,19 +96,19 @@
   struct entry_host *host = CONTAINER_OF (timer, struct entry_host, drain);
   int64_t since = now - host->leaving_since;
 
-  if (since >= TAKE_ON)
+  if (since >= DRAIN_ACCEPT_TIME)
     forward_refuse_all (host->forward);
-  if (since >= STAY_AT_LEAST && h1_server_pending (host->clients) == 0)
+  if (since >= DRAIN_MIN && h1_server_pending (host->clients) == 0)
     {
-      end (host, true);
+      stop (host, true);
       return;
     }
-  if (since >= host->base.settings.shutdown_bound - END_MARGIN)
+  if (since >= host->base.settings.shutdown_timeout - DRAIN_ABORT_MARGIN)
     {
-      end (host, false);
+      stop (host, false);
       return;
     }
-  timer_arm (host->base.timers, timer, now + DRAIN_LOOK);
+  timer_arm (host->base.timers, timer, now + DRAIN_POLL_PERIOD);
 }
 
 static const struct timer_ops drain_ops = { .fire = drain_fired };
@@ -124,7 +124,7 @@
   host->leaving_since = now;
   subscriber_leave (host->subscriber, now);
   h1_server_close_after_answers (host->clients);
-  timer_arm (host->base.timers, &host->drain, now + DRAIN_LOOK);
+  timer_arm (host->base.timers, &host->drain, now + DRAIN_POLL_PERIOD);
 }
 
 static const struct loop_signal_ops signal_ops = { .raised = signal_raised };
--- a/src/flow_arrive.c
+++ b/src/flow_arrive.c
@@ -111,7 +111,7 @@
 {
   const struct pipeline_spec *spec = request->spec;
   int64_t window =
-      caller->window > 0 && caller->window < spec->deadline ? caller->window : spec->deadline;
+      caller->timeout > 0 && caller->timeout < spec->deadline ? caller->timeout : spec->deadline;
   uint32_t priority = spec->priority;
   size_t bytes = caller->service ? request->raw_length : json_string_length (caller->input);
 
@@ -126,7 +126,7 @@
     .output_tokens = output_tokens (spec, caller->max_tokens),
     .priority = priority,
     .repeatable =
-        caller->repeatable == CALLER_NOT_SAID ? spec->repeatable : caller->repeatable == CALLER_YES,
+        caller->repeatable == CALLER_UNSET ? spec->repeatable : caller->repeatable == CALLER_YES,
   };
 }
 
@@ -278,7 +278,7 @@
                            caller->service ? "no such service" : "no such pipeline");
   if (caller->id[0] == '\0'
       && (caller->repeatable == CALLER_NO
-          || (caller->repeatable == CALLER_NOT_SAID && !pipeline->spec.repeatable)))
+          || (caller->repeatable == CALLER_UNSET && !pipeline->spec.repeatable)))
     return refuse_invalid (flow, exchange, 400, "x-request-id",
                            "required for an unrepeatable request");
   if (caller->id[0] == '\0')
@@ -304,12 +304,12 @@
   char name[RESOURCE_NAME_SIZE];
 
   flow->last_arrival = now;
-  if (caller_read (exchange, flow->config.settings, &caller, &error) != STATUS_OK)
+  if (caller_parse_request (exchange, flow->config.settings, &caller, &error) != STATUS_OK)
     {
       flow_count_invalid (flow, error.code);
       return flow_answer_invalid (exchange, &error);
     }
-  if (access_caller (flow->config.access, exchange, &organisation, name) != STATUS_OK)
+  if (access_authenticate_caller (flow->config.access, exchange, &organisation, name) != STATUS_OK)
     refuse_invalid (flow, exchange, http_header (exchange, "authorization") == NULL ? 401 : 403,
                     "authorization", status_message ());
   else if (!board->config_ready)
--- a/src/forward_attempt.c
+++ b/src/forward_attempt.c
@@ -35,7 +35,7 @@
   const struct h1_head *head = job->exchange->head;
   const struct bytes *body = job->exchange->body;
   struct bytes inputs;
-  struct call_facts facts = {
+  struct call_fields facts = {
     .time_left = job->deadline - now,
     .target = job->target->id,
     .organisation = job->organisation[0] == '\0' ? NULL : job->organisation,
@@ -49,9 +49,9 @@
                        head->target);
   for (uint32_t i = 0; i < head->n_fields; i++)
     if (!h1_is_hop_by_hop (head, head->fields[i].name)
-        && dialect->ops->passes (dialect, head->fields[i].name))
+        && dialect->ops->forwards_header (dialect, head->fields[i].name))
       h1_write_field (out, head->fields[i].name, head->fields[i].value);
-  dialect->ops->write_call (dialect, &facts, out);
+  dialect->ops->write_call_headers (dialect, &facts, out);
   if (body->length > 0 || head->has_length || head->chunked)
     bytes_append_format (out, "Content-Length: %zu\r\n", body->length);
   bytes_append_text (out, "\r\n");
@@ -272,7 +272,7 @@
 static bool
 answers_this_request (const struct forward_job *job,
                       const struct h1_head *head,
-                      const struct answer_facts *facts)
+                      const struct response_fields *facts)
 {
   if (facts->id != NULL)
     return strcmp (facts->id, job->facts.id) == 0;
@@ -285,7 +285,7 @@
 static bool
 is_refusal (const struct forward_job *job,
             const struct h1_head *head,
-            const struct answer_facts *facts)
+            const struct response_fields *facts)
 {
   if (facts->id == NULL && job->call.reused)
     return false;
@@ -308,10 +308,10 @@
 {
   struct forward_job *job = CONTAINER_OF (call, struct forward_job, call);
   struct dialect *dialect = job->forward->config.dialect;
-  struct answer_facts facts;
+  struct response_fields facts;
 
   job->heard_at = now;
-  dialect->ops->read_answer (dialect, head, &facts);
+  dialect->ops->read_response (dialect, head, &facts);
   if (!answers_this_request (job, head, &facts))
     return false;
   job->status = head->status;
--- a/src/forward_private.h
+++ b/src/forward_private.h
@@ -104,7 +104,7 @@
 {
   struct forward *forward;
   struct h1_exchange *exchange;
-  struct request_facts facts;
+  struct request_fields facts;
   struct route route; /* a copy: the routing may be replaced while the request runs */
   char pool[ROUTING_NAME_SIZE];
   char organisation[ROUTING_NAME_SIZE];
--- a/src/forward_stage.c
+++ b/src/forward_stage.c
@@ -168,14 +168,14 @@
 }
 
 static void
-stage_done (struct work_order *order, enum piece_end end, int64_t now)
+stage_done (struct work_order *order, enum piece_outcome end, int64_t now)
 {
   struct forward_stage *stage = CONTAINER_OF (order, struct forward_stage, order);
   struct forward_job *job = stage->job;
 
   log_event (LOG_MODULE_FLOW, LOG_LEVEL_INFO, "stage-ended", "{s:s,s:i,s:s,s:i,s:s,s:s,s:I}", "id",
              job->facts.id, "stage", (int) order->stage, "pool", order->pool, "pieces",
-             (int) order->n_pieces, "outcome", piece_end_text (end), "owner", order->owner,
+             (int) order->n_pieces, "outcome", piece_outcome_text (end), "owner", order->owner,
              "since_arrival_us", (json_int_t) (now - job->arrived));
   if (end == PIECE_DONE)
     {
--- a/src/operator.c
+++ b/src/operator.c
@@ -96,7 +96,7 @@
 
   text_copy_truncated (request->who, sizeof request->who, "anonymous");
   if (api->config.access != NULL)
-    role = access_operator (api->config.access, request->exchange, request->who);
+    role = access_authenticate_operator (api->config.access, request->exchange, request->who);
   if (role >= role_needed (request->kind, request->exchange->method))
     return true;
   if (role == ACCESS_NONE)
--- a/src/order.c
+++ b/src/order.c
@@ -106,7 +106,7 @@
     {
       const struct assignment_spec *wanted = order_find_assignment (orders, entry);
 
-      if (wanted == NULL || !board_target_usable (entry, now))
+      if (wanted == NULL || !board_target_is_usable (entry, now))
         continue;
       target = find_target (orders, entry->name);
       if (target == NULL)
--- a/src/role_base.c
+++ b/src/role_base.c
@@ -10,7 +10,7 @@
 #include <talloc.h>
 
 /* Messages queued for a slow peer; more would be stale when sent. */
-#define PEER_QUEUE 200
+#define PEER_QUEUE_MESSAGES 200
 
 /* Peers reconnect within half a second of their restart: a controller that restarts without data
  * must have received all state a few seconds later, reconnection included. */
@@ -33,7 +33,10 @@
 }
 
 static void
-release (struct role_base *base, struct h1_exchange *exchange, const char *content, int64_t now)
+release_request (struct role_base *base,
+                 struct h1_exchange *exchange,
+                 const char *content,
+                 int64_t now)
 {
   struct request_digest digest;
   unsigned status = HTTP_STATUS_OK;
@@ -52,7 +55,7 @@
 }
 
 static const char *
-behind (const char *text, const char *prefix)
+skip_prefix (const char *text, const char *prefix)
 {
   size_t length = strlen (prefix);
 
@@ -60,7 +63,7 @@
 }
 
 static void
-show_counters (struct role_base *base, struct h1_exchange *exchange)
+reply_counters (struct role_base *base, struct h1_exchange *exchange)
 {
   struct bytes text;
 
@@ -76,16 +79,16 @@
 {
   struct role_base *base = CONTAINER_OF (handler, struct role_base, metrics);
   const char *target = exchange->head->target;
-  const char *content = behind (target, "/quarantine/release/");
+  const char *content = skip_prefix (target, "/quarantine/release/");
 
   if (content != NULL && base->quarantine != NULL)
-    release (base, exchange, content, now);
+    release_request (base, exchange, content, now);
   else if (strcmp (target, "/quarantine") == 0 && base->quarantine != NULL)
     reply_json (exchange, quarantine_control_describe (base->quarantine, now));
-  else if (behind (target, "/dump") != NULL)
+  else if (skip_prefix (target, "/dump") != NULL)
     reply_json (exchange, dump_describe (&base->dump, now));
   else
-    show_counters (base, exchange);
+    reply_counters (base, exchange);
 }
 
 static void
@@ -109,7 +112,7 @@
     .counters = base->counters,
     .name = base->settings.peer_address,
     .listen = base->settings.peer_address,
-    .queue_messages = PEER_QUEUE,
+    .queue_messages = PEER_QUEUE_MESSAGES,
     .reconnect_max_ms = PEER_RECONNECT_MAX_MS,
     .connect_timeout_ms = PEER_CONNECT_TIMEOUT_MS,
     .retransmit_max_ms = PEER_RETRANSMIT_MAX_MS,
--- a/src/role_base.h
+++ b/src/role_base.h
@@ -40,14 +40,15 @@
   int64_t ready_for;
   double retry_share;
   double retry_spare;
-  int64_t shutdown_bound;
+  int64_t shutdown_timeout;
 
   /* A controller. */
   char control_address[ROUTING_NAME_SIZE];
   char entries_address[ROUTING_NAME_SIZE];
   char data_folder[ROLE_PATH_SIZE];
-  uint32_t losses; /* simultaneous controller failures to tolerate; 2 * losses + 1 voters */
-  bool may_form;   /* first start of the system: a new group may be formed */
+  uint32_t
+      tolerated_failures; /* simultaneous controller failures to tolerate; 2 * losses + 1 voters */
+  bool may_bootstrap;     /* first start of the system: a new group may be formed */
 };
 
 /* Common state of entry hosts and controllers. */
--- a/src/target_api.c
+++ b/src/target_api.c
@@ -87,7 +87,7 @@
 
 /* Replies to a call whose success has no result. */
 static void
-reply_done (struct http_exchange *exchange, enum status status)
+reply_result (struct http_exchange *exchange, enum status status)
 {
   if (status == STATUS_OK)
     reply_json (exchange, 200, json_object ());
@@ -96,7 +96,7 @@
 }
 
 static void
-reply_fault (struct http_exchange *exchange, const struct target_fault *fault)
+reply_body_error (struct http_exchange *exchange, const struct target_body_error *fault)
 {
   http_reply_error (exchange, 400, fault->field, fault->message);
 }
@@ -115,13 +115,13 @@
 static void
 announce (struct target_api *api, struct http_exchange *exchange, const json_t *body, int64_t now)
 {
-  struct directory_record said;
-  struct target_fault fault = { 0 };
+  struct directory_record record;
+  struct target_body_error fault = { 0 };
   enum status status;
 
-  if (!target_body_read_record (body, &said, &fault))
+  if (!target_body_read_record (body, &record, &fault))
     {
-      reply_fault (exchange, &fault);
+      reply_body_error (exchange, &fault);
       return;
     }
   if (api->board->leaving)
@@ -129,7 +129,7 @@
       reply_leaving (api, exchange, 503);
       return;
     }
-  status = directory_announce (api->directory, &said, now);
+  status = directory_announce (api->directory, &record, now);
   if (status == STATUS_OK)
     reply_lease (api, exchange, 200);
   else
@@ -141,12 +141,12 @@
 {
   char name[RESOURCE_NAME_SIZE];
   struct directory_key key;
-  struct target_fault fault = { 0 };
+  struct target_body_error fault = { 0 };
   enum status status;
 
   if (!target_body_read_key (body, true, name, &key, &fault))
     {
-      reply_fault (exchange, &fault);
+      reply_body_error (exchange, &fault);
       return;
     }
   status = directory_renew (api->directory, &key, now);
@@ -164,14 +164,14 @@
 {
   char name[RESOURCE_NAME_SIZE];
   struct directory_key key;
-  struct target_fault fault = { 0 };
+  struct target_body_error fault = { 0 };
 
   if (!target_body_read_key (body, true, name, &key, &fault))
     {
-      reply_fault (exchange, &fault);
+      reply_body_error (exchange, &fault);
       return;
     }
-  reply_done (exchange, directory_leave (api->directory, &key, now));
+  reply_result (exchange, directory_leave (api->directory, &key, now));
 }
 
 static void
@@ -179,7 +179,7 @@
 {
   char name[RESOURCE_NAME_SIZE];
   struct directory_key key;
-  struct target_fault fault = { 0 };
+  struct target_body_error fault = { 0 };
   uint64_t age = 0;
   uint64_t running = 0;
   uint64_t waiting = 0;
@@ -191,7 +191,7 @@
       || !target_body_read_number (body, "running", UINT32_MAX, &running, &fault)
       || !target_body_read_number (body, "waiting", UINT32_MAX, &waiting, &fault))
     {
-      reply_fault (exchange, &fault);
+      reply_body_error (exchange, &fault);
       return;
     }
   if (kv_used != NULL
@@ -207,7 +207,7 @@
     .waiting = (uint32_t) waiting,
     .kv_used = json_number_value (kv_used),
   };
-  reply_done (exchange, directory_report_load (api->directory, &key, &report, now));
+  reply_result (exchange, directory_report_load (api->directory, &key, &report, now));
 }
 
 static void
@@ -216,7 +216,7 @@
   char name[RESOURCE_NAME_SIZE];
   struct directory_key key;
   struct directory_cache_event *events = NULL;
-  struct target_fault fault = { 0 };
+  struct target_body_error fault = { 0 };
   uint64_t first = 0;
   size_t count = 0;
   enum status status;
@@ -225,12 +225,12 @@
       || !target_body_read_number (body, "first", INT64_MAX, &first, &fault)
       || (events = target_body_read_events (api, body, &count, &fault)) == NULL)
     {
-      reply_fault (exchange, &fault);
+      reply_body_error (exchange, &fault);
       return;
     }
   status = directory_report_cache_events (api->directory, &key, first, events, count, now);
   talloc_free (events);
-  reply_done (exchange, status);
+  reply_result (exchange, status);
 }
 
 static const struct
@@ -252,7 +252,7 @@
   json_error_t error;
   json_t *body;
 
-  if (!target_body_depth_within (exchange->body, exchange->body_length, api->json_depth))
+  if (!target_body_depth_is_within (exchange->body, exchange->body_length, api->json_depth))
     {
       http_reply_error (exchange, 400, NULL, "nested too deeply");
       return;
--- a/src/target_body.c
+++ b/src/target_body.c
@@ -9,7 +9,7 @@
 
 /* Checked before the parser runs, whose own limit is far higher. */
 bool
-target_body_depth_within (const char *text, size_t length, uint32_t limit)
+target_body_depth_is_within (const char *text, size_t length, uint32_t limit)
 {
   uint32_t depth = 0;
   bool quoted = false;
@@ -29,11 +29,11 @@
 }
 
 static bool
-fail (struct target_fault *fault, const char *field, const char *message)
+fail (struct target_body_error *fault, const char *field, const char *message)
 {
   /* Report the first fault only. */
   if (fault->message == NULL)
-    *fault = (struct target_fault){ .field = field, .message = message };
+    *fault = (struct target_body_error){ .field = field, .message = message };
   return false;
 }
 
@@ -58,7 +58,7 @@
 read_name (const json_t *body,
            const char *field,
            char out[RESOURCE_NAME_SIZE],
-           struct target_fault *fault)
+           struct target_body_error *fault)
 {
   if (copy_name (json_object_get (body, field), out))
     return true;
@@ -66,7 +66,7 @@
 }
 
 static bool
-read_address (const json_t *body, char out[RESOURCE_ADDRESS_SIZE], struct target_fault *fault)
+read_address (const json_t *body, char out[RESOURCE_ADDRESS_SIZE], struct target_body_error *fault)
 {
   const char *text = json_string_value (json_object_get (body, "address"));
 
@@ -79,8 +79,11 @@
 }
 
 bool
-target_body_read_number (
-    const json_t *body, const char *field, uint64_t max, uint64_t *out, struct target_fault *fault)
+target_body_read_number (const json_t *body,
+                         const char *field,
+                         uint64_t max,
+                         uint64_t *out,
+                         struct target_body_error *fault)
 {
   const json_t *value = json_object_get (body, field);
   json_int_t number = json_integer_value (value);
@@ -92,7 +95,7 @@
 }
 
 static bool
-read_flag (const json_t *body, const char *field, bool *out, struct target_fault *fault)
+read_flag (const json_t *body, const char *field, bool *out, struct target_body_error *fault)
 {
   const json_t *value = json_object_get (body, field);
 
@@ -107,7 +110,7 @@
             const char *field,
             char out[][RESOURCE_NAME_SIZE],
             uint32_t *count,
-            struct target_fault *fault)
+            struct target_body_error *fault)
 {
   const json_t *list = json_object_get (body, field);
 
@@ -124,7 +127,7 @@
 }
 
 static bool
-read_kind (const json_t *body, enum stage_kind *out, struct target_fault *fault)
+read_kind (const json_t *body, enum stage_kind *out, struct target_body_error *fault)
 {
   static const char *const kinds[] = {
 #define X(name, text) [STAGE_##name] = text,
@@ -145,7 +148,7 @@
 bool
 target_body_read_record (const json_t *body,
                          struct directory_record *out,
-                         struct target_fault *fault)
+                         struct target_body_error *fault)
 {
   uint64_t slots = 0;
   const char *version = json_string_value (json_object_get (body, "version"));
@@ -173,7 +176,7 @@
                       bool with_sequence,
                       char name[RESOURCE_NAME_SIZE],
                       struct directory_key *out,
-                      struct target_fault *fault)
+                      struct target_body_error *fault)
 {
   *out = (struct directory_key){ .name = name };
   return read_name (body, "name", name, fault)
@@ -200,7 +203,7 @@
 target_body_read_events (void *parent,
                          const json_t *body,
                          size_t *count,
-                         struct target_fault *fault)
+                         struct target_body_error *fault)
 {
   const json_t *list = json_object_get (body, "events");
   struct directory_cache_event *events;
--- a/src/work.c
+++ b/src/work.c
@@ -33,7 +33,7 @@
 }
 
 static void
-finish_order (struct work_order *order, enum piece_end end, int64_t now)
+finish_order (struct work_order *order, enum piece_outcome end, int64_t now)
 {
   if (end != PIECE_DONE)
     counter_add (order->work->failed, 1);
@@ -59,14 +59,14 @@
 
 /* The owner reported how the order ended. */
 static void
-handle_end (struct work_order *order, enum piece_end end, int64_t now)
+handle_end (struct work_order *order, enum piece_outcome end, int64_t now)
 {
   if (end != PIECE_BUSY || !dispatch_to_other_shard (order, now))
     finish_order (order, end, now);
 }
 
 static void
-local_done (struct batch_order *batch_order, enum piece_end end, int64_t now)
+local_done (struct batch_order *batch_order, enum piece_outcome end, int64_t now)
 {
   struct work *work = batch_order->user;
   struct work_order *order = find_order (work, batch_order->number);
@@ -340,7 +340,7 @@
 struct work_answer
 {
   uint64_t number;
-  enum piece_end end;
+  enum piece_outcome end;
   char pool[ROUTING_NAME_SIZE];
   char domain[ROUTING_NAME_SIZE];
   int64_t wait; /* of the owner's queue */
@@ -353,7 +353,7 @@
 read_answer (struct pack_reader *in, struct work_answer *out)
 {
   out->number = pack_read_uint (in, UINT64_MAX);
-  out->end = (enum piece_end) pack_read_uint (in, PIECE_END_COUNT - 1);
+  out->end = (enum piece_outcome) pack_read_uint (in, PIECE_END_COUNT - 1);
   pack_read_text (in, out->pool, sizeof out->pool);
   pack_read_text (in, out->domain, sizeof out->domain);
   out->wait = (int64_t) pack_read_uint (in, INT64_MAX);
--- a/src/work.h
+++ b/src/work.h
@@ -80,7 +80,7 @@
 struct work_order_ops
 {
   /* With PIECE_DONE `results` holds the results of the pieces, in order. */
-  void (*done) (struct work_order *order, enum piece_end end, int64_t now);
+  void (*done) (struct work_order *order, enum piece_outcome end, int64_t now);
 
   /* All its pieces are in calls.  May be called again, after a piece was requeued. */
   void (*taken) (struct work_order *order, int64_t now);
--- a/src/work_remote.c
+++ b/src/work_remote.c
@@ -7,7 +7,7 @@
 #define INPUT_BYTES_MAX 65536
 
 static void
-remote_done (struct batch_order *order, enum piece_end end, int64_t now)
+remote_done (struct batch_order *order, enum piece_outcome end, int64_t now)
 {
   struct work *work = order->user;
   uint32_t n = end == PIECE_DONE ? order->demand.n_pieces : 0;
--- a/tests/unit_controller.cc
+++ b/tests/unit_controller.cc
@@ -10,19 +10,19 @@
 {
 
 // A fake log whose reads complete when the test calls answer().
-struct played_log
+struct fake_log
 {
   struct consensus consensus;
   std::vector<struct proposal *> reads;
   bool refuse = false;
 
-  played_log ()
+  fake_log ()
   {
     static const struct consensus_ops ops = {
       .propose = nullptr,
       .read =
           [] (struct consensus *base, struct proposal *proposal, int64_t, int64_t) {
-            auto *self = reinterpret_cast<played_log *> (base);
+            auto *self = reinterpret_cast<fake_log *> (base);
 
             if (self->refuse)
               return STATUS_UNAVAILABLE;
@@ -49,18 +49,18 @@
   }
 };
 
-struct kept_wait
+struct recording_wait
 {
   struct controller_wait wait = {}; // first
   int done = 0;
   enum status status = STATUS_OK;
 
-  kept_wait ()
+  recording_wait ()
   {
     static const struct controller_wait_ops ops = {
       .done =
           [] (struct controller_wait *base, enum status end, int64_t) {
-            auto *self = reinterpret_cast<kept_wait *> (base);
+            auto *self = reinterpret_cast<recording_wait *> (base);
 
             self->done++;
             self->status = end;
@@ -77,7 +77,7 @@
   void *parent = talloc_new (nullptr);
   struct timer_service *timers = timer_service_new (parent);
   recording_port port;
-  played_log log;
+  fake_log log;
   struct document *document = document_new (parent, nullptr);
   struct counters *counters = counters_new (parent);
   struct controller *controller;
@@ -124,25 +124,25 @@
   }
 
   void
-  ask (const char *host,
-       uint64_t nonce,
-       uint64_t version = 0,
-       bool leaving = false,
-       const char *domain = "a")
+  send_request (const char *host,
+                uint64_t nonce,
+                uint64_t version = 0,
+                bool leaving = false,
+                const char *domain = "a")
   {
-    struct sync_request question = {};
+    struct sync_request request = {};
     struct bytes message;
 
-    question.nonce = nonce;
-    question.document = version;
-    snprintf (question.self.name, sizeof question.self.name, "%s", host);
-    snprintf (question.self.address, sizeof question.self.address, "%s-clients", host);
-    snprintf (question.self.domain, sizeof question.self.domain, "%s", domain);
-    question.self.ready = true;
-    question.self.leaving = leaving;
+    request.nonce = nonce;
+    request.document = version;
+    snprintf (request.self.name, sizeof request.self.name, "%s", host);
+    snprintf (request.self.address, sizeof request.self.address, "%s-clients", host);
+    snprintf (request.self.domain, sizeof request.self.domain, "%s", domain);
+    request.self.ready = true;
+    request.self.leaving = leaving;
     bytes_init (&message, nullptr);
     sync_write_header (SYNC_REQUEST, &message);
-    sync_write_request (&question, &message);
+    sync_write_request (&request, &message);
     port.deliver (host, PEER_CHANNEL_SYNC, &message, now);
     bytes_clear (&message);
   }
@@ -190,7 +190,7 @@
 
 TEST_F (ControllerTest, AcceptsARenewalImmediately)
 {
-  kept_wait wait;
+  recording_wait wait;
   struct registry_registration word = make_word ("i", "p", "a:1", REGISTRY_READY, 1);
 
   EXPECT_TRUE (controller_register (controller, &word, &wait.wait, now));
@@ -201,7 +201,7 @@
 // controller holds the registration, entry hosts go on sending work to the target.
 TEST_F (ControllerTest, AcknowledgesALeavingTargetOnceAMajorityHoldsIt)
 {
-  kept_wait wait;
+  recording_wait wait;
   struct registry_registration word = make_word ("i", "p", "a:1", REGISTRY_LEAVING, 1);
 
   EXPECT_FALSE (controller_register (controller, &word, &wait.wait, now));
@@ -217,11 +217,11 @@
 // another one.
 TEST_F (ControllerTest, DoesNotAcknowledgeALeavingTargetAlone)
 {
-  kept_wait wait;
+  recording_wait wait;
   struct registry_registration word = make_word ("i", "p", "a:1", REGISTRY_LEAVING, 1);
 
   controller_register (controller, &word, &wait.wait, now);
-  now += CONTROLLER_LEAVE_WAIT;
+  now += CONTROLLER_LEAVE_TIMEOUT;
   timer_service_run (timers, now);
   EXPECT_EQ (wait.done, 1);
   EXPECT_EQ (wait.status, STATUS_TIMEOUT);
@@ -231,7 +231,7 @@
 // count: after the loss of one voter, no possible leader would hold the registration.
 TEST_F (ControllerTest, LearnersDoNotCountForAMajority)
 {
-  kept_wait wait;
+  recording_wait wait;
   struct registry_registration word = make_word ("i", "p", "a:1", REGISTRY_LEAVING, 1);
 
   members = { { "c1", false }, { "c2", true }, { "c3", true }, { "c4", true }, { "c5", false } };
@@ -250,25 +250,25 @@
 TEST_F (ControllerTest, RejectsTargetsThatEntryHostsWouldNotLearnOf)
 {
   now += CONTROLLER_START_GRACE;
-  EXPECT_FALSE (controller_reaches_entries (controller, now));
-  ask ("e1", 11);
-  EXPECT_TRUE (controller_reaches_entries (controller, now));
+  EXPECT_FALSE (controller_can_accept_targets (controller, now));
+  send_request ("e1", 11);
+  EXPECT_TRUE (controller_can_accept_targets (controller, now));
   now += CONTROLLER_HOST_LEASE + 1;
-  EXPECT_FALSE (controller_reaches_entries (controller, now));
-  ask ("e1", 12);
+  EXPECT_FALSE (controller_can_accept_targets (controller, now));
+  send_request ("e1", 12);
   members = { { "c2", true }, { "c3", true }, { "c4", true } };
-  EXPECT_FALSE (controller_reaches_entries (controller, now));
+  EXPECT_FALSE (controller_can_accept_targets (controller, now));
   members.clear ();
-  EXPECT_FALSE (controller_reaches_entries (controller, now));
+  EXPECT_FALSE (controller_can_accept_targets (controller, now));
 }
 
 // All hosts restart after a power loss.  A target that renews before the first request of an entry
 // host is accepted: if rejected, it would retry a heartbeat later and get no work until then.
 TEST_F (ControllerTest, AcceptsTargetsDuringStartGrace)
 {
-  EXPECT_TRUE (controller_reaches_entries (controller, now));
+  EXPECT_TRUE (controller_can_accept_targets (controller, now));
   now += CONTROLLER_START_GRACE;
-  EXPECT_FALSE (controller_reaches_entries (controller, now));
+  EXPECT_FALSE (controller_can_accept_targets (controller, now));
 }
 
 // The only controller accepts targets while the entry hosts start, as targets have no other to try.
@@ -276,7 +276,7 @@
 {
   members = { { "c1", true } };
   now += CONTROLLER_START_GRACE;
-  EXPECT_TRUE (controller_reaches_entries (controller, now));
+  EXPECT_TRUE (controller_can_accept_targets (controller, now));
 }
 
 // An entry host sends a request during a quorum read.  The result may be older than the request, so
@@ -285,8 +285,8 @@
 {
   struct sync_state state;
 
-  ask ("e1", 11);
-  ask ("e2", 21);
+  send_request ("e1", 11);
+  send_request ("e2", 21);
   ASSERT_EQ (log.reads.size (), 1u);
   log.answer (STATUS_OK, now);
   ASSERT_TRUE (last_state ("e1", &state));
@@ -303,12 +303,12 @@
 {
   struct sync_state state;
 
-  ask ("e1", 11);
+  send_request ("e1", 11);
   log.answer (STATUS_TIMEOUT, now);
   ASSERT_TRUE (last_state ("e1", &state));
   EXPECT_FALSE (state.confirmed);
   log.refuse = true;
-  ask ("e1", 12);
+  send_request ("e1", 12);
   ASSERT_TRUE (last_state ("e1", &state));
   EXPECT_EQ (state.nonce, 12u);
   EXPECT_FALSE (state.confirmed);
@@ -318,7 +318,7 @@
 {
   struct sync_state state;
 
-  ask ("e1", 11);
+  send_request ("e1", 11);
   log.answer (STATUS_OK, now);
   document_take (document, 4, "text", 4);
   controller_document_changed (controller, now);
@@ -335,14 +335,14 @@
 {
   const struct sync_host *out[SYNC_HOSTS_MAX];
 
-  ask ("e1", 11);
-  ask ("e2", 21);
-  EXPECT_EQ (controller_entries (controller, "a", 64, out, now), 2u);
-  ask ("e2", 22, 0, true);
-  ASSERT_EQ (controller_entries (controller, "a", 64, out, now), 1u);
+  send_request ("e1", 11);
+  send_request ("e2", 21);
+  EXPECT_EQ (controller_list_entry_hosts (controller, "a", 64, out, now), 2u);
+  send_request ("e2", 22, 0, true);
+  ASSERT_EQ (controller_list_entry_hosts (controller, "a", 64, out, now), 1u);
   EXPECT_STREQ (out[0]->address, "e1-clients");
   now += CONTROLLER_HOST_LEASE + 1;
-  EXPECT_EQ (controller_entries (controller, "a", 64, out, now), 0u);
+  EXPECT_EQ (controller_list_entry_hosts (controller, "a", 64, out, now), 0u);
 }
 
 // There are more entry hosts than a list can hold.  If all clients got the same 64, a third of the
@@ -357,16 +357,16 @@
     {
       std::string domain (1, static_cast<char> ('a' + i % 4));
 
-      ask (("e" + std::to_string (i)).c_str (), 11, 0, false, domain.c_str ());
+      send_request (("e" + std::to_string (i)).c_str (), 11, 0, false, domain.c_str ());
     }
   for (const char *domain : { "a", "b", "c", "d" })
     {
-      ASSERT_EQ (controller_entries (controller, domain, 64, out, now), 64u);
+      ASSERT_EQ (controller_list_entry_hosts (controller, domain, 64, out, now), 64u);
       for (int i = 0; i < 25; i++)
         EXPECT_STREQ (out[i]->domain, domain);
       for (int i = 0; i < 64; i++)
         named[out[i]->name]++;
-      ASSERT_EQ (controller_entries (controller, domain, 64, again, now), 64u);
+      ASSERT_EQ (controller_list_entry_hosts (controller, domain, 64, again, now), 64u);
       EXPECT_EQ (memcmp (out, again, 64 * sizeof out[0]), 0);
     }
   EXPECT_EQ (named.size (), 100u);
@@ -377,7 +377,7 @@
 TEST_F (ControllerTest, ListsAllHostsOfARollingUpdate)
 {
   for (int i = 0; i < 720; i++)
-    ask (("e" + std::to_string (i)).c_str (), 11);
+    send_request (("e" + std::to_string (i)).c_str (), 11);
   log.answer (STATUS_OK, now);
   EXPECT_EQ (gauge_get (counters, "cherryarch_controller_entry_hosts", "", nullptr)->value, 720);
   EXPECT_EQ (refused_hosts (), 0);
@@ -388,7 +388,7 @@
 TEST_F (ControllerTest, CountsHostsRejectedForLackOfRecords)
 {
   for (int i = 0; i < SYNC_HOSTS_MAX + 3; i++)
-    ask (("e" + std::to_string (i)).c_str (), 11);
+    send_request (("e" + std::to_string (i)).c_str (), 11);
   EXPECT_EQ (refused_hosts (), 3);
 }
 
--- a/tests/unit_directory.cc
+++ b/tests/unit_directory.cc
@@ -200,7 +200,7 @@
   {
     const struct board_target *t = board_find_target ((*this)[host].board, target, nullptr);
 
-    return t != nullptr && board_target_usable (t, now);
+    return t != nullptr && board_target_is_usable (t, now);
   }
 };
 
--- a/tests/unit_directory_api.cc
+++ b/tests/unit_directory_api.cc
@@ -146,7 +146,7 @@
   json_decref (body);
   const struct board_target *t = board_find_target (h.board, "t", nullptr);
   ASSERT_NE (t, nullptr);
-  EXPECT_TRUE (board_target_usable (t, h.now));
+  EXPECT_TRUE (board_target_is_usable (t, h.now));
   EXPECT_EQ (t->slots, 4u);
   EXPECT_STREQ (t->models[0], "m");
 }
@@ -171,7 +171,7 @@
                  .code,
              200);
   EXPECT_EQ (h.post ("leave", "{\"name\":\"t\",\"incarnation\":5,\"sequence\":2}").code, 200);
-  EXPECT_FALSE (board_target_usable (board_find_target (h.board, "t", nullptr), h.now));
+  EXPECT_FALSE (board_target_is_usable (board_find_target (h.board, "t", nullptr), h.now));
   EXPECT_EQ (h.post ("announce", ANNOUNCE).code, 409);
 }
 
@@ -189,7 +189,7 @@
   EXPECT_NE (e.answer.find ("127.0.0.2:2"), std::string::npos);
   EXPECT_EQ (h.post ("announce", ANNOUNCE).code, 503);
   h.now += 2 * USEC_PER_SEC;
-  EXPECT_TRUE (board_target_usable (board_find_target (h.board, "t", nullptr), h.now));
+  EXPECT_TRUE (board_target_is_usable (board_find_target (h.board, "t", nullptr), h.now));
 }
 
 // A faulty target, or any client that reaches the port, sends an invalid announcement.
--- a/tests/unit_product_access.cc
+++ b/tests/unit_product_access.cc
@@ -67,7 +67,7 @@
   {
     struct http_exchange e = exchange ();
 
-    return access_caller (access, &e, &organisation, name);
+    return access_authenticate_caller (access, &e, &organisation, name);
   }
 
   enum access_role
@@ -75,7 +75,7 @@
   {
     struct http_exchange e = exchange ();
 
-    return access_operator (access, &e, name);
+    return access_authenticate_operator (access, &e, name);
   }
 
   void
