--- a/bench/fuzz_text.c
+++ b/bench/fuzz_text.c
@@ -66,7 +66,7 @@
 
   (void) i;
   if (pair.public_key[0] == '\0')
-    key_pair_make (&pair);
+    key_pair_generate (&pair);
   bytes_append_format (out, "public_key = %s\nsecret_key = %s\n", pair.public_key, pair.secret_key);
 }
 
--- a/src/cli_apply.c
+++ b/src/cli_apply.c
@@ -9,7 +9,7 @@
 #define OPTION_WAIT 'w'
 #define WAIT_DEFAULT (30 * USEC_PER_SEC)
 #define WAIT_MAX_SECONDS 3600
-#define WAIT_PAUSE (100 * USEC_PER_MSEC)
+#define WAIT_POLL_INTERVAL (100 * USEC_PER_MSEC)
 
 struct apply_options
 {
@@ -19,7 +19,7 @@
 };
 
 static void
-take_wait (struct apply_options *options, const char *text, struct argp_state *argp)
+parse_wait (struct apply_options *options, const char *text, struct argp_state *argp)
 {
   char *end = NULL;
   long seconds = text == NULL ? 0 : strtol (text, &end, 10);
@@ -48,7 +48,7 @@
       options->path = arg;
       return 0;
     case OPTION_WAIT:
-      take_wait (options, arg, argp);
+      parse_wait (options, arg, argp);
       return 0;
     case ARGP_KEY_ARG:
       argp_error (argp, "expected the file or folder after -f, got argument \"%s\"", arg);
@@ -107,7 +107,7 @@
   request.body = body;
   request.length = strlen (body);
   if (cli_call (session, &request, &answer) != STATUS_OK)
-    code = cli_report_failure ();
+    code = cli_report_unreachable ();
   else if (answer.code >= 300)
     code = cli_report_error (&answer, about);
   else
@@ -171,10 +171,10 @@
 /* Reads the revision of every host once; false, with the error reported and `code` set, on
  * failure. */
 static bool
-look (struct cli_session *session,
-      json_int_t wanted,
-      struct progress *progress,
-      enum cli_exit *code)
+poll_progress (struct cli_session *session,
+               json_int_t wanted,
+               struct progress *progress,
+               enum cli_exit *code)
 {
   const struct cli_request request = { .method = "GET", .path = "/v1/revision" };
   struct cli_answer answer;
@@ -182,7 +182,7 @@
 
   if (cli_call (session, &request, &answer) != STATUS_OK)
     {
-      *code = cli_report_failure ();
+      *code = cli_report_unreachable ();
       return false;
     }
   if (answer.code != 200)
@@ -210,7 +210,7 @@
   struct progress progress;
   enum cli_exit code = CLI_EXIT_OK;
 
-  while (look (session, wanted, &progress, &code))
+  while (poll_progress (session, wanted, &progress, &code))
     {
       if (progress.behind == 0)
         {
@@ -227,7 +227,7 @@
                    progress.names);
           return CLI_EXIT_TIMEOUT;
         }
-      cli_pause (session, WAIT_PAUSE);
+      cli_pause (session, WAIT_POLL_INTERVAL);
     }
   return code;
 }
@@ -284,7 +284,7 @@
       return CLI_EXIT_FAILED;
     }
   session = cli_session_new (NULL, &options.common);
-  code = session == NULL ? cli_report_failure () : apply_all (session, &options, &objects);
+  code = session == NULL ? cli_report_unreachable () : apply_all (session, &options, &objects);
   cli_objects_clear (&objects);
   talloc_free (session);
   return code;
--- a/src/cli_check.c
+++ b/src/cli_check.c
@@ -68,25 +68,25 @@
 /* Reads the key file as `run` does, to detect a mode that lets others read it and keys that do not
  * form a pair. */
 static bool
-check_key (const char *path)
+check_key_file (const char *path)
 {
   struct key_pair pair;
-  bool good = path[0] == '\0' || keyfile_read (path, &pair) == STATUS_OK;
+  bool valid = path[0] == '\0' || keyfile_read (path, &pair) == STATUS_OK;
 
-  if (!good)
+  if (!valid)
     fprintf (stderr, "on this machine: [keys] file %s\n", status_message ());
   sodium_memzero (&pair, sizeof pair);
-  return good;
+  return valid;
 }
 
 static bool
 check_files (const struct settings *settings)
 {
-  bool good = check_key (settings->key_file);
+  bool valid = check_key_file (settings->key_file);
 
-  good = check_access (settings->tls_certificate, R_OK, "[keys] tls_certificate") && good;
-  good = check_access (settings->tls_key, R_OK, "[keys] tls_key") && good;
-  return check_access (settings->data_folder, R_OK | W_OK | X_OK, "[data] folder") && good;
+  valid = check_access (settings->tls_certificate, R_OK, "[keys] tls_certificate") && valid;
+  valid = check_access (settings->tls_key, R_OK, "[keys] tls_key") && valid;
+  return check_access (settings->data_folder, R_OK | W_OK | X_OK, "[data] folder") && valid;
 }
 
 static void
--- a/src/cli_delete.c
+++ b/src/cli_delete.c
@@ -18,7 +18,7 @@
 };
 
 static void
-take_version (struct delete_options *options, const char *text, struct argp_state *argp)
+parse_version (struct delete_options *options, const char *text, struct argp_state *argp)
 {
   if (strlen (text) > VERSION_DIGITS_MAX || strspn (text, "0123456789") != strlen (text)
       || text[0] == '\0')
@@ -37,11 +37,11 @@
       argp->child_inputs[0] = &options->common;
       return 0;
     case OPTION_VERSION:
-      take_version (options, arg, argp);
+      parse_version (options, arg, argp);
       return 0;
     case ARGP_KEY_ARG:
       if (options->arguments == 0)
-        options->kind = cli_kind_argument (arg, argp);
+        options->kind = cli_parse_kind_argument (arg, argp);
       else if (options->arguments == 1)
         options->name = arg;
       else
@@ -91,7 +91,7 @@
   if (session != NULL)
     cli_make_change_id (change_id);
   if (session == NULL || cli_call (session, &request, &answer) != STATUS_OK)
-    code = cli_report_failure ();
+    code = cli_report_unreachable ();
   else if (answer.code >= 300)
     code = cli_report_error (&answer, about);
   else if (options.common.json)
--- a/src/cli_dump.c
+++ b/src/cli_dump.c
@@ -42,7 +42,7 @@
 
 /* Reports an unknown part and lists the known ones. */
 static enum cli_exit
-say_parts (const json_t *dump, const char *part)
+report_unknown_part (const json_t *dump, const char *part)
 {
   const char *key;
   json_t *value;
@@ -66,7 +66,7 @@
   if (dump == NULL)
     return CLI_EXIT_FAILED;
   if (shown == NULL)
-    code = say_parts (dump, options->part);
+    code = report_unknown_part (dump, options->part);
   else
     cli_print_json (shown, options->common.json ? JSON_COMPACT : JSON_INDENT (2));
   json_decref (dump);
@@ -101,7 +101,7 @@
     request.path = "/metrics";
   session = cli_session_new (NULL, &options.common);
   if (session == NULL || cli_call (session, &request, &answer) != STATUS_OK)
-    code = cli_report_failure ();
+    code = cli_report_unreachable ();
   else if (answer.code != 200)
     code = cli_report_error (&answer, "dump");
   else if (options.metrics)
--- a/src/cli_get.c
+++ b/src/cli_get.c
@@ -24,7 +24,7 @@
       return 0;
     case ARGP_KEY_ARG:
       if (options->arguments == 0)
-        options->kind = cli_kind_argument (arg, argp);
+        options->kind = cli_parse_kind_argument (arg, argp);
       else if (options->arguments == 1)
         options->name = arg;
       else
@@ -33,7 +33,7 @@
       return 0;
     case ARGP_KEY_END:
       if (options->arguments == 0)
-        cli_kind_argument (NULL, argp);
+        cli_parse_kind_argument (NULL, argp);
       return 0;
     default:
       return ARGP_ERR_UNKNOWN;
@@ -71,7 +71,7 @@
             options->name);
   snprintf (about, sizeof about, "%s %.100s", resource_kind_plural (options->kind), options->name);
   if (cli_call (session, &request, &answer) != STATUS_OK)
-    return cli_report_failure ();
+    return cli_report_unreachable ();
   if (answer.code != 200)
     return cli_report_error (&answer, about);
   object = cli_answer_json (&answer);
@@ -108,7 +108,7 @@
 
   snprintf (path, sizeof path, "/v1/%s%s%s", plural, next[0] == '\0' ? "" : "?continue=", next);
   if (cli_call (session, &request, &answer) != STATUS_OK)
-    return cli_report_failure ();
+    return cli_report_unreachable ();
   if (answer.code != 200)
     return cli_report_error (&answer, plural);
   page = cli_answer_json (&answer);
@@ -158,7 +158,7 @@
   argp_parse (&parser, argc, argv, 0, NULL, &options);
   session = cli_session_new (NULL, &options.common);
   if (session == NULL)
-    return cli_report_failure ();
+    return cli_report_unreachable ();
   code = options.name == NULL ? get_all (session, &options) : get_one (session, &options);
   talloc_free (session);
   return code;
--- a/src/cli_keygen.c
+++ b/src/cli_keygen.c
@@ -108,7 +108,7 @@
     status = keyfile_read (options->path, &pair);
   else
     {
-      status = key_pair_make (&pair);
+      status = key_pair_generate (&pair);
       if (status == STATUS_OK)
         status = keyfile_write (options->path, &pair);
     }
--- a/src/cli_object.c
+++ b/src/cli_object.c
@@ -36,7 +36,7 @@
 }
 
 void
-cli_kind_list (char *out, size_t size)
+cli_list_kinds (char *out, size_t size)
 {
   size_t used = 0;
   int kind;
@@ -47,14 +47,14 @@
 }
 
 enum resource_kind
-cli_kind_argument (const char *text, struct argp_state *argp)
+cli_parse_kind_argument (const char *text, struct argp_state *argp)
 {
   enum resource_kind kind = RESOURCE_KIND_COUNT;
   char list[KIND_LIST_SIZE];
 
   if (text != NULL && cli_kind_find (text, &kind))
     return kind;
-  cli_kind_list (list, sizeof list);
+  cli_list_kinds (list, sizeof list);
   if (text == NULL)
     argp_error (argp, "expected a kind: one of %s", list);
   else
@@ -80,7 +80,7 @@
   *object = (struct cli_object){ .json = NULL };
   if (kind == NULL || !cli_kind_find (kind, &object->kind))
     {
-      cli_kind_list (list, sizeof list);
+      cli_list_kinds (list, sizeof list);
       return status_fail (STATUS_INVALID, "%s: object %zu: kind: expected one of %s, got %s", file,
                           position, list, kind == NULL ? "none" : kind);
     }
@@ -212,7 +212,7 @@
 }
 
 enum cli_exit
-cli_report_failure (void)
+cli_report_unreachable (void)
 {
   fprintf (stderr, "%s\n", status_message ());
   return CLI_EXIT_UNREACHABLE;
--- a/src/cli_object.h
+++ b/src/cli_object.h
@@ -35,16 +35,16 @@
 bool cli_kind_find (const char *plural, enum resource_kind *out);
 
 /* Writes the plurals of all kinds: "pipelines, services, ...". */
-void cli_kind_list (char *out, size_t size);
+void cli_list_kinds (char *out, size_t size);
 
 /* Returns the kind that a command's argument names; exits with a usage message if there is none. */
-enum resource_kind cli_kind_argument (const char *text, struct argp_state *argp);
+enum resource_kind cli_parse_kind_argument (const char *text, struct argp_state *argp);
 
 /* Prints an error response on standard error and returns the exit code for it. */
 enum cli_exit cli_report_error (const struct cli_answer *answer, const char *about);
 
 /* Prints status_message() for a call that got no response; returns CLI_EXIT_UNREACHABLE. */
-enum cli_exit cli_report_failure (void);
+enum cli_exit cli_report_unreachable (void);
 
 /* Returns a new reference to the response body as JSON; NULL, with the error printed, if it is not
  * JSON. */
--- a/src/cli_quarantine.c
+++ b/src/cli_quarantine.c
@@ -106,7 +106,7 @@
     }
   session = cli_session_new (NULL, &options.common);
   if (session == NULL || cli_call (session, &request, &answer) != STATUS_OK)
-    code = cli_report_failure ();
+    code = cli_report_unreachable ();
   else if (answer.code != 200)
     code = cli_report_error (&answer, "quarantine");
   else if (options.release == NULL)
--- a/src/cli_session.c
+++ b/src/cli_session.c
@@ -11,13 +11,13 @@
 #include <talloc.h>
 
 #define CLI_CONNECTIONS 16
-#define CLI_ANSWER_MAX (64u << 20)
-#define CLI_EVENT_MAX (4u << 20)
+#define CLI_ANSWER_MAX_BYTES (64u << 20)
+#define CLI_EVENT_MAX_BYTES (4u << 20)
 #define CONNECT_TIMEOUT (2 * USEC_PER_SEC)
 /* Longer than a host retries a change itself (8 s), so that its response is received. */
 #define ONE_HOST_TIMEOUT (9 * USEC_PER_SEC)
-#define ROUND_PAUSE (200 * USEC_PER_MSEC)
-#define LOOP_STEP (100 * USEC_PER_MSEC)
+#define ROUND_RETRY_DELAY (200 * USEC_PER_MSEC)
+#define LOOP_WAIT_MAX (100 * USEC_PER_MSEC)
 #define FAILURE_SIZE 128
 #define HEADERS_MAX 4
 
@@ -108,7 +108,7 @@
   struct cli_session *session = talloc_zero (parent, struct cli_session);
   struct http_client_config config = {
     .calls_max = 1,
-    .answer_bytes_max = CLI_ANSWER_MAX,
+    .answer_bytes_max = CLI_ANSWER_MAX_BYTES,
     .connect_timeout = CONNECT_TIMEOUT,
     .tls_ca = options->ca,
   };
@@ -206,7 +206,7 @@
   if (status != STATUS_OK)
     return status;
   while (!call->ended && !call->stopped)
-    loop_run_once (session->loop, LOOP_STEP);
+    loop_run_once (session->loop, LOOP_WAIT_MAX);
   if (!call->ended)
     session->http->ops->cancel (session->http, handle);
   return call->status;
@@ -252,12 +252,12 @@
 
 /* Calls the hosts in turn; true when one gave a final response. */
 static bool
-try_round (struct cli_session *session,
-           const struct cli_request *request,
-           int64_t deadline,
-           struct cli_answer *out,
-           struct bytes *failures,
-           bool *reached)
+try_all_hosts (struct cli_session *session,
+               const struct cli_request *request,
+               int64_t deadline,
+               struct cli_answer *out,
+               struct bytes *failures,
+               bool *reached)
 {
   char failure[FAILURE_SIZE];
   uint32_t i;
@@ -288,12 +288,12 @@
   bytes_init (&out->body, session);
   for (;;)
     {
-      answered = try_round (session, request, deadline, out, &failures, &reached);
+      answered = try_all_hosts (session, request, deadline, out, &failures, &reached);
       /* Retry while hosts that were reached elect a leader.  If no host was reached, fail at once
        * and leave it to the user to check the addresses. */
-      if (answered || !reached || cli_now (session) + ROUND_PAUSE >= deadline)
+      if (answered || !reached || cli_now (session) + ROUND_RETRY_DELAY >= deadline)
         break;
-      cli_pause (session, ROUND_PAUSE);
+      cli_pause (session, ROUND_RETRY_DELAY);
     }
   if (!answered)
     status_fail (STATUS_UNAVAILABLE, "no host answered: %s",
@@ -309,7 +309,7 @@
 };
 
 static bool
-take_event (struct sse_sink *sink, const char *name, const char *data, size_t length)
+handle_event (struct sse_sink *sink, const char *name, const char *data, size_t length)
 {
   struct cli_stream *stream = ((struct event_sink *) sink)->stream;
 
@@ -317,7 +317,7 @@
   return stream->ops->event (stream, data, length);
 }
 
-static const struct sse_sink_ops event_ops = { .event = take_event };
+static const struct sse_sink_ops event_ops = { .event = handle_event };
 
 enum status
 cli_read_stream (struct cli_session *session,
@@ -332,7 +332,7 @@
   struct call call = { .body = error, .events = &events, .event_sink = &event_sink.sink };
   enum status status;
 
-  sse_init (&events, session, CLI_EVENT_MAX);
+  sse_init (&events, session, CLI_EVENT_MAX_BYTES);
   status =
       run_call (session, &request, session->options.hosts[session->current], USEC_NEVER, &call);
   sse_clear (&events);
--- a/src/cli_watch.c
+++ b/src/cli_watch.c
@@ -7,7 +7,7 @@
 #include <talloc.h>
 
 #define OPTION_FROM 'r'
-#define RECONNECT_PAUSE (500 * USEC_PER_MSEC)
+#define RECONNECT_DELAY (500 * USEC_PER_MSEC)
 #define RECONNECTS_MAX 20 /* consecutive, without an event between them */
 
 struct watch_options
@@ -22,8 +22,8 @@
 {
   struct cli_stream stream;
   const struct watch_options *options;
-  long long seen; /* the highest resourceVersion received */
-  int failures;   /* consecutive connections without an event */
+  long long last_version; /* the highest resourceVersion received */
+  int failures;           /* consecutive connections without an event */
 };
 
 static error_t
@@ -45,11 +45,11 @@
     case ARGP_KEY_ARG:
       if (options->arguments++ > 0)
         argp_error (argp, "expected one KIND, got more than one");
-      options->kind = cli_kind_argument (arg, argp);
+      options->kind = cli_parse_kind_argument (arg, argp);
       return 0;
     case ARGP_KEY_END:
       if (options->arguments == 0)
-        cli_kind_argument (NULL, argp);
+        cli_parse_kind_argument (NULL, argp);
       return 0;
     default:
       return ARGP_ERR_UNKNOWN;
@@ -57,7 +57,7 @@
 }
 
 static bool
-take_event (struct cli_stream *stream, const char *data, size_t length)
+handle_event (struct cli_stream *stream, const char *data, size_t length)
 {
   struct watch *watch = (struct watch *) stream;
   json_t *event = json_loadb (data, length, JSON_REJECT_DUPLICATES, NULL);
@@ -74,8 +74,8 @@
       return false;
     }
   watch->failures = 0;
-  if (version > watch->seen)
-    watch->seen = version;
+  if (version > watch->last_version)
+    watch->last_version = version;
   if (watch->options->common.json)
     cli_print_json (event, JSON_COMPACT);
   else if (!bookmark)
@@ -86,11 +86,11 @@
   return !ferror (stdout);
 }
 
-static const struct cli_stream_ops stream_ops = { .event = take_event };
+static const struct cli_stream_ops stream_ops = { .event = handle_event };
 
 /* Sets the revision to watch from to that of a list request. */
 static enum cli_exit
-find_start (struct cli_session *session, struct watch *watch)
+find_start_version (struct cli_session *session, struct watch *watch)
 {
   char path[CLI_PATH_SIZE];
   struct cli_request request = { .method = "GET", .path = path };
@@ -99,11 +99,11 @@
 
   snprintf (path, sizeof path, "/v1/%s?limit=1", resource_kind_plural (watch->options->kind));
   if (cli_call (session, &request, &answer) != STATUS_OK)
-    return cli_report_failure ();
+    return cli_report_unreachable ();
   if (answer.code != 200)
     return cli_report_error (&answer, "watch");
   list = cli_answer_json (&answer);
-  watch->seen =
+  watch->last_version =
       json_integer_value (json_object_get (json_object_get (list, "metadata"), "resourceVersion"));
   json_decref (list);
   return list == NULL ? CLI_EXIT_FAILED : CLI_EXIT_OK;
@@ -119,7 +119,7 @@
 
   bytes_init (&answer.body, session);
   snprintf (path, sizeof path, "/v1/%s?watch=1&resourceVersion=%lld",
-            resource_kind_plural (watch->options->kind), watch->seen);
+            resource_kind_plural (watch->options->kind), watch->last_version);
   status = cli_read_stream (session, path, &watch->stream, &answer.code, &answer.body);
   if (ferror (stdout))
     {
@@ -130,7 +130,7 @@
     fprintf (
         stderr,
         "version %lld is no longer in the history: list again and watch from the new version\n",
-        watch->seen);
+        watch->last_version);
   if (answer.code >= 400 && answer.code < 500)
     {
       *exit_code = cli_report_error (&answer, "watch");
@@ -168,14 +168,14 @@
   argp_parse (&parser, argc, argv, 0, NULL, &options);
   session = cli_session_new (NULL, &options.common);
   if (session == NULL)
-    return cli_report_failure ();
-  watch.seen = options.from;
+    return cli_report_unreachable ();
+  watch.last_version = options.from;
   if (options.from < 0)
-    code = find_start (session, &watch);
+    code = find_start_version (session, &watch);
   if (code == CLI_EXIT_OK)
     {
       while (watch_once (session, &watch, &code))
-        cli_pause (session, RECONNECT_PAUSE);
+        cli_pause (session, RECONNECT_DELAY);
     }
   talloc_free (session);
   return code;
--- a/src/document.c
+++ b/src/document.c
@@ -17,7 +17,7 @@
 #define DOCUMENT_BYTES_MAX (16u << 20)
 
 bool
-document_take (struct document *document, uint64_t version, const void *text, size_t length)
+document_update (struct document *document, uint64_t version, const void *text, size_t length)
 {
   struct bytes copy;
 
@@ -53,7 +53,7 @@
                (json_int_t) index);
   /* Running on after a failed allocation would leave this replica with an older document than the
    * log implies, until the next start. */
-  else if (!document_take (document, version, text, text_length))
+  else if (!document_update (document, version, text, text_length))
     INVARIANT (document->version >= version);
   pack_uint (result, document->version);
 }
@@ -63,7 +63,7 @@
 {
   struct document *document = CONTAINER_OF (machine, struct document, machine);
 
-  document_write_change (document->version, document->text.data, document->text.length, out);
+  document_change_pack (document->version, document->text.data, document->text.length, out);
   return bytes_has_failed (out) ? status_fail (STATUS_NO_MEMORY, "no memory for a snapshot")
                                 : STATUS_OK;
 }
@@ -83,7 +83,7 @@
   text = pack_read_binary (&in, DOCUMENT_BYTES_MAX, &text_length);
   if (!pack_read_is_complete (&in))
     return status_fail (STATUS_CORRUPT, "a snapshot of the document cannot be read");
-  if (!document_take (document, version, text, text_length) && document->version < version)
+  if (!document_update (document, version, text, text_length) && document->version < version)
     return status_fail (STATUS_NO_MEMORY, "no memory for a snapshot of the document");
   return STATUS_OK;
 }
@@ -122,7 +122,7 @@
 }
 
 void
-document_write_change (uint64_t version, const void *text, size_t length, struct bytes *out)
+document_change_pack (uint64_t version, const void *text, size_t length, struct bytes *out)
 {
   pack_uint (out, version);
   pack_binary (out, text, length);
--- a/src/document.h
+++ b/src/document.h
@@ -31,11 +31,11 @@
 const struct bytes *document_text (const struct document *document);
 
 /* Appends the log entry for a change to `out`. */
-void document_write_change (uint64_t version, const void *text, size_t length, struct bytes *out);
+void document_change_pack (uint64_t version, const void *text, size_t length, struct bytes *out);
 
 /* Replaces the document with a newer version; false if `version` is not newer or memory is out.
  * Also used directly by hosts that are not members of the log. */
-bool document_take (struct document *document, uint64_t version, const void *text, size_t length);
+bool document_update (struct document *document, uint64_t version, const void *text, size_t length);
 
 END_DECLS
 
--- a/src/keyfile.c
+++ b/src/keyfile.c
@@ -13,11 +13,11 @@
 #include <zmq.h>
 
 #define KEYFILE_MODE 0600
-#define KEYFILE_MAX 4096
+#define KEYFILE_MAX_BYTES 4096
 #define Z85_LENGTH 40
 
 enum status
-key_pair_make (struct key_pair *out)
+key_pair_generate (struct key_pair *out)
 {
   memset (out, 0, sizeof *out);
   if (zmq_curve_keypair (out->public_key, out->secret_key) != 0)
@@ -26,7 +26,7 @@
 }
 
 static bool
-write_whole (int fd, const char *text, size_t length)
+write_all (int fd, const char *text, size_t length)
 {
   while (length > 0)
     {
@@ -57,7 +57,7 @@
     return status_fail (STATUS_EXISTS, "%s: the file already exists and was not changed", path);
   if (fd < 0)
     return status_fail (STATUS_IO, "%s: %s", path, strerror (errno));
-  if (!write_whole (fd, text, (size_t) length) || fsync (fd) != 0)
+  if (!write_all (fd, text, (size_t) length) || fsync (fd) != 0)
     status = status_fail (STATUS_IO, "%s: %s", path, strerror (errno));
   close (fd);
   if (status != STATUS_OK)
@@ -67,7 +67,7 @@
 }
 
 static int
-take_value (void *user, const char *section, const char *name, const char *value)
+handle_value (void *user, const char *section, const char *name, const char *value)
 {
   struct key_pair *pair = user;
   char *field = NULL;
@@ -88,7 +88,7 @@
   int bad_line;
 
   memset (out, 0, sizeof *out);
-  bad_line = ini_parse_string (text, take_value, out);
+  bad_line = ini_parse_string (text, handle_value, out);
   if (bad_line != 0)
     return status_fail (
         STATUS_CORRUPT,
@@ -125,7 +125,7 @@
 enum status
 keyfile_read (const char *path, struct key_pair *out)
 {
-  char text[KEYFILE_MAX];
+  char text[KEYFILE_MAX_BYTES];
   int fd = open (path, O_RDONLY | O_CLOEXEC);
   enum status status;
 
--- a/src/keyfile.h
+++ b/src/keyfile.h
@@ -15,7 +15,7 @@
   char secret_key[KEYFILE_TEXT_SIZE];
 };
 
-enum status key_pair_make (struct key_pair *out);
+enum status key_pair_generate (struct key_pair *out);
 
 /* Creates the file with mode 0600 and syncs it.  STATUS_EXISTS if the file exists: an overwritten
  * key could not be recovered. */
--- a/src/operator.c
+++ b/src/operator.c
@@ -61,14 +61,14 @@
 }
 
 void
-operator_reply_problem (struct operator_api *api,
-                        struct http_exchange *exchange,
-                        int code,
-                        const char *field,
-                        const char *message,
-                        const char *object,
-                        size_t object_length,
-                        int64_t now)
+operator_reply_error (struct operator_api *api,
+                      struct http_exchange *exchange,
+                      int code,
+                      const char *field,
+                      const char *message,
+                      const char *object,
+                      size_t object_length,
+                      int64_t now)
 {
   json_t *body =
       json_pack ("{s:{s:i,s:s?,s:s}}", "error", "code", code, "field", field, "message", message);
@@ -80,7 +80,7 @@
 
 /* Changes of operators and hosts grant access, so they need the highest role. */
 static enum access_role
-role_needed (enum resource_kind kind, const char *method)
+required_role (enum resource_kind kind, const char *method)
 {
   if (strcmp (method, "GET") == 0)
     return ACCESS_READ;
@@ -89,15 +89,16 @@
 
 /* Authenticates and authorizes the request; false if it was refused and answered. */
 static bool
-allowed (struct operator_request *request)
+check_authorization (struct operator_request *request)
 {
   struct operator_api *api = request->api;
   enum access_role role = ACCESS_ADMIN;
 
-  text_copy_truncated (request->who, sizeof request->who, "anonymous");
+  text_copy_truncated (request->operator_name, sizeof request->operator_name, "anonymous");
   if (api->config.access != NULL)
-    role = access_authenticate_operator (api->config.access, request->exchange, request->who);
-  if (role >= role_needed (request->kind, request->exchange->method))
+    role = access_authenticate_operator (api->config.access, request->exchange,
+                                         request->operator_name);
+  if (role >= required_role (request->kind, request->exchange->method))
     return true;
   if (role == ACCESS_NONE)
     http_reply_error (request->exchange, 401, "authorization", "an operator's token is needed");
@@ -115,12 +116,12 @@
 
   if (rest[0] == '\0' || strcmp (rest, "/") == 0)
     return true;
-  return rest[0] == '/' && resource_name_valid (rest + 1)
+  return rest[0] == '/' && resource_name_is_valid (rest + 1)
          && text_copy (request->name, sizeof request->name, rest + 1);
 }
 
 static void
-resource_request (struct operator_request *request)
+handle_resource_request (struct operator_request *request)
 {
   const char *method = request->exchange->method;
   char text[8];
@@ -183,7 +184,7 @@
 }
 
 static void
-other_request (struct operator_request *request, enum other_route which)
+handle_other_request (struct operator_request *request, enum other_route which)
 {
   struct operator_api *api = request->api;
   int64_t now = request->now;
@@ -208,7 +209,7 @@
 }
 
 static void
-on_request (struct http_route *route, struct http_exchange *exchange, int64_t now)
+handle_request (struct http_route *route, struct http_exchange *exchange, int64_t now)
 {
   struct operator_route *own = (struct operator_route *) route;
   struct operator_request request = {
@@ -221,15 +222,15 @@
   else if (!parse_path (&request, own->prefix)
            || (own->kind == RESOURCE_KIND_COUNT && request.name[0] != '\0'))
     http_reply_error (exchange, 404, NULL, "no such path");
-  else if (which != ROUTE_HEALTH && !allowed (&request)) /* probes carry no token */
+  else if (which != ROUTE_HEALTH && !check_authorization (&request)) /* probes carry no token */
     return;
   else if (own->kind == RESOURCE_KIND_COUNT)
-    other_request (&request, (enum other_route) which);
+    handle_other_request (&request, (enum other_route) which);
   else
-    resource_request (&request);
+    handle_resource_request (&request);
 }
 
-static const struct http_route_ops route_ops = { .request = on_request };
+static const struct http_route_ops route_ops = { .request = handle_request };
 
 static void
 set_route (struct operator_api *api, uint32_t i, enum resource_kind kind, const char *path)
--- a/src/operator_body.c
+++ b/src/operator_body.c
@@ -5,7 +5,7 @@
 #include <string.h>
 
 static bool
-fail (struct operator_fault *fault, int code, const char *field, const char *message)
+set_fault (struct operator_fault *fault, int code, const char *field, const char *message)
 {
   fault->code = code;
   text_copy_truncated (fault->field, sizeof fault->field, field);
@@ -15,7 +15,7 @@
 
 /* Checks the nesting depth before parsing, because the JSON parser is recursive. */
 static bool
-depth_within (const char *text, size_t length, int max)
+nesting_is_within (const char *text, size_t length, int max)
 {
   bool quoted = false;
   int depth = 0;
@@ -63,15 +63,15 @@
   const json_t *name = json_object_get (metadata, "name");
 
   if (metadata != NULL && !json_is_object (metadata))
-    return fail (fault, 400, "metadata", "expected an object");
+    return set_fault (fault, 400, "metadata", "expected an object");
   if (name != NULL
       && (!json_is_string (name) || strcmp (json_string_value (name), request->name) != 0))
-    return fail (fault, 400, "metadata.name", "differs from the name in the path");
+    return set_fault (fault, 400, "metadata.name", "differs from the name in the path");
   if (version == NULL)
     return true;
   out->has_version = true;
   if (!read_version (version, &out->version))
-    return fail (fault, 400, "metadata.resourceVersion", "expected a whole number");
+    return set_fault (fault, 400, "metadata.resourceVersion", "expected a whole number");
   return true;
 }
 
@@ -85,13 +85,13 @@
   json_object_foreach (root, key, value)
     if (strcmp (key, "kind") != 0 && strcmp (key, "metadata") != 0 && strcmp (key, "spec") != 0
         && strcmp (key, "status") != 0)
-      return fail (fault, 400, key, "unknown field");
+      return set_fault (fault, 400, key, "unknown field");
   if (kind != NULL
       && (!json_is_string (kind)
           || strcmp (json_string_value (kind), resource_kind_plural (request->kind)) != 0))
-    return fail (fault, 400, "kind", "differs from the kind in the path");
+    return set_fault (fault, 400, "kind", "differs from the kind in the path");
   if (!json_is_object (json_object_get (root, "spec")))
-    return fail (fault, 400, "spec", "expected an object");
+    return set_fault (fault, 400, "spec", "expected an object");
   return true;
 }
 
@@ -103,21 +103,21 @@
   const struct http_exchange *exchange = request->exchange;
   json_error_t error;
   json_t *root;
-  bool good;
+  bool valid;
 
   memset (out, 0, sizeof *out);
-  if (!depth_within (exchange->body, exchange->body_length, OPERATOR_JSON_DEPTH))
-    return fail (fault, 400, "", "the JSON nests too deep");
+  if (!nesting_is_within (exchange->body, exchange->body_length, OPERATOR_JSON_DEPTH))
+    return set_fault (fault, 400, "", "the JSON nests too deep");
   root = json_loadb (exchange->body, exchange->body_length, JSON_REJECT_DUPLICATES, &error);
   if (root == NULL)
-    return fail (fault, 400, "", error.text);
-  good = json_is_object (root) || fail (fault, 400, "", "expected an object");
-  good = good && check_fields (request, root, fault)
-         && read_metadata (request, json_object_get (root, "metadata"), out, fault);
-  if (good)
+    return set_fault (fault, 400, "", error.text);
+  valid = json_is_object (root) || set_fault (fault, 400, "", "expected an object");
+  valid = valid && check_fields (request, root, fault)
+          && read_metadata (request, json_object_get (root, "metadata"), out, fault);
+  if (valid)
     out->spec = json_incref (json_object_get (root, "spec"));
   json_decref (root);
-  return good;
+  return valid;
 }
 
 bool
@@ -131,19 +131,19 @@
   char *text;
 
   if (resource_parse (change->kind, change->name, spec, &parsed, &problem) != STATUS_OK)
-    return fail (fault, 400, problem.field, status_message ());
+    return set_fault (fault, 400, problem.field, status_message ());
   text = json_dumps (spec, JSON_COMPACT | JSON_SORT_KEYS);
   change->text = text == NULL ? NULL : talloc_strdup (parent, text);
   free (text);
   if (change->text == NULL)
-    return fail (fault, 500, "", "out of memory");
+    return set_fault (fault, 500, "", "out of memory");
   change->length = strlen (change->text);
   change->n_references = resource_references (change->kind, &parsed, change->references);
   return true;
 }
 
 json_t *
-operator_merge (json_t *target, json_t *patch)
+operator_merge_patch (json_t *target, json_t *patch)
 {
   const char *key;
   json_t *value;
@@ -165,9 +165,10 @@
       if (json_is_null (value))
         json_object_del (target, key);
       else
-        json_object_set_new (target, key,
-                             operator_merge (old == NULL ? json_object () : json_deep_copy (old),
-                                             json_deep_copy (value)));
+        json_object_set_new (
+            target, key,
+            operator_merge_patch (old == NULL ? json_object () : json_deep_copy (old),
+                                  json_deep_copy (value)));
     }
   json_decref (patch);
   return target;
--- a/src/operator_body.h
+++ b/src/operator_body.h
@@ -34,6 +34,6 @@
 
 /* Applies a JSON merge patch (RFC 7396) to `target` and returns the result; steals both
  * references. */
-json_t *operator_merge (json_t *target, json_t *patch);
+json_t *operator_merge_patch (json_t *target, json_t *patch);
 
 #endif
--- a/src/operator_change.c
+++ b/src/operator_change.c
@@ -9,15 +9,15 @@
 #include <stdlib.h>
 #include <string.h>
 
-#define CHANGE_WITHIN                                                                              \
+#define CHANGE_TIMEOUT                                                                             \
   (8 * USEC_PER_SEC) /* from the request to its response, excluding the wait for hosts */
-#define CHANGE_TRY (2 * USEC_PER_SEC)    /* timeout of one proposal */
-#define CHANGE_PAUSE (USEC_PER_SEC / 10) /* between proposals */
+#define PROPOSAL_TIMEOUT (2 * USEC_PER_SEC)      /* timeout of one proposal */
+#define PROPOSAL_RETRY_DELAY (USEC_PER_SEC / 10) /* between proposals */
 #define PATCH_CONFLICTS_MAX 8
 #define WAIT_MAX_MS 60000
 
 /* A change that has not been answered yet. */
-struct operator_pending
+struct operator_pending_change
 {
   struct http_watcher watcher;
   struct operator_api *api;
@@ -26,9 +26,9 @@
   struct timer retry;
   struct config_waiter waiter;
   struct store_change change;
-  char who[RESOURCE_NAME_SIZE];
-  json_t *patch; /* NULL unless the request is a PATCH */
-  bool pinned;   /* the PATCH names the resourceVersion it applies to, `version` */
+  char operator_name[RESOURCE_NAME_SIZE];
+  json_t *patch;      /* NULL unless the request is a PATCH */
+  bool version_given; /* the PATCH names the resourceVersion it applies to, `version` */
   uint64_t version;
   uint32_t conflicts;
   bool proposed;
@@ -40,7 +40,7 @@
 };
 
 static int
-pending_destroy (struct operator_pending *pending)
+pending_destroy (struct operator_pending_change *pending)
 {
   const struct operator_api_config *config = &pending->api->config;
 
@@ -56,7 +56,7 @@
 }
 
 static void
-audit (const struct operator_pending *pending, const char *result, uint64_t revision)
+audit (const struct operator_pending_change *pending, const char *result, uint64_t revision)
 {
   static const char *const ops[] = {
     [STORE_PUT] = "put",
@@ -66,7 +66,7 @@
   };
 
   log_event (LOG_MODULE_AUDIT, LOG_LEVEL_INFO, "change", "{s:s,s:s,s:s,s:s,s:s,s:s,s:I}",
-             "operator", pending->who, "op",
+             "operator", pending->operator_name, "op",
              pending->patch != NULL ? "patch" : ops[pending->change.op], "kind",
              resource_kind_plural (pending->change.kind), "name", pending->change.name, "change_id",
              pending->change.change_id, "result", result, "revision", (json_int_t) revision);
@@ -77,28 +77,28 @@
 closed (struct http_watcher *watcher, int64_t now)
 {
   (void) now;
-  CONTAINER_OF (watcher, struct operator_pending, watcher)->exchange = NULL;
+  CONTAINER_OF (watcher, struct operator_pending_change, watcher)->exchange = NULL;
 }
 
 static void
-end_problem (struct operator_pending *pending,
-             int code,
-             const char *field,
-             const char *message,
-             const char *object,
-             size_t length,
-             int64_t now)
+finish_with_error (struct operator_pending_change *pending,
+                   int code,
+                   const char *field,
+                   const char *message,
+                   const char *object,
+                   size_t length,
+                   int64_t now)
 {
   struct http_exchange *exchange = pending->exchange;
 
   pending->exchange = NULL;
   if (exchange != NULL)
-    operator_reply_problem (pending->api, exchange, code, field, message, object, length, now);
+    operator_reply_error (pending->api, exchange, code, field, message, object, length, now);
   talloc_free (pending);
 }
 
 static void
-end_object (struct operator_pending *pending, int64_t now)
+finish_with_object (struct operator_pending_change *pending, int64_t now)
 {
   struct http_exchange *exchange = pending->exchange;
 
@@ -109,7 +109,7 @@
   talloc_free (pending);
 }
 
-static void try_again (struct operator_pending *pending, int64_t now);
+static void propose_change (struct operator_pending_change *pending, int64_t now);
 
 static uint64_t
 version_of (const struct store_answer *answer)
@@ -123,55 +123,63 @@
 }
 
 static void
-final_conflict (struct operator_pending *pending, const struct store_answer *answer, int64_t now)
+finish_with_conflict (struct operator_pending_change *pending,
+                      const struct store_answer *answer,
+                      int64_t now)
 {
   audit (pending, store_verdict_message (STORE_CONFLICT), answer->revision);
   counter_add (pending->api->conflicts, 1);
-  end_problem (pending, 409, "metadata.resourceVersion", store_verdict_message (STORE_CONFLICT),
-               answer->text, answer->length, now);
+  finish_with_error (pending, 409, "metadata.resourceVersion",
+                     store_verdict_message (STORE_CONFLICT), answer->text, answer->length, now);
 }
 
 /* Builds the spec of a PATCH from `current`; false if an error was sent and `pending` freed. */
 static bool
-merge_patch (struct operator_pending *pending, const char *current, size_t length, int64_t now)
+merge_patch (struct operator_pending_change *pending,
+             const char *current,
+             size_t length,
+             int64_t now)
 {
   json_t *object = json_loadb (current, length, 0, NULL);
   json_t *metadata = json_object_get (object, "metadata");
   json_t *spec = json_deep_copy (json_object_get (object, "spec"));
   struct operator_fault fault;
-  bool good;
+  bool valid;
 
   pending->change.has_version = true;
   pending->change.version =
       (uint64_t) json_integer_value (json_object_get (metadata, "resourceVersion"));
-  spec = operator_merge (spec, json_deep_copy (pending->patch));
-  good = operator_body_check (spec, pending, &pending->change, &fault);
+  spec = operator_merge_patch (spec, json_deep_copy (pending->patch));
+  valid = operator_body_check (spec, pending, &pending->change, &fault);
   json_decref (spec);
   json_decref (object);
-  if (!good)
-    end_problem (pending, fault.code, fault.field, fault.message, NULL, 0, now);
-  return good;
+  if (!valid)
+    finish_with_error (pending, fault.code, fault.field, fault.message, NULL, 0, now);
+  return valid;
 }
 
 /* The object has changed since the patch was merged: merge it into the current object. */
 static void
-patch_conflict (struct operator_pending *pending, const struct store_answer *answer, int64_t now)
+patch_conflict (struct operator_pending_change *pending,
+                const struct store_answer *answer,
+                int64_t now)
 {
   if (answer->length == 0)
-    end_problem (pending, 404, NULL, "no such object", NULL, 0, now);
-  else if (pending->pinned && version_of (answer) != pending->version)
-    final_conflict (pending, answer, now);
+    finish_with_error (pending, 404, NULL, "no such object", NULL, 0, now);
+  else if (pending->version_given && version_of (answer) != pending->version)
+    finish_with_conflict (pending, answer, now);
   else if (++pending->conflicts > PATCH_CONFLICTS_MAX)
-    end_problem (pending, 409, NULL, "the object keeps changing: try again", answer->text,
-                 answer->length, now);
+    finish_with_error (pending, 409, NULL, "the object keeps changing: try again", answer->text,
+                       answer->length, now);
   else if (merge_patch (pending, answer->text, answer->length, now))
-    try_again (pending, now);
+    propose_change (pending, now);
 }
 
 static void
-waited (struct config_waiter *waiter, const struct config_wait_result *result, int64_t now)
+wait_done (struct config_waiter *waiter, const struct config_wait_result *result, int64_t now)
 {
-  struct operator_pending *pending = CONTAINER_OF (waiter, struct operator_pending, waiter);
+  struct operator_pending_change *pending =
+      CONTAINER_OF (waiter, struct operator_pending_change, waiter);
   json_t *object = json_loadb (pending->object.data, pending->object.length, 0, NULL);
   char *text;
 
@@ -189,13 +197,15 @@
       bytes_append_text (&pending->object, text);
     }
   free (text);
-  end_object (pending, now);
+  finish_with_object (pending, now);
 }
 
-static const struct config_waiter_ops waiter_ops = { .done = waited };
+static const struct config_waiter_ops waiter_ops = { .done = wait_done };
 
 static void
-accepted (struct operator_pending *pending, const struct store_answer *answer, int64_t now)
+handle_accepted (struct operator_pending_change *pending,
+                 const struct store_answer *answer,
+                 int64_t now)
 {
   struct operator_api *api = pending->api;
 
@@ -208,11 +218,13 @@
                                            now + pending->wait, now)
                             == STATUS_OK;
   if (!pending->waiting)
-    end_object (pending, now);
+    finish_with_object (pending, now);
 }
 
 static void
-answered (struct operator_pending *pending, const struct store_answer *answer, int64_t now)
+handle_answer (struct operator_pending_change *pending,
+               const struct store_answer *answer,
+               int64_t now)
 {
   char message[256];
 
@@ -223,68 +235,73 @@
     }
   if (answer->verdict == STORE_CONFLICT)
     {
-      final_conflict (pending, answer, now);
+      finish_with_conflict (pending, answer, now);
       return;
     }
   audit (pending, answer->resent ? "resent" : store_verdict_message (answer->verdict),
          answer->revision);
   if (answer->verdict < STORE_CONFLICT)
     {
-      accepted (pending, answer, now);
+      handle_accepted (pending, answer, now);
       return;
     }
   snprintf (message, sizeof message, "%s%s%.*s", store_verdict_message (answer->verdict),
             answer->length > 0 ? ": " : "", (int) answer->length,
             answer->length > 0 ? answer->text : "");
-  end_problem (pending, store_verdict_code (answer->verdict), NULL, message, NULL, 0, now);
+  finish_with_error (pending, store_verdict_code (answer->verdict), NULL, message, NULL, 0, now);
 }
 
 /* A proposal failed.  After a timeout or STATUS_UNAVAILABLE the entry may have been applied or may
  * still be.  With a change id it is retried, since the state machine recognises a duplicate;
  * without one the operator has to decide. */
 static void
-left_open (struct operator_pending *pending, enum status status, int64_t now)
+handle_failed_proposal (struct operator_pending_change *pending, enum status status, int64_t now)
 {
-  bool certain = status != STATUS_TIMEOUT && status != STATUS_UNAVAILABLE;
+  bool known_not_applied = status != STATUS_TIMEOUT && status != STATUS_UNAVAILABLE;
 
-  if ((certain || pending->change.change_id[0] != '\0') && now + CHANGE_PAUSE < pending->deadline)
+  if ((known_not_applied || pending->change.change_id[0] != '\0')
+      && now + PROPOSAL_RETRY_DELAY < pending->deadline)
     {
-      timer_arm (pending->api->config.timers, &pending->retry, now + CHANGE_PAUSE);
+      timer_arm (pending->api->config.timers, &pending->retry, now + PROPOSAL_RETRY_DELAY);
       return;
     }
-  audit (pending, certain ? "not applied" : "unknown", 0);
-  if (certain)
-    end_problem (pending, 503, NULL, "not applied: the configuration has no leader", NULL, 0, now);
+  audit (pending, known_not_applied ? "not applied" : "unknown", 0);
+  if (known_not_applied)
+    finish_with_error (pending, 503, NULL, "not applied: the configuration has no leader", NULL, 0,
+                       now);
   else
-    end_problem (pending, 504, NULL,
-                 "it is not known whether the change was applied: send it again with the same "
-                 "x-change-id, or read the object",
-                 NULL, 0, now);
+    finish_with_error (
+        pending, 504, NULL,
+        "it is not known whether the change was applied: send it again with the same "
+        "x-change-id, or read the object",
+        NULL, 0, now);
 }
 
 static void
 done (struct proposal *proposal, enum status status, const void *result, size_t length, int64_t now)
 {
-  struct operator_pending *pending = CONTAINER_OF (proposal, struct operator_pending, proposal);
+  struct operator_pending_change *pending =
+      CONTAINER_OF (proposal, struct operator_pending_change, proposal);
   struct store_answer answer;
 
   pending->proposed = false;
   if (status == STATUS_OK)
     status = store_answer_unpack (&answer, result, length);
   if (status == STATUS_OK)
-    answered (pending, &answer, now);
+    handle_answer (pending, &answer, now);
   else
-    left_open (pending, status, now);
+    handle_failed_proposal (pending, status, now);
 }
 
 static const struct proposal_ops proposal_ops = { .done = done };
 static const struct http_watcher_ops watcher_ops = { .closed = closed };
 
 static void
-try_again (struct operator_pending *pending, int64_t now)
+propose_change (struct operator_pending_change *pending, int64_t now)
 {
   struct consensus *consensus = pending->api->config.consensus;
-  int64_t deadline = now + CHANGE_TRY < pending->deadline ? now + CHANGE_TRY : pending->deadline;
+  int64_t deadline =
+      now + PROPOSAL_TIMEOUT < pending->deadline ? now + PROPOSAL_TIMEOUT : pending->deadline;
   struct bytes entry;
   enum status status;
 
@@ -297,13 +314,13 @@
   bytes_clear (&entry);
   pending->proposed = status == STATUS_OK;
   if (status != STATUS_OK)
-    left_open (pending, STATUS_NOT_LEADER, now);
+    handle_failed_proposal (pending, STATUS_NOT_LEADER, now);
 }
 
 static void
 retry_due (struct timer *timer, int64_t now)
 {
-  try_again (CONTAINER_OF (timer, struct operator_pending, retry), now);
+  propose_change (CONTAINER_OF (timer, struct operator_pending_change, retry), now);
 }
 
 static const struct timer_ops retry_ops = { .fire = retry_due };
@@ -346,17 +363,17 @@
  * may lag behind: an empty spec is proposed with version UINT64_MAX, which no object has, so it
  * conflicts and is never stored. */
 static bool
-read_patch (struct operator_pending *pending,
+read_patch (struct operator_pending_change *pending,
             const struct operator_body *body,
             struct operator_fault *fault)
 {
   const struct store_object *object =
       store_find (pending->api->config.store, pending->change.kind, pending->change.name);
   json_t *spec;
-  bool good;
+  bool valid;
 
   pending->patch = json_incref (body->spec);
-  pending->pinned = body->has_version;
+  pending->version_given = body->has_version;
   pending->version = body->version;
   pending->change.retry_on_conflict = true;
   pending->change.has_version = true;
@@ -368,10 +385,10 @@
       return true;
     }
   pending->change.version = object->revision;
-  spec = operator_merge (json_loads (object->spec, 0, NULL), json_deep_copy (body->spec));
-  good = operator_body_check (spec, pending, &pending->change, fault);
+  spec = operator_merge_patch (json_loads (object->spec, 0, NULL), json_deep_copy (body->spec));
+  valid = operator_body_check (spec, pending, &pending->change, fault);
   json_decref (spec);
-  return good;
+  return valid;
 }
 
 static bool
@@ -390,13 +407,13 @@
 
 /* Reads the request into `pending->change`; false if an error was sent. */
 static bool
-read_change (struct operator_request *request, struct operator_pending *pending)
+read_change (struct operator_request *request, struct operator_pending_change *pending)
 {
   const char *method = request->exchange->method;
   struct store_change *change = &pending->change;
   struct operator_fault fault;
   struct operator_body body;
-  bool good;
+  bool valid;
 
   if (strcmp (method, "DELETE") == 0)
     return read_delete (request, change);
@@ -411,11 +428,11 @@
   change->has_version = body.has_version;
   change->version = body.version;
   if (strcmp (method, "PATCH") == 0)
-    good = read_patch (pending, &body, &fault);
+    valid = read_patch (pending, &body, &fault);
   else
-    good = operator_body_check (body.spec, pending, change, &fault);
+    valid = operator_body_check (body.spec, pending, change, &fault);
   json_decref (body.spec);
-  return good || refuse (request, &fault);
+  return valid || refuse (request, &fault);
 }
 
 static int64_t
@@ -436,7 +453,7 @@
 operator_change (struct operator_request *request)
 {
   struct operator_api *api = request->api;
-  struct operator_pending *pending = talloc_zero (api, struct operator_pending);
+  struct operator_pending_change *pending = talloc_zero (api, struct operator_pending_change);
 
   if (pending == NULL)
     {
@@ -452,9 +469,10 @@
   pending->change.kind = request->kind;
   text_copy_truncated (pending->change.name, sizeof pending->change.name, request->name);
   text_copy_truncated (pending->change.host, sizeof pending->change.host, api->config.host);
-  text_copy_truncated (pending->who, sizeof pending->who, request->who);
+  text_copy_truncated (pending->operator_name, sizeof pending->operator_name,
+                       request->operator_name);
   pending->change.time_ms = request->now / USEC_PER_MSEC + api->config.wall_offset_ms;
-  pending->deadline = request->now + CHANGE_WITHIN;
+  pending->deadline = request->now + CHANGE_TIMEOUT;
   pending->wait = read_wait (request->exchange);
   if (!read_change_id (request, &pending->change) || !read_change (request, pending))
     {
@@ -463,5 +481,5 @@
     }
   pending->exchange = request->exchange;
   request->exchange->watcher = &pending->watcher;
-  try_again (pending, request->now);
+  propose_change (pending, request->now);
 }
--- a/src/operator_list.c
+++ b/src/operator_list.c
@@ -5,7 +5,7 @@
 
 #define LIST_LIMIT_DEFAULT 500
 #define LIST_LIMIT_MAX 5000
-#define BEHIND_NAMED_MAX 16
+#define BEHIND_HOSTS_MAX 16
 
 /* Continuation token of a list: the revision of its first page and the last name returned.  A watch
  * from that revision reports every change made while the pages were read. */
@@ -21,13 +21,13 @@
   char *end;
 
   out->revision = strtoull (text, &end, 10);
-  return end != text && *end == ':' && resource_name_valid (end + 1)
+  return end != text && *end == ':' && resource_name_is_valid (end + 1)
          && text_copy (out->after, sizeof out->after, end + 1);
 }
 
 /* Describes on how many hosts `revision` is in force and which hosts are behind. */
 static json_t *
-in_force (const struct operator_api *api, uint64_t revision)
+describe_in_force (const struct operator_api *api, uint64_t revision)
 {
   const struct board *board = api->config.board;
   const struct board_host *host;
@@ -41,7 +41,7 @@
       hosts++;
       if ((host->self ? board->revision : host->revision) >= revision)
         count++;
-      else if (json_array_size (behind) < BEHIND_NAMED_MAX)
+      else if (json_array_size (behind) < BEHIND_HOSTS_MAX)
         json_array_append_new (behind, json_string (host->name));
     }
   return json_pack ("{s:b,s:I,s:I,s:o}", "here", board->revision >= revision, "hosts", hosts,
@@ -66,7 +66,7 @@
   json = json_loadb (text.data, text.length, 0, NULL);
   bytes_clear (&text);
   json_object_set_new (json_object_get (json, "status"), "revision",
-                       in_force (api, object->revision));
+                       describe_in_force (api, object->revision));
   operator_reply_json (api, request->exchange, 200, json, request->now);
 }
 
--- a/src/operator_private.h
+++ b/src/operator_private.h
@@ -37,8 +37,8 @@
   struct operator_api *api;
   struct http_exchange *exchange;
   enum resource_kind kind;
-  char name[RESOURCE_NAME_SIZE]; /* of the object, "" for the whole kind */
-  char who[RESOURCE_NAME_SIZE];  /* name of the operator, for the audit log */
+  char name[RESOURCE_NAME_SIZE];          /* of the object, "" for the whole kind */
+  char operator_name[RESOURCE_NAME_SIZE]; /* name of the operator, for the audit log */
   int64_t now;
 };
 
@@ -56,14 +56,14 @@
     struct operator_api *api, struct http_exchange *exchange, int code, json_t *body, int64_t now);
 
 /* Replies with {"error": ...} and, if `object_length` > 0, the current "object". */
-void operator_reply_problem (struct operator_api *api,
-                             struct http_exchange *exchange,
-                             int code,
-                             const char *field,
-                             const char *message,
-                             const char *object,
-                             size_t object_length,
-                             int64_t now);
+void operator_reply_error (struct operator_api *api,
+                           struct http_exchange *exchange,
+                           int code,
+                           const char *field,
+                           const char *message,
+                           const char *object,
+                           size_t object_length,
+                           int64_t now);
 
 void operator_get (struct operator_request *request);
 void operator_list (struct operator_request *request);
--- a/src/operator_watch.c
+++ b/src/operator_watch.c
@@ -7,16 +7,16 @@
 #include <utlist.h>
 
 #define WATCHES_MAX 256
-#define WATCH_UNSENT_MAX (1u << 20) /* bytes; sending to a slow client pauses above this */
+#define WATCH_UNSENT_MAX_BYTES (1u << 20) /* bytes; sending to a slow client pauses above this */
 #define WATCH_PERIOD                                                                               \
   (2 * USEC_PER_SEC) /* between bookmarks, and between retries for slow clients */
 
-struct operator_one_watch
+struct operator_watch_stream
 {
   struct http_watcher watcher;
   struct operator_watches *watches;
-  struct operator_one_watch *prev;
-  struct operator_one_watch *next;
+  struct operator_watch_stream *prev;
+  struct operator_watch_stream *next;
   struct http_exchange *exchange;
   enum resource_kind kind;
   uint64_t revision; /* of the last change sent or skipped */
@@ -28,13 +28,13 @@
   struct store_listener listener;
   struct timer pump;
   struct timer period;
-  struct operator_one_watch *list;
+  struct operator_watch_stream *list;
   uint32_t count;
   struct counter *gauge;
 };
 
 static void
-forget (struct operator_one_watch *watch)
+free_watch (struct operator_watch_stream *watch)
 {
   struct operator_watches *watches = watch->watches;
 
@@ -48,7 +48,7 @@
 closed (struct http_watcher *watcher, int64_t now)
 {
   (void) now;
-  forget ((struct operator_one_watch *) watcher);
+  free_watch ((struct operator_watch_stream *) watcher);
 }
 
 static const struct http_watcher_ops watcher_ops = { .closed = closed };
@@ -56,20 +56,20 @@
 /* Aborts a watch that could not send a change: continuing or ending it normally would hide the gap
  * from the client. */
 static void
-break_off (struct operator_one_watch *watch)
+abort_watch (struct operator_watch_stream *watch)
 {
   struct http_exchange *exchange = watch->exchange;
 
   log_event (LOG_MODULE_STORE, LOG_LEVEL_ERROR, "watch-broken-off", "{s:s,s:s}", "kind",
              resource_kind_plural (watch->kind), "error", "no memory for an event");
   exchange->watcher = NULL;
-  forget (watch);
+  free_watch (watch);
   exchange->ops->abort (exchange);
 }
 
 /* Sends one event with an object's JSON; false if memory is out and the watch was freed. */
 static bool
-send_object (struct operator_one_watch *watch, const char *type, const struct bytes *object)
+send_object (struct operator_watch_stream *watch, const char *type, const struct bytes *object)
 {
   struct bytes line;
   bool whole;
@@ -83,13 +83,13 @@
     watch->exchange->ops->write (watch->exchange, line.data, line.length);
   bytes_clear (&line);
   if (!whole)
-    break_off (watch);
+    abort_watch (watch);
   return whole;
 }
 
 /* Same return value as send_object(). */
 static bool
-send_bookmark (struct operator_one_watch *watch)
+send_bookmark (struct operator_watch_stream *watch)
 {
   struct bytes object;
   bool sent;
@@ -104,27 +104,27 @@
 
 /* Ends a watch whose next change is no longer in the history. */
 static void
-end_too_old (struct operator_one_watch *watch)
+end_too_old (struct operator_watch_stream *watch)
 {
   static const char text[] = "data: {\"type\":\"ERROR\",\"object\":{\"code\":410,\"message\":\"too "
                              "old: list again\"}}\n\n";
   struct http_exchange *exchange = watch->exchange;
 
   exchange->watcher = NULL;
-  forget (watch);
+  free_watch (watch);
   exchange->ops->write (exchange, text, sizeof text - 1);
   exchange->ops->finish (exchange);
 }
 
 static void
-pump (struct operator_one_watch *watch)
+pump (struct operator_watch_stream *watch)
 {
   const struct store_history *changes = store_get_history (watch->watches->api->config.store);
   const struct store_event *event;
   struct bytes object;
   bool sent = true;
 
-  while (sent && watch->exchange->ops->unsent (watch->exchange) < WATCH_UNSENT_MAX)
+  while (sent && watch->exchange->ops->unsent (watch->exchange) < WATCH_UNSENT_MAX_BYTES)
     {
       if (store_history_next (changes, watch->revision, &event) != STATUS_OK)
         {
@@ -146,8 +146,8 @@
 static void
 pump_all (struct operator_watches *watches)
 {
-  struct operator_one_watch *watch;
-  struct operator_one_watch *following;
+  struct operator_watch_stream *watch;
+  struct operator_watch_stream *following;
 
   DL_FOREACH_SAFE (watches->list, watch, following)
     pump (watch);
@@ -166,8 +166,8 @@
 static void
 end_all (struct operator_watches *watches)
 {
-  struct operator_one_watch *watch;
-  struct operator_one_watch *following;
+  struct operator_watch_stream *watch;
+  struct operator_watch_stream *following;
 
   DL_FOREACH_SAFE (watches->list, watch, following)
     {
@@ -176,7 +176,7 @@
       if (!send_bookmark (watch))
         continue;
       exchange->watcher = NULL;
-      forget (watch);
+      free_watch (watch);
       exchange->ops->finish (exchange);
     }
 }
@@ -185,8 +185,8 @@
 period_due (struct timer *timer, int64_t now)
 {
   struct operator_watches *watches = CONTAINER_OF (timer, struct operator_watches, period);
-  struct operator_one_watch *watch;
-  struct operator_one_watch *following;
+  struct operator_watch_stream *watch;
+  struct operator_watch_stream *following;
 
   pump_all (watches);
   if (watches->api->config.board->refusing)
@@ -216,7 +216,7 @@
 
 /* Sends the current state of all objects; a watch without a revision begins with it. */
 static bool
-send_all (struct operator_one_watch *watch, const struct store *store)
+send_all_objects (struct operator_watch_stream *watch, const struct store *store)
 {
   const struct store_object *object = store_next (store, watch->kind, "");
   enum resource_kind kind = watch->kind;
@@ -233,11 +233,11 @@
   return sent;
 }
 
-static struct operator_one_watch *
+static struct operator_watch_stream *
 add_watch (struct operator_request *request, uint64_t revision)
 {
   struct operator_watches *watches = request->api->watches;
-  struct operator_one_watch *watch = talloc_zero (watches, struct operator_one_watch);
+  struct operator_watch_stream *watch = talloc_zero (watches, struct operator_watch_stream);
 
   if (watch == NULL)
     return NULL;
@@ -264,7 +264,7 @@
   const struct store *store = request->api->config.store;
   struct http_exchange *exchange = request->exchange;
   const struct store_event *event;
-  struct operator_one_watch *watch;
+  struct operator_watch_stream *watch;
   uint64_t revision = store_revision (store);
   char text[24] = "";
   char *end = text;
@@ -282,7 +282,7 @@
   else
     {
       exchange->ops->begin (exchange, 200, fields, sizeof fields / sizeof *fields);
-      if (text[0] != '\0' || send_all (watch, store))
+      if (text[0] != '\0' || send_all_objects (watch, store))
         send_bookmark (watch);
       timer_arm (request->api->config.timers, &watches->pump, 0);
       if (!timer_is_armed (&watches->period))
@@ -300,7 +300,7 @@
 static int
 destroy (struct operator_watches *watches)
 {
-  struct operator_one_watch *watch;
+  struct operator_watch_stream *watch;
 
   timer_disarm (watches->api->config.timers, &watches->pump);
   timer_disarm (watches->api->config.timers, &watches->period);
--- a/src/resource.c
+++ b/src/resource.c
@@ -61,7 +61,7 @@
 }
 
 bool
-resource_name_valid (const char *name)
+resource_name_is_valid (const char *name)
 {
   size_t i;
 
@@ -320,7 +320,7 @@
 
 /* Checks the rules that involve more than one field. */
 static enum status
-check_whole (enum resource_kind kind,
+check_rules (enum resource_kind kind,
              const union resource_spec *spec,
              struct resource_problem *problem)
 {
@@ -344,13 +344,13 @@
 {
   enum status status;
 
-  if (!resource_name_valid (name))
+  if (!resource_name_is_valid (name))
     return field_problem (problem, "metadata.name",
                           "expected 1 to 63 letters, digits, '-' and '.'");
   set_defaults (kind, name, out);
   status = fields_read (kind_fields[kind], spec, out, "spec", problem);
   if (status == STATUS_OK)
-    status = check_whole (kind, out, problem);
+    status = check_rules (kind, out, problem);
   return status;
 }
 
--- a/src/resource.h
+++ b/src/resource.h
@@ -61,7 +61,7 @@
 enum resource_kind resource_kind_find (const char *plural);
 
 /* 1 to 63 letters, digits, '-' and '.', the first a letter or digit. */
-bool resource_name_valid (const char *name);
+bool resource_name_is_valid (const char *name);
 
 /* The primary objective of a pipeline. */
 enum objective
--- a/src/resource_field.c
+++ b/src/resource_field.c
@@ -27,7 +27,7 @@
       out[0] = '\0';
       return STATUS_OK;
     }
-  if (field->type == FIELD_NAME && !resource_name_valid (text))
+  if (field->type == FIELD_NAME && !resource_name_is_valid (text))
     return field_problem (problem, path, "expected 1 to 63 letters, digits, '-' and '.'");
   if (strlen (text) != json_string_length (value) || !text_copy (out, RESOURCE_ADDRESS_SIZE, text))
     return field_problem (problem, path, "text too long, or with a NUL in it");
@@ -120,10 +120,10 @@
 
 /* Rejects unknown fields, since a misspelt optional field would otherwise count as absent. */
 static enum status
-refuse_unknown (const struct field *fields,
-                const json_t *object,
-                const char *path,
-                struct resource_problem *problem)
+reject_unknown_fields (const struct field *fields,
+                       const json_t *object,
+                       const char *path,
+                       struct resource_problem *problem)
 {
   const struct field *field;
   char inner[RESOURCE_FIELD_SIZE];
@@ -156,7 +156,7 @@
 
   if (!json_is_object (object))
     return field_problem (problem, path, "expected an object");
-  status = refuse_unknown (fields, object, path, problem);
+  status = reject_unknown_fields (fields, object, path, problem);
   for (field = fields; status == STATUS_OK && field->name != NULL; field++)
     {
       const json_t *value = json_object_get (object, field->name);
@@ -190,7 +190,7 @@
       const char *text = json_string_value (json_array_get (value, i));
 
       snprintf (inner, sizeof inner, "%s[%zu]", path, i);
-      if (text == NULL || !resource_name_valid (text))
+      if (text == NULL || !resource_name_is_valid (text))
         return field_problem (problem, inner, "expected 1 to 63 letters, digits, '-' and '.'");
       text_copy (names[i], RESOURCE_NAME_SIZE, text);
     }
--- a/src/settings.c
+++ b/src/settings.c
@@ -12,9 +12,9 @@
 #include <stdlib.h>
 #include <string.h>
 
-#define SETTINGS_FILE_MAX (256u << 10)
-#define SETTINGS_LINE_MAX 8192
-#define SETTINGS_SHOWN_VALUE 60
+#define SETTINGS_FILE_MAX_BYTES (256u << 10)
+#define SETTINGS_LINE_MAX_BYTES 8192
+#define SETTINGS_SHOWN_VALUE_MAX 60
 
 /* Replaces unprintable characters by '?', since the file may contain arbitrary bytes. */
 static void
@@ -28,7 +28,7 @@
 }
 
 void
-settings_problem (struct settings_parser *parser, int line, const char *format, ...)
+settings_report_problem (struct settings_parser *parser, int line, const char *format, ...)
 {
   char about[SETTINGS_MESSAGE_SIZE - 100];
   char message[SETTINGS_MESSAGE_SIZE];
@@ -66,8 +66,8 @@
   parser->line++;
   if (length >= (size_t) size || memchr (parser->text, '\0', length) != NULL)
     {
-      settings_problem (parser, parser->line, "expected a line of text of at most %d bytes",
-                        size - 2);
+      settings_report_problem (parser, parser->line, "expected a line of text of at most %d bytes",
+                               size - 2);
       kept = 0;
     }
   memcpy (out, parser->text, kept);
@@ -78,7 +78,7 @@
 }
 
 static const char *
-section_known (const char *section)
+find_section (const char *section)
 {
   size_t i;
 
@@ -128,10 +128,10 @@
 /* Callback of inih.  Returns 1 (success) even for an invalid key, so that the rest of the file is
  * checked too; problems are recorded in the parser. */
 static int
-take_value (void *user, const char *section, const char *name, const char *value)
+handle_value (void *user, const char *section, const char *name, const char *value)
 {
   struct settings_parser *parser = user;
-  const char *known = section_known (section);
+  const char *known = find_section (section);
   size_t i = find_key (section, name);
   char expected[SETTING_TEXT_SIZE];
   char names[SETTINGS_MESSAGE_SIZE / 2];
@@ -140,47 +140,48 @@
     {
       list_names (known, names, sizeof names);
       if (known == NULL)
-        settings_problem (parser, parser->line, "[%.50s]: unknown section, expected one of %s",
-                          section, names);
+        settings_report_problem (parser, parser->line,
+                                 "[%.50s]: unknown section, expected one of %s", section, names);
       else
-        settings_problem (parser, parser->line, "[%s] %.50s: unknown key, expected one of %s",
-                          section, name, names);
+        settings_report_problem (parser, parser->line,
+                                 "[%s] %.50s: unknown key, expected one of %s", section, name,
+                                 names);
       return 1;
     }
   if (parser->lines[i] != 0)
     {
-      settings_problem (parser, parser->line,
-                        "[%s] %s: given twice, expected once; first on line %d", section, name,
-                        parser->lines[i]);
+      settings_report_problem (parser, parser->line,
+                               "[%s] %s: given twice, expected once; first on line %d", section,
+                               name, parser->lines[i]);
       return 1;
     }
   parser->lines[i] = parser->line;
-  if (!setting_read (&setting_keys[i], value, parser->out))
+  if (!setting_parse (&setting_keys[i], value, parser->out))
     {
-      setting_expected (&setting_keys[i], expected);
-      settings_problem (parser, parser->line, "[%s] %s: expected %s, got \"%.*s\"", section, name,
-                        expected, SETTINGS_SHOWN_VALUE, value);
+      setting_describe_expected (&setting_keys[i], expected);
+      settings_report_problem (parser, parser->line, "[%s] %s: expected %s, got \"%.*s\"", section,
+                               name, expected, SETTINGS_SHOWN_VALUE_MAX, value);
     }
   return 1;
 }
 
 void
-settings_default (struct settings *out)
+settings_set_defaults (struct settings *out)
 {
   size_t i;
 
   memset (out, 0, sizeof *out);
   for (i = 0; i < n_setting_keys; i++)
     {
-      if (setting_keys[i].fallback != NULL)
-        INVARIANT (setting_read (&setting_keys[i], setting_keys[i].fallback, out));
+      if (setting_keys[i].default_text != NULL)
+        INVARIANT (setting_parse (&setting_keys[i], setting_keys[i].default_text, out));
     }
   for (i = 0; i < LOG_MODULE_COUNT; i++)
     out->module_levels[i] = out->log_level;
 }
 
 int
-settings_line_of (const struct settings_parser *parser, const char *section, const char *name)
+settings_key_line (const struct settings_parser *parser, const char *section, const char *name)
 {
   return parser->lines[find_key (section, name)];
 }
@@ -195,15 +196,15 @@
     {
       if (!setting_keys[i].required || parser->lines[i] != 0)
         continue;
-      setting_expected (&setting_keys[i], expected);
-      settings_problem (parser, 0, "[%s] %s: missing, expected %s", setting_keys[i].section,
-                        setting_keys[i].name, expected);
+      setting_describe_expected (&setting_keys[i], expected);
+      settings_report_problem (parser, 0, "[%s] %s: missing, expected %s", setting_keys[i].section,
+                               setting_keys[i].name, expected);
     }
 }
 
 /* Sets the log level of modules that have none in the file to the general level. */
 static void
-fill_levels (struct settings_parser *parser)
+set_default_levels (struct settings_parser *parser)
 {
   static const char *const modules[] = {
 #define X(name, text) [LOG_MODULE_##name] = text,
@@ -214,7 +215,7 @@
 
   for (i = 0; i < LOG_MODULE_COUNT; i++)
     {
-      if (settings_line_of (parser, "log", modules[i]) == 0)
+      if (settings_key_line (parser, "log", modules[i]) == 0)
         parser->out->module_levels[i] = parser->out->log_level;
     }
 }
@@ -229,20 +230,21 @@
   int bad_line;
 
   INVARIANT (n_setting_keys <= SETTING_KEYS_MAX);
-  settings_default (out);
+  settings_set_defaults (out);
   ini_use_stack = false;
-  ini_max_line = SETTINGS_LINE_MAX;
-  ini_initial_alloc = SETTINGS_LINE_MAX;
+  ini_max_line = SETTINGS_LINE_MAX_BYTES;
+  ini_initial_alloc = SETTINGS_LINE_MAX_BYTES;
   ini_allow_multiline = false;
-  bad_line = ini_parse_stream (read_line, &parser, take_value, &parser);
+  bad_line = ini_parse_stream (read_line, &parser, handle_value, &parser);
   if (bad_line < 0)
     return status_fail (STATUS_NO_MEMORY, "%s: out of memory", name);
   if (bad_line > 0)
-    settings_problem (&parser, bad_line, "expected [section], key = value, or a comment after ';'");
+    settings_report_problem (&parser, bad_line,
+                             "expected [section], key = value, or a comment after ';'");
   check_required (&parser);
-  fill_levels (&parser);
+  set_default_levels (&parser);
   if (parser.status == STATUS_OK)
-    settings_check_together (&parser);
+    settings_check_rules (&parser);
   if (parser.status == STATUS_OK)
     return STATUS_OK;
   return status_fail (parser.status, "%s", parser.message);
@@ -260,16 +262,16 @@
       *status = status_fail (STATUS_IO, "%s: %s", path, strerror (errno));
       return NULL;
     }
-  text = malloc (SETTINGS_FILE_MAX + 1);
-  *length = text == NULL ? 0 : fread (text, 1, SETTINGS_FILE_MAX + 1, file);
+  text = malloc (SETTINGS_FILE_MAX_BYTES + 1);
+  *length = text == NULL ? 0 : fread (text, 1, SETTINGS_FILE_MAX_BYTES + 1, file);
   *status = STATUS_OK;
   if (text == NULL)
     *status = status_fail (STATUS_NO_MEMORY, "%s: out of memory", path);
   else if (ferror (file))
     *status = status_fail (STATUS_IO, "%s: %s", path, strerror (errno));
-  else if (*length > SETTINGS_FILE_MAX)
+  else if (*length > SETTINGS_FILE_MAX_BYTES)
     *status = status_fail (STATUS_TOO_LARGE, "%s: expected a file of at most %u bytes", path,
-                           SETTINGS_FILE_MAX);
+                           SETTINGS_FILE_MAX_BYTES);
   fclose (file);
   if (*status == STATUS_OK)
     return text;
@@ -311,16 +313,17 @@
   for (i = 0; i < n_setting_keys; i++)
     {
       const struct setting_key *key = &setting_keys[i];
-      const char *fallback = key->fallback == NULL ? "" : key->fallback;
+      const char *default_text = key->default_text == NULL ? "" : key->default_text;
 
       if (strcmp (section, key->section) != 0)
         bytes_append_format (
             out, "%s## [%s]\n\n| key | expects | default | what it sets |\n|---|---|---|---|\n",
             i == 0 ? "" : "\n", key->section);
       section = key->section;
-      setting_expected (key, expected);
+      setting_describe_expected (key, expected);
       bytes_append_format (out, "| `%s` | %s | %s | %s |\n", key->name, expected,
-                           key->required ? "required" : (fallback[0] == '\0' ? "none" : fallback),
+                           key->required ? "required"
+                                         : (default_text[0] == '\0' ? "none" : default_text),
                            key->help);
     }
 }
--- a/src/settings.h
+++ b/src/settings.h
@@ -95,7 +95,7 @@
                             struct bytes *problems);
 
 /* Sets every key to its default, and to zero or "" if it has none. */
-void settings_default (struct settings *out);
+void settings_set_defaults (struct settings *out);
 
 /* Appends Markdown tables of the keys, as in docs/SETTINGS.md. */
 void settings_write_table (struct bytes *out);
--- a/src/settings_private.h
+++ b/src/settings_private.h
@@ -26,14 +26,14 @@
 };
 
 /* Records a problem; `line` is 0 if no single line causes it. */
-void settings_problem (struct settings_parser *parser, int line, const char *format, ...)
+void settings_report_problem (struct settings_parser *parser, int line, const char *format, ...)
     __attribute__ ((format (printf, 3, 4)));
 
 /* Returns the line that set a key, 0 if it is not set. */
-int settings_line_of (const struct settings_parser *parser, const char *section, const char *name);
+int settings_key_line (const struct settings_parser *parser, const char *section, const char *name);
 
 /* Checks the rules over several keys; called only if each key is valid by itself. */
-void settings_check_together (struct settings_parser *parser);
+void settings_check_rules (struct settings_parser *parser);
 
 END_DECLS
 
--- a/src/settings_together.c
+++ b/src/settings_rules.c
@@ -28,9 +28,10 @@
         {
           if (strcmp (listeners[i].address, listeners[j].address) == 0
               && strcmp (strrchr (listeners[i].address, ':'), ":0") != 0)
-            settings_problem (parser, settings_line_of (parser, "listen", listeners[i].name),
-                              "[listen] %s: expected another address than `%s` has",
-                              listeners[i].name, listeners[j].name);
+            settings_report_problem (parser,
+                                     settings_key_line (parser, "listen", listeners[i].name),
+                                     "[listen] %s: expected another address than `%s` has",
+                                     listeners[i].name, listeners[j].name);
         }
     }
 }
@@ -41,15 +42,16 @@
 check_peer_key (struct settings_parser *parser, const char *key, const struct settings_peer *peer)
 {
   const struct settings *out = parser->out;
-  int line = settings_line_of (parser, "cluster", key);
+  int line = settings_key_line (parser, "cluster", key);
 
   if (out->key_file[0] == '\0' && peer->public_key[0] != '\0')
-    settings_problem (parser, line, "[cluster] %s: %s has a key, expected [keys] file too", key,
-                      peer->name);
+    settings_report_problem (parser, line, "[cluster] %s: %s has a key, expected [keys] file too",
+                             key, peer->name);
   if (out->key_file[0] != '\0' && peer->public_key[0] == '\0'
       && strcmp (peer->name, out->name) != 0)
-    settings_problem (parser, line, "[cluster] %s: expected %s@%s/KEY, since [keys] file is given",
-                      key, peer->name, peer->address);
+    settings_report_problem (parser, line,
+                             "[cluster] %s: expected %s@%s/KEY, since [keys] file is given", key,
+                             peer->name, peer->address);
 }
 
 static void
@@ -59,7 +61,7 @@
              uint32_t n_peers)
 {
   const struct settings *out = parser->out;
-  int line = settings_line_of (parser, "cluster", key);
+  int line = settings_key_line (parser, "cluster", key);
   uint32_t i;
   uint32_t j;
 
@@ -69,18 +71,18 @@
       for (j = 0; j < i; j++)
         {
           if (strcmp (peers[i].name, peers[j].name) == 0)
-            settings_problem (parser, line, "[cluster] %s: %s given twice, expected once", key,
-                              peers[i].name);
+            settings_report_problem (parser, line, "[cluster] %s: %s given twice, expected once",
+                                     key, peers[i].name);
           else if (strcmp (peers[i].address, peers[j].address) == 0)
-            settings_problem (parser, line,
-                              "[cluster] %s: %s and %s share an address, expected one each", key,
-                              peers[j].name, peers[i].name);
+            settings_report_problem (parser, line,
+                                     "[cluster] %s: %s and %s share an address, expected one each",
+                                     key, peers[j].name, peers[i].name);
         }
       if (strcmp (peers[i].name, out->name) == 0
           && strcmp (peers[i].address, out->listen_peers) != 0)
-        settings_problem (parser, line,
-                          "[cluster] %s: this host is at %s, expected its [listen] peers, %s", key,
-                          peers[i].address, out->listen_peers);
+        settings_report_problem (
+            parser, line, "[cluster] %s: this host is at %s, expected its [listen] peers, %s", key,
+            peers[i].address, out->listen_peers);
     }
 }
 
@@ -88,23 +90,23 @@
 check_voters (struct settings_parser *parser)
 {
   const struct settings *out = parser->out;
-  int line = settings_line_of (parser, "cluster", "voters");
+  int line = settings_key_line (parser, "cluster", "voters");
   uint32_t i;
 
   if (out->n_voters == 0 && out->n_seeds == 0)
-    settings_problem (
+    settings_report_problem (
         parser, line,
         "[cluster] voters: expected voters or seeds; a host alone names itself as voter");
   for (i = 0; i < out->n_voters; i++)
     {
       if (strcmp (out->voters[i].name, out->name) == 0 && out->data_folder[0] == '\0')
-        settings_problem (parser, line,
-                          "[cluster] voters: this host is a voter, expected [data] folder too");
+        settings_report_problem (
+            parser, line, "[cluster] voters: this host is a voter, expected [data] folder too");
     }
 }
 
 void
-settings_check_together (struct settings_parser *parser)
+settings_check_rules (struct settings_parser *parser)
 {
   const struct settings *out = parser->out;
 
@@ -113,18 +115,19 @@
   check_peers (parser, "voters", out->voters, out->n_voters);
   check_voters (parser);
   if ((out->tls_certificate[0] == '\0') != (out->tls_key[0] == '\0'))
-    settings_problem (parser,
-                      settings_line_of (parser, "keys", "tls_key")
-                          + settings_line_of (parser, "keys", "tls_certificate"),
-                      "[keys] tls_key: expected both tls_certificate and tls_key, or neither");
+    settings_report_problem (
+        parser,
+        settings_key_line (parser, "keys", "tls_key")
+            + settings_key_line (parser, "keys", "tls_certificate"),
+        "[keys] tls_key: expected both tls_certificate and tls_key, or neither");
   if (out->connections_per_caller > out->connections)
-    settings_problem (parser, settings_line_of (parser, "limits", "connections_per_caller"),
-                      "[limits] connections_per_caller: expected at most `connections`, %u",
-                      out->connections);
+    settings_report_problem (parser, settings_key_line (parser, "limits", "connections_per_caller"),
+                             "[limits] connections_per_caller: expected at most `connections`, %u",
+                             out->connections);
   /* A host that shuts down keeps serving for as long as callers may cache an old list, then
    * finishes the requests in flight. */
   if (out->drain_bound <= out->list_keep)
-    settings_problem (parser, settings_line_of (parser, "entry", "drain_bound_ms"),
-                      "[entry] drain_bound_ms: expected more than list_keep_ms, %lld",
-                      (long long) (out->list_keep / USEC_PER_MSEC));
+    settings_report_problem (parser, settings_key_line (parser, "entry", "drain_bound_ms"),
+                             "[entry] drain_bound_ms: expected more than list_keep_ms, %lld",
+                             (long long) (out->list_keep / USEC_PER_MSEC));
 }
--- a/src/settings_value.c
+++ b/src/settings_value.c
@@ -143,7 +143,7 @@
 }
 
 bool
-setting_read (const struct setting_key *key, const char *value, struct settings *out)
+setting_parse (const struct setting_key *key, const char *value, struct settings *out)
 {
   char *field = (char *) out + key->offset;
   uint64_t number = 0;
@@ -184,7 +184,7 @@
 }
 
 void
-setting_expected (const struct setting_key *key, char out[SETTING_TEXT_SIZE])
+setting_describe_expected (const struct setting_key *key, char out[SETTING_TEXT_SIZE])
 {
   unsigned long long low = key->low;
   unsigned long long high = key->high;
--- a/src/settings_value.h
+++ b/src/settings_value.h
@@ -41,16 +41,16 @@
   uint64_t low;
   uint64_t high;
   bool required;
-  const char *fallback; /* default, as written in a file; NULL for none */
+  const char *default_text; /* default, as written in a file; NULL for none */
   const char *help;
 };
 
 /* Parses `value` into its field of `out`; false, with the field unchanged or empty, if the value is
  * invalid. */
-bool setting_read (const struct setting_key *key, const char *value, struct settings *out);
+bool setting_parse (const struct setting_key *key, const char *value, struct settings *out);
 
 /* Describes the valid values of a key, such as "a whole number from 1 to 9". */
-void setting_expected (const struct setting_key *key, char out[SETTING_TEXT_SIZE]);
+void setting_describe_expected (const struct setting_key *key, char out[SETTING_TEXT_SIZE]);
 
 /* True for "ip:port" with an IPv4 address other than 0.0.0.0; port 0 is valid only if `any_port`.
  */
--- a/src/subscriber_state.c
+++ b/src/subscriber_state.c
@@ -178,7 +178,7 @@
   subscriber_set_reachable (self, controller, true, now);
   self->document_from = controller->name;
   if (text != NULL)
-    document_take (self->document, state.document, text, length);
+    document_update (self->document, state.document, text, length);
   read_targets (self, in, now);
   read_renewals (self, in, now);
   if (state.has_hosts && pack_read_is_ok (in))
--- a/tests/unit_controller.cc
+++ b/tests/unit_controller.cc
@@ -320,7 +320,7 @@
 
   send_request ("e1", 11);
   log.answer (STATUS_OK, now);
-  document_take (document, 4, "text", 4);
+  document_update (document, 4, "text", 4);
   controller_document_changed (controller, now);
   now += 10 * USEC_PER_MSEC;
   timer_service_run (timers, now);
@@ -410,7 +410,7 @@
 
       bytes_init (&entry, parent);
       bytes_init (&result, parent);
-      document_write_change (version, text.data (), text.size (), &entry);
+      document_change_pack (version, text.data (), text.size (), &entry);
       machine->ops->apply (machine, 1, entry.data, entry.length, &result);
       if (version == 3)
         {
--- a/tests/unit_product_access.cc
+++ b/tests/unit_product_access.cc
@@ -22,7 +22,7 @@
   void
   SetUp () override
   {
-    settings_default (&settings);
+    settings_set_defaults (&settings);
   }
 
   void
--- a/tests/unit_product_keyfile.cc
+++ b/tests/unit_product_keyfile.cc
@@ -39,7 +39,7 @@
   struct key_pair read;
   struct stat about;
 
-  ASSERT_EQ (key_pair_make (&made), STATUS_OK);
+  ASSERT_EQ (key_pair_generate (&made), STATUS_OK);
   ASSERT_EQ (keyfile_write (file.c_str (), &made), STATUS_OK);
   ASSERT_EQ (stat (file.c_str (), &about), 0);
   EXPECT_EQ (about.st_mode & 0777, 0600u);
@@ -56,8 +56,8 @@
   struct key_pair second;
   struct key_pair read;
 
-  ASSERT_EQ (key_pair_make (&first), STATUS_OK);
-  ASSERT_EQ (key_pair_make (&second), STATUS_OK);
+  ASSERT_EQ (key_pair_generate (&first), STATUS_OK);
+  ASSERT_EQ (key_pair_generate (&second), STATUS_OK);
   ASSERT_EQ (keyfile_write (file.c_str (), &first), STATUS_OK);
   EXPECT_EQ (keyfile_write (file.c_str (), &second), STATUS_EXISTS);
   ASSERT_EQ (keyfile_read (file.c_str (), &read), STATUS_OK);
@@ -69,7 +69,7 @@
 {
   struct key_pair pair;
 
-  ASSERT_EQ (key_pair_make (&pair), STATUS_OK);
+  ASSERT_EQ (key_pair_generate (&pair), STATUS_OK);
   ASSERT_EQ (keyfile_write (file.c_str (), &pair), STATUS_OK);
   ASSERT_EQ (chmod (file.c_str (), 0640), 0);
   EXPECT_EQ (keyfile_read (file.c_str (), &pair), STATUS_DENIED);
@@ -83,8 +83,8 @@
   struct key_pair b;
   struct key_pair out;
 
-  ASSERT_EQ (key_pair_make (&a), STATUS_OK);
-  ASSERT_EQ (key_pair_make (&b), STATUS_OK);
+  ASSERT_EQ (key_pair_generate (&a), STATUS_OK);
+  ASSERT_EQ (key_pair_generate (&b), STATUS_OK);
   std::string mine = std::string ("public_key = ") + a.public_key + "\n";
   std::string other = std::string ("secret_key = ") + b.secret_key + "\n";
 
--- a/tests/unit_resource.cc
+++ b/tests/unit_resource.cc
@@ -108,13 +108,13 @@
 
 TEST (Resource, NamesThatAreUnsafeInPathsAreRefused)
 {
-  EXPECT_TRUE (resource_name_valid ("bkk-a.1"));
-  EXPECT_FALSE (resource_name_valid (""));
-  EXPECT_FALSE (resource_name_valid ("."));
-  EXPECT_FALSE (resource_name_valid ("a/b"));
-  EXPECT_FALSE (resource_name_valid ("a\"b"));
-  EXPECT_FALSE (resource_name_valid (std::string (64, 'a').c_str ()));
-  EXPECT_TRUE (resource_name_valid (std::string (63, 'a').c_str ()));
+  EXPECT_TRUE (resource_name_is_valid ("bkk-a.1"));
+  EXPECT_FALSE (resource_name_is_valid (""));
+  EXPECT_FALSE (resource_name_is_valid ("."));
+  EXPECT_FALSE (resource_name_is_valid ("a/b"));
+  EXPECT_FALSE (resource_name_is_valid ("a\"b"));
+  EXPECT_FALSE (resource_name_is_valid (std::string (64, 'a').c_str ()));
+  EXPECT_TRUE (resource_name_is_valid (std::string (63, 'a').c_str ()));
 }
 
 }
