--- a/tests/whole_hosts.cc
+++ b/tests/whole_hosts.cc
@@ -22,7 +22,7 @@
             << request.id << " " << request.pipeline << ": " << replay_outcome_text (record.outcome)
             << " " << record.detail;
       }
-    expect_no_broken_promise (result);
+    expect_no_violation (result);
   }
 };
 
@@ -55,7 +55,7 @@
   expect_whole_or_unknown (result);
   check (launch_wait_healthy (launch_));
   check (launch_wait_revision (launch_));
-  EXPECT_TRUE (wait_until ([&] { return listed (0, 1); }));
+  EXPECT_TRUE (wait_until ([&] { return is_listed (0, 1); }));
   check (launch_wait_targets (launch_, all_targets));
   expect_all_attained (send ("after-kill", 60, 10 * USEC_PER_MSEC));
 }
@@ -67,7 +67,7 @@
 {
   start (3);
   launch_signal (&launch_->hosts[2].process, SIGSTOP);
-  EXPECT_TRUE (wait_until ([&] { return !listed (0, 2) && !listed (1, 2); }));
+  EXPECT_TRUE (wait_until ([&] { return !is_listed (0, 2) && !is_listed (1, 2); }));
   EXPECT_TRUE (wait_until ([&] {
     return launch_known_targets (launch_, 0) == all_targets
            && launch_known_targets (launch_, 1) == all_targets;
@@ -77,7 +77,7 @@
   expect_all_attained (send ("silent", 100, 10 * USEC_PER_MSEC));
   launch_->hosts[2].process.pid = stopped;
   launch_signal (&launch_->hosts[2].process, SIGCONT);
-  EXPECT_TRUE (wait_until ([&] { return listed (0, 2) && listed (1, 2); }));
+  EXPECT_TRUE (wait_until ([&] { return is_listed (0, 2) && is_listed (1, 2); }));
   check (launch_wait_healthy (launch_));
   check (launch_wait_revision (launch_));
   check (launch_wait_targets (launch_, all_targets));
--- a/tests/whole_keys.cc
+++ b/tests/whole_keys.cc
@@ -54,7 +54,7 @@
   launch_->hosts[3].process.pid = 0; /* not waited for, not asked */
   expect_all_attained (send ("stranger", 200, 10 * USEC_PER_MSEC));
   for (uint32_t i = 0; i < 3; i++)
-    EXPECT_FALSE (listed (i, 3));
+    EXPECT_FALSE (is_listed (i, 3));
   launch_->hosts[3].process.pid = stranger;
   struct call_answer asked = post (3, "price", "stranger-1", "{}");
 
--- a/tests/whole_launch.h
+++ b/tests/whole_launch.h
@@ -76,7 +76,7 @@
   }
 
   void
-  expect_no_broken_promise (const struct replay_result *result)
+  expect_no_violation (const struct replay_result *result)
   {
     json_t *counts = launch_counts (launch_);
 
@@ -90,7 +90,7 @@
     EXPECT_EQ (result->outcomes[REPLAY_ATTAINED], result->count);
     if (result->outcomes[REPLAY_ATTAINED] != result->count)
       replay_print (result, options_.trace, stdout);
-    expect_no_broken_promise (result);
+    expect_no_violation (result);
   }
 
   // POST one request to a service; the body is sent unchanged.
@@ -133,7 +133,7 @@
 
   // Names of the hosts that `host` lists to callers, with a comma around each.
   std::string
-  entries_of (uint32_t host)
+  listed_hosts (uint32_t host)
   {
     json_t *answer = call_json (launch_->caller, launch_->hosts[host].addresses[LAUNCH_CALLERS],
                                 "GET", "/v1/entries", nullptr, 5 * USEC_PER_SEC, nullptr);
@@ -151,9 +151,9 @@
   }
 
   bool
-  listed (uint32_t at, uint32_t host)
+  is_listed (uint32_t at, uint32_t host)
   {
-    return entries_of (at).find (std::string (",") + launch_->hosts[host].process.name + ",")
+    return listed_hosts (at).find (std::string (",") + launch_->hosts[host].process.name + ",")
            != std::string::npos;
   }
 
--- a/tests/whole_targets.cc
+++ b/tests/whole_targets.cc
@@ -28,21 +28,21 @@
   void
   expect_whole_despite (const char *prefix, const char *fault)
   {
-    bool struck = false;
+    bool injected = false;
 
     start (3);
     const struct replay_result *result =
         send (prefix, 300, 10 * USEC_PER_MSEC, [&] (uint32_t ended) {
-          if (struck || ended < 50)
+          if (injected || ended < 50)
             return;
-          struck = true;
+          injected = true;
           json_t *json = json_loads (fault, 0, nullptr);
 
           json_object_set_new (json, "target", json_string ("runners-1"));
           check (launch_fault (launch_, "runners", json));
         });
 
-    ASSERT_TRUE (struck);
+    ASSERT_TRUE (injected);
     EXPECT_GT (count_of ("runners-1", "faults"), 0);
     expect_all_attained (result);
   }
