--- a/src/client_stream.h
+++ b/src/client_stream.h
@@ -45,8 +45,7 @@
 /* Can another request be sent?  False while bytes are unsent or if the stream failed. */
 bool client_stream_is_idle (const struct client_stream *stream);
 
-/* Are there received bytes, or an end of the connection, not yet reported by received() or ended()?
- */
+/* Is there input, or an end of the connection, not yet reported by received() or ended()? */
 bool client_stream_has_unread (const struct client_stream *stream);
 
 void client_stream_close (struct client_stream *stream);
--- a/src/h1.c
+++ b/src/h1.c
@@ -189,8 +189,7 @@
   head->framing = framing_of (reader);
   if (framing_is_ambiguous (head))
     return -1;
-  /* HTTP/1.0 has no chunked coding, so an intermediary may have found another end of the message.
-   */
+  /* HTTP/1.0 has no chunked coding: an intermediary may have seen another end of the message. */
   head->keep_alive = http_should_keep_alive (parser) != 0 && !(head->chunked && head->minor == 0);
   reader->part_ended = true;
   http_parser_pause (parser, 1);
--- a/src/h1.h
+++ b/src/h1.h
@@ -1,5 +1,4 @@
-/* Incremental reader of HTTP/1.1 messages for forwarding: heads with every header, bodies in
- * pieces.
+/* Incremental reader of HTTP/1.1 messages for forwarding: complete heads, bodies in pieces.
  *
  * libhttp-parser does the parsing.  libwebsockets' HTTP cannot enumerate unknown header names and
  * does not accept chunked request bodies; forwarding needs both. */
--- a/src/h1_client.c
+++ b/src/h1_client.c
@@ -48,7 +48,7 @@
   struct h1_reader reader;
   struct h1_call *call; /* NULL while idle */
   struct bytes message; /* request to send once connected */
-  int64_t idle_timeout; /* idle timeout, microseconds */
+  int64_t idle_timeout; /* microseconds */
   bool skipping;        /* the current response is interim or belongs to another call */
   bool foreign;         /* a response to another call was received */
   bool idle;
--- a/src/h1_server.h
+++ b/src/h1_server.h
@@ -1,5 +1,4 @@
-/* HTTP/1.1 server of the forwarding path: takes complete requests, sends responses of any framing.
- */
+/* HTTP/1.1 server of the forwarding path: complete requests in, responses of any framing out. */
 #ifndef H1_SERVER_H
 #define H1_SERVER_H
 
@@ -100,7 +99,8 @@
  * complete. */
 void h1_reply_end (struct h1_exchange *exchange, bool whole);
 
-/* Reset the connection without a response; whether the request ran stays open. */
+/* Reset the connection without a complete response, which tells the client nothing about whether
+ * the request ran. */
 void h1_reply_abort (struct h1_exchange *exchange);
 
 END_DECLS
--- a/src/h1_server_private.h
+++ b/src/h1_server_private.h
@@ -17,7 +17,7 @@
   CONNECTION_READING, /* idle, or receiving a request */
   CONNECTION_WAITING, /* for the response to begin */
   CONNECTION_ANSWERING,
-  CONNECTION_CLOSING, /* after unsent data is sent */
+  CONNECTION_CLOSING, /* sending the rest, then closing */
 };
 
 struct h1_connection
--- a/src/http.h
+++ b/src/http.h
@@ -57,8 +57,7 @@
 struct http_exchange_ops
 {
   /* Send a complete response.  The holder must not use the exchange after the call.  `fields` may
-   * be NULL when `n_fields` is 0; content-length is added, content-type is taken from the fields.
-   */
+   * be NULL when `n_fields` is 0; content-length is added, content-type comes from the fields. */
   void (*reply) (struct http_exchange *exchange,
                  int code,
                  const struct http_field *fields,
@@ -176,8 +175,7 @@
 
 struct http_client_ops
 {
-  /* No event is delivered from within start().  On failure nothing was sent and no event follows.
-   */
+  /* Delivers no event from within the call.  On failure nothing was sent and no event follows. */
   enum status (*start) (struct http_client *client,
                         const struct http_call_spec *spec,
                         struct http_call_sink *sink,
--- a/src/http_server.c
+++ b/src/http_server.c
@@ -80,8 +80,7 @@
 /* uthash's macros are long; the function is not.
  * NOLINTBEGIN(readability-function-size) */
 
-/* Count a connection of this IP address.  NULL when the address is at its limit or memory is out.
- */
+/* Count a connection of this IP address.  NULL if the address is at its limit or memory is out. */
 static struct server_caller *
 count_caller (struct http_server *server, const char *ip)
 {
@@ -113,9 +112,9 @@
   talloc_free (caller);
 }
 
-/* lws does not read from a connection whose request is being handled (see hand_over()), and without
- * reading it reports neither a close by the peer nor a writable socket.  An epoll descriptor in the
- * event loop reports both, without a system call per request. */
+/* lws does not read from a connection whose request is being handled (see dispatch_request()), and
+ * without reading it reports neither a close by the peer nor a writable socket.  An epoll
+ * descriptor in the event loop reports both, without a system call per request. */
 static void
 sockets_ready (struct loop_watch *watch, int64_t now)
 {
--- a/src/http_server.h
+++ b/src/http_server.h
@@ -1,5 +1,4 @@
-/* HTTP server on libwebsockets, with a listening address each for callers, operators and targets.
- */
+/* HTTP server on libwebsockets; callers, operators and targets each have a listening address. */
 #ifndef HTTP_SERVER_H
 #define HTTP_SERVER_H
 
--- a/src/tcp.h
+++ b/src/tcp.h
@@ -1,7 +1,8 @@
 /* TCP byte streams on the event loop: listeners, connections, bounded send buffers.
  *
- * Used for forwarding requests, where libwebsockets' HTTP does not fit (docs/DESIGN.md): it tells
- * an orderly end from a reset, which decides whether a response without a length is complete. */
+ * Used for forwarding requests, where libwebsockets' HTTP does not fit (docs/DESIGN.md): a
+ * stream tells an orderly end from a reset, which decides whether a response without a length is
+ * complete. */
 #ifndef TCP_H
 #define TCP_H
 
@@ -49,8 +50,7 @@
   void (*connected) (struct tcp_stream *stream, int64_t now);
   void (*received) (struct tcp_stream *stream, const char *data, size_t length, int64_t now);
 
-  /* The connection ended; the stream may be freed or opened again.  Not called after tcp_close().
-   */
+  /* The connection ended; the stream may be freed or reopened.  Not called after tcp_close(). */
   void (*ended) (struct tcp_stream *stream, enum tcp_end end, int64_t now);
 };
 
@@ -89,8 +89,7 @@
 /* Bytes in the send buffer; never 0 on a stream that failed. */
 size_t tcp_unsent (const struct tcp_stream *stream);
 
-/* Are there received bytes, or an end of the connection, not yet reported by received() or ended()?
- */
+/* Is there input, or an end of the connection, not yet reported by received() or ended()? */
 bool tcp_has_unread (const struct tcp_stream *stream);
 
 /* Bytes in the send buffer and bytes that the peer has not acknowledged. */
--- a/src/tls_session.h
+++ b/src/tls_session.h
@@ -1,5 +1,4 @@
-/* Client TLS session independent of the transport: it converts between TLS records and plaintext.
- */
+/* Client TLS session independent of the transport: converts between TLS records and plaintext. */
 #ifndef TLS_SESSION_H
 #define TLS_SESSION_H
 
