--- a/src/log.c
+++ b/src/log.c
@@ -54,9 +54,9 @@
   log4c_appender_t *appender;
   int fd;
   bool is_socket;
-  bool write_error_reported; /* the write failure was reported */
-  uint64_t dropped;          /* lines since the last one written */
-  time_t second;             /* the second that lines_in_second counts */
+  bool write_error_reported;
+  uint64_t dropped; /* lines since the last one written */
+  time_t second;    /* the second that lines_in_second counts */
   uint32_t lines_in_second;
   json_t *fields;       /* of the event being written, or NULL */
   enum log_level level; /* of the event being written */
@@ -64,7 +64,7 @@
   size_t line_length;
   char partial_line[LOG_PARTIAL_LINE_SIZE];
   size_t partial_line_length;
-  bool is_standard_output; /* standard output */
+  bool is_standard_output;
 } state = { .fd = -1 };
 
 /* ---- layout ---- */
--- a/src/loop.c
+++ b/src/loop.c
@@ -48,7 +48,7 @@
   struct loop *loop;
   struct loop_watch *watch; /* NULL once unwatched */
   struct lws *wsi;
-  bool in_writable; /* its writable() callback is running */
+  bool in_writable; /* the writable() callback of its watch is running */
   bool deferred;    /* in the list of deferred requests */
   struct watch_slot *prev;
   struct watch_slot *next;
--- a/src/peer_zmq.c
+++ b/src/peer_zmq.c
@@ -23,8 +23,8 @@
 #include <talloc.h>
 #include <zmq.h>
 
-/* ZeroMQ closes a connection that sends a message larger than PEER_MESSAGE_BYTES_MAX plus this; a
- * message just over PEER_MESSAGE_BYTES_MAX is counted and dropped here. */
+/* Room for the envelope.  ZeroMQ closes a connection that sends more than PEER_MESSAGE_BYTES_MAX
+ * plus this; a message just over PEER_MESSAGE_BYTES_MAX is counted and dropped here. */
 #define PEER_ENVELOPE_OVERHEAD_BYTES 65536
 
 #define PEER_SOCKETS_MAX 1100
--- a/src/peer_zmq_private.h
+++ b/src/peer_zmq_private.h
@@ -19,7 +19,7 @@
   char public_key[BOARD_KEY_SIZE];
   void *socket;
   UT_hash_handle hh;
-  bool was_connected; /* a message was sent to it at least once */
+  bool was_connected; /* at least one message was sent to it */
   bool unreachable;   /* the last message found no connection, or a full queue */
 };
 
--- a/tests/certificate.h
+++ b/tests/certificate.h
@@ -1,4 +1,4 @@
-// A self-signed certificate for the TLS tests.
+// A self-signed certificate for tests.
 #ifndef CERTIFICATE_H
 #define CERTIFICATE_H
 
--- a/tests/unit_edges_answers.cc
+++ b/tests/unit_edges_answers.cc
@@ -62,7 +62,7 @@
     { "an answer in chunks to a HEAD", CHUNKED, true, "", "HEAD" },
     { "204", "HTTP/1.1 204 No Content\r\n\r\n", true, "" },
     { "304", "HTTP/1.1 304 Not Modified\r\nContent-Length: 5\r\n\r\n", true, "" },
-    // before the answer
+    // interim answers
     { "100 before", "HTTP/1.1 100 Continue\r\n\r\n" + OK + "Content-Length: 5\r\n\r\nhello", true,
       "hello" },
     { "102 and 103 before",
