--- a/src/controller.h
+++ b/src/controller.h
@@ -96,7 +96,7 @@
                             int64_t now);
 void controller_cancel_wait (struct controller *controller, struct controller_wait *wait);
 
-/* Lists the entry hosts that clients of a failure domain ("" for any) may use now, at most `most`;
+/* Lists the entry hosts that clients of a failure domain ("" for any) may use now, at most `limit`;
  * returns the count.
  *
  * There may be more entry hosts than a list can hold.  If all clients got the same ones, these
--- a/src/dialect.h
+++ b/src/dialect.h
@@ -93,7 +93,7 @@
       PIECE_END_COUNT
 };
 
-const char *piece_outcome_text (enum piece_outcome end);
+const char *piece_outcome_text (enum piece_outcome outcome);
 
 /* A result stored at the target that produced it. */
 struct stage_result
--- a/src/entry_host.c
+++ b/src/entry_host.c
@@ -13,14 +13,14 @@
 
 /* On a shutdown requests are accepted for this long, while clients remove this host from their
  * lists; then they are rejected as not run, for a retry at another host.  What remains of
- * shutdown_bound must be enough for a stream to end. */
+ * shutdown_timeout must be enough for a stream to end. */
 #define DRAIN_ACCEPT_TIME (2000 * USEC_PER_MSEC)
 
 /* The process does not exit earlier, so that a client with a stale list gets a rejection instead of
  * a closed port. */
 #define DRAIN_MIN (3000 * USEC_PER_MSEC)
 
-/* Remaining requests are aborted this long before shutdown_bound. */
+/* Remaining requests are aborted this long before shutdown_timeout. */
 #define DRAIN_ABORT_MARGIN (400 * USEC_PER_MSEC)
 
 #define DRAIN_POLL_PERIOD (50 * USEC_PER_MSEC)
--- a/src/role_base.h
+++ b/src/role_base.h
@@ -46,9 +46,8 @@
   char control_address[ROUTING_NAME_SIZE];
   char entries_address[ROUTING_NAME_SIZE];
   char data_folder[ROLE_PATH_SIZE];
-  uint32_t
-      tolerated_failures; /* simultaneous controller failures to tolerate; 2 * losses + 1 voters */
-  bool may_bootstrap;     /* first start of the system: a new group may be formed */
+  uint32_t tolerated_failures; /* of controllers at the same time; n need 2n + 1 voters */
+  bool may_bootstrap;          /* first start of the system: a new group may be formed */
 };
 
 /* Common state of entry hosts and controllers. */
