--- a/src/cli.h
+++ b/src/cli.h
@@ -17,7 +17,7 @@
   X (CONFLICT, 6, "the object was changed by somebody else")                                       \
   X (DENIED, 7, "the token is missing, wrong or lacks the role")                                   \
   X (TIMEOUT, 8, "--wait ended before the change was in force on every host")                      \
-  X (UNFINISHED, 9, "run: the bound on leaving passed, or a second signal came")                   \
+  X (UNFINISHED, 9, "run: the shutdown time limit passed, or a second signal came")                \
   X (START_FAILED, 10, "run: an address, key or data folder could not be used")
 
 enum cli_exit
--- a/src/cli_commands.c
+++ b/src/cli_commands.c
@@ -1,4 +1,4 @@
-/* The table of commands. */
+/* The table of subcommands. */
 #include "cli.h"
 #include "platform.h"
 #include <stddef.h>
--- a/src/cli_delete.c
+++ b/src/cli_delete.c
@@ -13,7 +13,7 @@
   struct cli_options common;
   enum resource_kind kind;
   const char *name;
-  const char *version; /* NULL to delete whatever the current version */
+  const char *version; /* NULL to delete any version */
   int arguments;
 };
 
--- a/src/cli_object.h
+++ b/src/cli_object.h
@@ -50,10 +50,10 @@
  * JSON. */
 json_t *cli_answer_json (const struct cli_answer *answer);
 
-/* Print `json` on standard output with a line feed. */
+/* Prints `json` on standard output with a line feed. */
 void cli_print_json (const json_t *json, size_t flags);
 
-/* Print objects of one kind as a table. */
+/* Prints objects of one kind as a table. */
 void cli_print_table (enum resource_kind kind, const json_t *items);
 
 END_DECLS
--- a/src/cli_session.c
+++ b/src/cli_session.c
@@ -14,7 +14,8 @@
 #define CLI_ANSWER_MAX_BYTES (64u << 20)
 #define CLI_EVENT_MAX_BYTES (4u << 20)
 #define CONNECT_TIMEOUT (2 * USEC_PER_SEC)
-/* Longer than a host retries a change itself (8 s), so that its response is received. */
+/* Longer than a host retries a change itself (CHANGE_TIMEOUT, 8 s), so that its response is
+ * received. */
 #define ONE_HOST_TIMEOUT (9 * USEC_PER_SEC)
 #define ROUND_RETRY_DELAY (200 * USEC_PER_MSEC)
 #define LOOP_WAIT_MAX (100 * USEC_PER_MSEC)
--- a/src/operator.c
+++ b/src/operator.c
@@ -87,7 +87,7 @@
   return kind == RESOURCE_OPERATOR || kind == RESOURCE_HOST ? ACCESS_ADMIN : ACCESS_WRITE;
 }
 
-/* Authenticates and authorizes the request; false if it was refused and answered. */
+/* Checks the token and role of the operator; false if the request was refused and answered. */
 static bool
 check_authorization (struct operator_request *request)
 {
--- a/src/operator_change.c
+++ b/src/operator_change.c
@@ -9,9 +9,8 @@
 #include <stdlib.h>
 #include <string.h>
 
-#define CHANGE_TIMEOUT                                                                             \
-  (8 * USEC_PER_SEC) /* from the request to its response, excluding the wait for hosts */
-#define PROPOSAL_TIMEOUT (2 * USEC_PER_SEC)      /* timeout of one proposal */
+#define CHANGE_TIMEOUT (8 * USEC_PER_SEC) /* of a request, excluding the wait for hosts */
+#define PROPOSAL_TIMEOUT (2 * USEC_PER_SEC)
 #define PROPOSAL_RETRY_DELAY (USEC_PER_SEC / 10) /* between proposals */
 #define PATCH_CONFLICTS_MAX 8
 #define WAIT_MAX_MS 60000
--- a/src/operator_watch.c
+++ b/src/operator_watch.c
@@ -7,9 +7,8 @@
 #include <utlist.h>
 
 #define WATCHES_MAX 256
-#define WATCH_UNSENT_MAX_BYTES (1u << 20) /* bytes; sending to a slow client pauses above this */
-#define WATCH_PERIOD                                                                               \
-  (2 * USEC_PER_SEC) /* between bookmarks, and between retries for slow clients */
+#define WATCH_UNSENT_MAX_BYTES (1u << 20) /* sending to a slow client pauses above this */
+#define WATCH_PERIOD (2 * USEC_PER_SEC)   /* of bookmarks, and of retries for slow clients */
 
 struct operator_watch_stream
 {
