--- a/bench/cmd_commit.c
+++ b/bench/cmd_commit.c
@@ -1,11 +1,11 @@
-/* What a committed entry costs with real files and real syncs.
+/* Measures the cost of a committed entry with real files and real syncs.
  *
- *   commit journal FOLDER SECONDS            one journal, no network: syncs a second by batch
- *   commit fill FOLDER ENTRIES               a group of one takes ENTRIES, then stops
- *   commit open FOLDER                       time and memory of opening that folder again
+ *   commit journal FOLDER SECONDS            one journal, no network: syncs/s by batch size
+ *   commit fill FOLDER ENTRIES               a group of one voter commits ENTRIES, then stops
+ *   commit open FOLDER                       time and memory to reopen that folder
  *   commit voter FOLDER NUMBER PORT VOTERS SECONDS WINDOW
- *       voter NUMBER of VOTERS on 127.0.0.1, ports PORT and on; with WINDOW > 0 it keeps so many
- *       proposals outstanding once there is a leader, for SECONDS; prints what it saw
+ *       voter NUMBER of VOTERS on 127.0.0.1, ports from PORT; with WINDOW > 0 it keeps WINDOW
+ *       proposals outstanding for SECONDS after a leader is elected; prints rates and latencies
  */
 #include "consensus_voter.h"
 #include "counter.h"
@@ -50,7 +50,7 @@
   return pages * (uint64_t) sysconf (_SC_PAGESIZE);
 }
 
-/* A machine that keeps every entry, as a store of small objects would. */
+/* A state machine that retains every entry, like a store of small objects. */
 struct keeper
 {
   struct machine machine;
@@ -96,7 +96,7 @@
   .load = keeper_load,
 };
 
-/* Proposals kept outstanding, and their times. */
+/* Load generator: keeps a fixed number of proposals outstanding and records their latency. */
 struct load;
 
 struct slot
@@ -115,7 +115,7 @@
   struct histogram times;
   struct slot slots[WINDOW_MAX];
   uint32_t window;
-  uint64_t target; /* entries in all, 0: until `end` */
+  uint64_t target; /* total entries; 0: run until `end` */
   uint64_t begun;
   uint64_t done;
   uint64_t failed;
--- a/bench/cmd_demo.c
+++ b/bench/cmd_demo.c
@@ -1,4 +1,5 @@
-/* The demo: three hosts and six fake targets on loopback, 200 requests, every byte checked. */
+/* Demo: three hosts and six fake targets on loopback serve 200 requests; every byte of the answers
+ * is checked. */
 #include "launch.h"
 #include "replay.h"
 #include <stdlib.h>
@@ -11,7 +12,7 @@
 #define DEMO_REQUESTS 200
 #define DEMO_CALLERS 16
 #define DEMO_SPACING (10 * USEC_PER_MSEC)
-/* No step of it comes near this; a demo that hangs ends. */
+/* Ends a demo that hangs; no step takes nearly this long. */
 #define DEMO_BOUND_SECONDS 55
 
 static enum status
@@ -54,7 +55,7 @@
   printf ("  (of it wasted %.3f)\n", cost->wasted);
 }
 
-/* 0 when every answer is whole and its own request's. */
+/* Returns 0 when every answer is complete and belongs to its request. */
 static int
 run (struct launch *launch)
 {
@@ -91,7 +92,7 @@
   struct launch *launch = launch_new (NULL);
   int failed = 1;
 
-  alarm (DEMO_BOUND_SECONDS); /* the children die with us */
+  alarm (DEMO_BOUND_SECONDS); /* the child processes end with this one */
   if (launch && start (launch) == STATUS_OK)
     {
       printf ("%u hosts and %u targets are up in %s\n", DEMO_HOSTS, DEMO_TARGETS, launch->folder);
--- a/bench/cmd_edge-cost.c
+++ b/bench/cmd_edge-cost.c
@@ -1,8 +1,9 @@
-/* What the HTTP edges cost: resident memory idle and with requests in flight, and processor time a
- * request, for a server with a trivial route and a client, both on one loop in this process.
+/* Measures the HTTP server and client: resident memory when idle and with requests in flight, and
+ * processor time per request.  The server has a trivial route; both run on one loop in this
+ * process.
  *
- * edge-cost [REQUESTS [IN-FLIGHT [HOLD-MS]]]; all requests of a round are held until they have all
- * arrived and HOLD-MS has passed. */
+ * edge-cost [REQUESTS [IN-FLIGHT [HOLD-MS]]]; the server holds the requests of a round until all
+ * have arrived and HOLD-MS has passed. */
 #include "http_client.h"
 #include "http_server.h"
 #include "loop.h"
@@ -41,7 +42,7 @@
   unsigned whole;
   unsigned failed;
   unsigned n_held;
-  unsigned hold_until; /* this many held; 0 answers at once */
+  unsigned hold_until; /* answer once this many are held; 0: answer at once */
   int64_t hold;
 };
 
@@ -192,7 +193,7 @@
          + usage.ru_stime.tv_usec;
 }
 
-/* Run `requests` over `in_flight` connections; prints what they cost. */
+/* Run `requests` over `in_flight` connections and print processor time and throughput. */
 static void
 run (struct bench *bench, const char *what, unsigned requests, unsigned in_flight)
 {
--- a/bench/cmd_engines.c
+++ b/bench/cmd_engines.c
@@ -1,4 +1,4 @@
-/* engines: how entry hosts' choice among model engines does under load, on virtual time.
+/* engines: simulates, on virtual time, how entry hosts choose among model engines under load.
  *
  *   engines [--pattern NAME] [--hosts N] [--engines N] [--load SHARE] [--told] [--seconds N]
  * [--seeds N] */
--- a/bench/cmd_explore.c
+++ b/bench/cmd_explore.c
@@ -1,9 +1,9 @@
-/* Explore many seeds by hand: explore VOTERS FIRST_SEED SEEDS STEPS
- * [plain|bad-disks|spares|tight-disks]. Prints each seed that breaks a rule, then totals; fails
- * when there was one.
+/* Run the consensus exploration over many seeds: explore VOTERS FIRST_SEED SEEDS STEPS
+ * [plain|bad-disks|spares|tight-disks]. Prints each seed that violates an invariant, then totals;
+ * fails when there was one.
  *
- * explore failover VOTERS SEEDS: how long a group is without a leader after its leader's host died,
- * and after it handed over, on virtual time. */
+ * explore failover VOTERS SEEDS: time without a leader, on virtual time, after the leader's host
+ * stopped and after a leadership transfer. */
 #include "explore.h"
 #include <inttypes.h>
 #include <stdio.h>
@@ -26,7 +26,7 @@
 
 #define FAILOVER_MAX (30 * USEC_PER_SEC)
 
-/* Without a working leader for so long, in microseconds. */
+/* Returns the time without a working leader, in microseconds. */
 static int64_t
 failover (uint32_t voters, uint64_t seed, bool hand_over)
 {
--- a/bench/cmd_fuzz.c
+++ b/bench/cmd_fuzz.c
@@ -1,8 +1,8 @@
-/* fuzz: mutated inputs for every decoder, for as long as asked.  With the sanitizers:
+/* fuzz: runs every decoder on mutated inputs, as many as requested.  With the sanitizers:
  *   make BUILD=build/asan OPT="-O1 -g -fsanitize=address,undefined" build/asan/bin/fuzz
  *   ASAN_OPTIONS=abort_on_error=1 UBSAN_OPTIONS=halt_on_error=1:abort_on_error=1 \
  *     build/asan/bin/fuzz --runs 1000000
- * A crash leaves its input in CRASH_FILE. */
+ * On a crash the input is written to CRASH_FILE. */
 #include "fuzz.h"
 #include <argp.h>
 #include <fcntl.h>
@@ -47,7 +47,7 @@
     }
 }
 
-/* Only calls that are safe in a signal handler. */
+/* Signal handler: calls only async-signal-safe functions. */
 static void
 save_input (int signo)
 {
--- a/bench/cmd_host-cost.c
+++ b/bench/cmd_host-cost.c
@@ -1,5 +1,6 @@
-/* What one host adds to a request: processor time, latency over calling the targets directly in
- * the same run, requests a second, resident memory idle and with requests held in flight.
+/* Measures the overhead of one host: processor time per request, latency compared with direct calls
+ * to the targets in the same run, requests per second, and resident memory when idle and with
+ * requests held in flight.
  *
  * host-cost [REQUESTS [IN-FLIGHT [HELD]]] */
 #include "host_cost.h"
@@ -13,12 +14,12 @@
 
 #define ROUNDS 4
 #define SLOTS 2000
-#define TARGETS 6 /* the pools of the demo's site, one each, and the held one */
+#define TARGETS 6 /* one for each pool of the demo site, and one for the held pool */
 #define WARM_REQUESTS 500
 #define HELD_FOR_MSEC 5000
 #define LOOK_AFTER (4 * USEC_PER_SEC)
 #define IDLE_SECONDS 3
-#define ALONE_SHARE 100 /* a hundredth of the requests is also sent one at a time */
+#define ALONE_SHARE 100 /* 1/100 of the requests is also sent one at a time */
 #define BOUND_SECONDS 300
 
 struct cost
@@ -67,7 +68,7 @@
 
   site_pipeline_spec (site_demo (), 0, &cost->pipeline);
   site_pipeline_spec (site_demo (), 1, &cost->service);
-  /* A hedge is a second call, and would be counted as the request's cost. */
+  /* Hedging adds a second call, which would be counted in the cost of the request. */
   cost->pipeline.hedge_share = cost->service.hedge_share = 0;
   cost->held = cost->service;
   cost->held.deadline = 60 * USEC_PER_SEC;
@@ -135,7 +136,7 @@
   json_decref (dump);
 }
 
-/* Seconds and KiB of the host process; a host that is gone ends the bench. */
+/* Processor seconds and resident KiB of the host process; aborts if the process has ended. */
 static struct slopes_sample
 sample (struct cost *cost)
 {
@@ -156,7 +157,8 @@
           (double) host_cost_quantile (result, 0.99) / (double) USEC_PER_MSEC);
 }
 
-/* Rounds through the host and straight to the targets in turn; false when one went wrong. */
+/* Alternate rounds through the host and directly to the targets.  Returns false when a request was
+ * not answered completely. */
 static bool
 measure (struct cost *cost, const struct pipeline_spec *spec, uint32_t requests, uint32_t in_flight)
 {
@@ -210,7 +212,8 @@
   fclose (file);
 }
 
-/* Requests whose target holds its answers; the memory is read while all of them wait. */
+/* Send requests whose target delays its answers, and read resident memory while all of them wait.
+ */
 static bool
 measure_held (struct cost *cost)
 {
@@ -249,7 +252,7 @@
   good = measure (cost, &cost->pipeline, alone, 1) && good;
   printf ("resident before any is held: %.0f KiB\n", sample (cost).totals[SLOPES_RESIDENT]);
   good = measure_held (cost) && good;
-  /* Its callers' and targets' connections are still open, and idle. */
+  /* The host's connections to callers and targets are still open and idle. */
   printf ("after %u were held at one time:\n", cost->n_held);
   good = measure (cost, &cost->service, cost->requests, cost->in_flight) && good;
   printf ("resident at the end: %.0f KiB; load %.1f\n", sample (cost).totals[SLOPES_RESIDENT],
@@ -269,7 +272,7 @@
   struct cost *cost = talloc_zero (NULL, struct cost);
   bool good = false;
 
-  alarm (BOUND_SECONDS); /* the children die with us */
+  alarm (BOUND_SECONDS); /* the child processes end with this one */
   setvbuf (stdout, NULL, _IOLBF, 0);
   cost->requests = argument (argc, argv, 1, 20000);
   cost->in_flight = argument (argc, argv, 2, 32);
--- a/bench/cmd_in_force.c
+++ b/bench/cmd_in_force.c
@@ -1,7 +1,7 @@
-/* Measures how long a change takes from its proposal until it is in force on every host, and how
- * long a voter and a follower take from their start to a confirmed configuration.
+/* Measures the time from the proposal of a change until it is in force on every host, and the time
+ * from the start of a voter and of a follower until its configuration is confirmed.
  *
- * Real processes on loopback, three of them voters with real syncs.
+ * Uses real processes on loopback; three are voters with real syncs.
  *
  *     in_force HOSTS CHANGES */
 #include "launch.h"
@@ -27,7 +27,7 @@
   return (double) span / (double) USEC_PER_MSEC;
 }
 
-/* One change at one host; false when it is not in force on all. */
+/* Propose one change at one host.  Returns false when it does not come into force on all hosts. */
 static bool
 change (struct launch *launch, uint32_t host, uint32_t number, int64_t *span)
 {
--- a/bench/cmd_store.c
+++ b/bench/cmd_store.c
@@ -1,6 +1,6 @@
-/* Measures the state machines by themselves: entries a second, memory, and time to load.
+/* Measures the state machines alone: entries per second, memory, and load time.
  *
- * No log and no disk are under them, so the figures are the processor's part alone. */
+ * There is no log and no disk, so the figures cover processor time only. */
 #include "claim_machine.h"
 #include "store.h"
 #include "text.h"
@@ -30,7 +30,7 @@
   return (double) (info.uordblks + info.hblkhd);
 }
 
-/* One change of one of OBJECTS organisations; every change differs. */
+/* Encode a change to one of OBJECTS organisations; every change differs. */
 static void
 pack_change (uint32_t number, bool with_id, struct bytes *out)
 {
--- a/bench/experiment.c
+++ b/bench/experiment.c
@@ -1,4 +1,4 @@
-/* One launch, one replay, one row. */
+/* Runs one experiment: launches the processes, replays the trace and collects one result row. */
 #include "experiment.h"
 #include <math.h>
 #include <signal.h>
@@ -11,11 +11,11 @@
 #define STALE_LAG_MSEC 2000
 #define STALE_DROP 0.2
 #define STREAM_EVERY 3
-#define LIST_KEEP_MSEC 5000 /* at scale 1 */
+#define LIST_KEEP_MSEC 5000 /* at time scale 1 */
 #define FLOOD_SEED 1000
 
-/* Leases, suspicion of hosts and renewals take the time they take, whatever the scale: where they
- * decide, the trace is not pressed further than `scale_min`. */
+/* Leases, host suspicion and renewals run in real time at every scale.  Where they determine the
+ * outcome, the trace is not compressed below `scale_min`. */
 static const struct
 {
   const char *text;
@@ -39,7 +39,7 @@
   const struct experiment_setup *setup;
   const struct site *site;
   struct launch *launch;
-  uint32_t fault_after; /* requests ended */
+  uint32_t fault_after; /* completed requests before the fault */
   bool faulted;
 };
 
@@ -80,8 +80,8 @@
   launch_fault (run->launch, pool, fault);
 }
 
-/* The last domain: its targets take work and never answer, its hosts are stopped; nobody sees an
- * error from a socket. */
+/* Fail the last domain silently: its targets accept work and never answer, its hosts are stopped,
+ * and no peer sees a socket error. */
 static void
 lose_domain (struct run *run)
 {
--- a/bench/experiment.h
+++ b/bench/experiment.h
@@ -1,4 +1,4 @@
-/* The experiments on real processes: what goes wrong in each, and when. */
+/* The experiments on real processes: which fault each injects, and when. */
 #ifndef EXPERIMENT_H
 #define EXPERIMENT_H
 
@@ -52,8 +52,8 @@
   uint32_t broken;
 };
 
-/* Launch hosts and fakes, replay, end them all.  Where the experiment may not be pressed so far,
- * the setup's scale is raised. */
+/* Launch hosts and fake targets, replay the trace, then stop all processes.  Raises the setup's
+ * time scale to the experiment's minimum. */
 enum status experiment_run (void *parent,
                             struct experiment_setup *setup,
                             struct experiment_row *out);
--- a/bench/service_time.c
+++ b/bench/service_time.c
@@ -1,15 +1,15 @@
 /* The service-time model.
  *
- * Shapes, not a real machine: prefill is linear in the tokens that are not cached and shares the
- * engine with the batch; decoding slows a little with each call in the batch (continuous batching
- * as in Yu et al., "Orca", OSDI 2022); encoders and rerankers are linear in tokens; retrieval and
- * plain services are almost constant. */
+ * It models the shape of the curves, not a real machine: prefill is linear in the tokens that are
+ * not cached and shares the engine with the batch; decoding slows a little with each call in the
+ * batch (continuous batching as in Yu et al., "Orca", OSDI 2022); encoders and rerankers are linear
+ * in tokens; retrieval and plain services are almost constant. */
 #include "service_time.h"
 #include <math.h>
 
 struct stage_cost
 {
-  double fixed_usec;     /* of a call alone */
+  double fixed_usec;     /* of a call that runs alone */
   double usec_per_token; /* of input that is not cached */
   double sharing;        /* added to the factor by each other call in the batch */
   uint32_t slots;
@@ -25,7 +25,7 @@
 
 #define TOKEN_FIXED_USEC 18000.0
 #define TOKEN_SHARING_USEC 700.0
-/* Reading a cached block is not free. */
+/* Reading a cached block has a small cost. */
 #define CACHED_USEC_PER_TOKEN 0.5
 
 static double
--- a/bench/site.c
+++ b/bench/site.c
@@ -1,5 +1,6 @@
-/* The sizes of the two sites, and the resources made from them.  Sizes of pools that the sites do
- * not state (encoders, retrievers, rerankers), costs and shares of requests are our own choice. */
+/* The sizes of the two sites, and the resources made from them.  The sites do not state the pool
+ * sizes of encoders, retrievers and rerankers, the costs or the request shares; these are
+ * assumptions. */
 #include "site.h"
 #include "service_time.h"
 #include "status.h"
--- a/bench/site.h
+++ b/bench/site.h
@@ -17,7 +17,7 @@
 {
   const char *name;
   enum stage_kind kind;
-  uint32_t targets; /* spread over the failure domains in turn */
+  uint32_t targets; /* assigned to the failure domains round-robin */
   bool reports_load;
   double cost_per_second; /* of one busy slot */
 };
@@ -28,20 +28,20 @@
   double share; /* of the requests */
 };
 
-/* What one kind of request looks like; its pipeline's stages are one letter each:
+/* One kind of request.  Each stage of its pipeline is one letter:
  * E encode, T retrieve, R rerank, G generate, C call. */
 struct site_pipeline
 {
   const char *name;
   const char *stages;
-  const char *call_pool; /* of a C stage */
+  const char *call_pool; /* pool of a C stage */
   double share;          /* of the requests */
   uint32_t priority;
   bool repeatable;
   int64_t deadline;
   uint32_t output_min; /* tokens */
   uint32_t output_max;
-  uint32_t document_median; /* tokens; 0: none, the question alone */
+  uint32_t document_median; /* tokens; 0: no document, only the question */
 };
 
 struct site
@@ -61,7 +61,8 @@
 /* A site of six targets, for the demo and for tests on real processes. */
 const struct site *site_demo (void);
 
-/* `count` requests to it, `spacing` apart, their ids begun with `prefix`. */
+/* Make `count` requests to the demo site, `spacing` microseconds apart, with ids that start with
+ * `prefix`. */
 struct trace *site_demo_trace (void *parent, const char *prefix, uint32_t count, int64_t spacing);
 
 /* The resource specs that operators of the site would apply. */
--- a/bench/site_demo.c
+++ b/bench/site_demo.c
@@ -44,7 +44,7 @@
   return &demo;
 }
 
-/* In turn: answer, price, answer, order. */
+/* Cycles through answer, price, answer, order. */
 static uint32_t
 demo_pipeline (uint32_t i)
 {
--- a/bench/trace.h
+++ b/bench/trace.h
@@ -1,4 +1,5 @@
-/* Recorded requests: one JSON object a line, checked in small and made longer from a seed. */
+/* Recorded requests, one JSON object a line.  Small traces are checked in; longer ones are
+ * generated from a seed. */
 #ifndef TRACE_H
 #define TRACE_H
 
@@ -11,14 +12,14 @@
 
 struct trace_request
 {
-  int64_t at; /* from the trace's start */
+  int64_t at; /* microseconds since the start of the trace */
   char id[RESOURCE_NAME_SIZE];
   char organisation[RESOURCE_NAME_SIZE];
-  char pipeline[RESOURCE_NAME_SIZE]; /* or service */
+  char pipeline[RESOURCE_NAME_SIZE]; /* or the service's name */
   bool service;
   bool repeatable;
   uint32_t priority;
-  int64_t deadline; /* a span */
+  int64_t deadline; /* microseconds from arrival */
   uint32_t input_tokens;
   uint32_t output_tokens;
   uint32_t document;      /* requests with the same number share a prefix */
@@ -27,7 +28,7 @@
 
 struct trace
 {
-  struct trace_request *requests; /* by `at` */
+  struct trace_request *requests; /* sorted by `at` */
   uint32_t count;
 };
 
@@ -40,12 +41,13 @@
 struct trace *trace_load (void *parent, const char *path);
 enum status trace_save (const struct trace *trace, const char *path);
 
-/* A trace of the site's sizes: `rate` requests a second for `length`, times `burst` in its middle
- * third. */
+/* Generate a trace for the site: `rate` requests per second for `length` microseconds, multiplied
+ * by `burst` in the middle third. */
 struct trace *trace_generate (
     void *parent, enum trace_site site, uint64_t seed, int64_t length, double rate, double burst);
 
-/* Add as many requests again, all of one organisation: ids end in "-flood". */
+/* Double the number of requests; the added ones belong to one organisation and have ids that end in
+ * "-flood". */
 void trace_flood (struct trace *trace,
                   enum trace_site site,
                   uint64_t seed,
--- a/bench/trace_generate.c
+++ b/bench/trace_generate.c
@@ -1,10 +1,10 @@
-/* The seeded generator of traces.
+/* Generates traces from a seed.
  *
  * Arrivals are Poisson with a rate that steps up in the middle third.  A document (a case file, a
- * ledger) has a lognormal body and a Pareto tail of sizes, and is asked about several times, the
- * recent ones most, which is what makes prefix caches worth having.  In the burst half of the
- * requests come from the largest organisation, and half of the documents asked about are new, as
- * the case files of a cancelled flight are. */
+ * ledger) has a lognormal body and a Pareto tail of sizes, and is the subject of several
+ * requests, recent ones most often, which is what gives prefix caches hits.  In the burst, half of
+ * the requests come from the largest organisation and half of the documents requested are new, like
+ * the case files of a cancelled flight. */
 #include "rng.h"
 #include "site.h"
 #include "text.h"
@@ -14,7 +14,7 @@
 #include <string.h>
 #include <talloc.h>
 
-#define DOCUMENTS_KNOWN 200 /* a ring of those that are still asked about */
+#define DOCUMENTS_KNOWN 200 /* ring buffer of the documents that requests still refer to */
 #define DOCUMENT_SIGMA 0.9
 #define DOCUMENT_TOKENS_MIN 200
 #define DOCUMENT_TOKENS_MAX 60000
@@ -39,12 +39,13 @@
   const struct site *site;
   struct rng rng;
   struct document documents[SITE_PIPELINES_MAX][DOCUMENTS_KNOWN];
-  uint32_t made[SITE_PIPELINES_MAX]; /* by group of pipelines with the same median */
+  uint32_t made[SITE_PIPELINES_MAX]; /* by group of pipelines with the same median size */
   uint32_t numbers;
   bool in_burst;
 };
 
-/* Pipelines about the same kind of document share them: the first with that median. */
+/* Pipelines with the same document median share documents; the first of them identifies the group.
+ */
 static uint32_t
 document_group (const struct site *site, uint32_t pipeline)
 {
@@ -89,7 +90,7 @@
           document_tokens (generator, generator->site->pipelines[pipeline].document_median);
       return document;
     }
-  /* The square makes the recent ones the likeliest. */
+  /* Squaring biases the choice towards recent documents. */
   back = rng_unit (&generator->rng);
   back = back * back * known;
   return &generator->documents[group][(*made - 1 - (uint32_t) back) % DOCUMENTS_KNOWN];
@@ -173,7 +174,7 @@
       double now_rate;
       struct trace_request *request;
 
-      /* Thinning: draw at the highest rate, keep what the rate of the moment allows. */
+      /* Thinning: draw at the peak rate, and accept in proportion to the current rate. */
       at += rng_exponential (&generator->rng, USEC_PER_SEC / top);
       if (at >= (double) length)
         break;
