--- a/bench/cmd_fake-target.c
+++ b/bench/cmd_fake-target.c
@@ -1,4 +1,5 @@
-/* Many fake targets of one pool in one process, with one control address for faults and counts. */
+/* Runs fake targets of one pool in one process; one control address serves fault injection and
+ * counts. */
 #include "fake.h"
 #include "http_client.h"
 #include "text.h"
@@ -20,7 +21,7 @@
 
 struct program
 {
-  struct http_route route; /* first: its callback casts back */
+  struct http_route route; /* first member: the callback casts it to the program */
   struct timer quit_timer;
   struct loop_signal signal;
   struct loop *loop;
@@ -33,7 +34,7 @@
   const char *control;
   char domains[DOMAINS_MAX][RESOURCE_NAME_SIZE];
   uint32_t n_domains;
-  int64_t quit_until; /* 0 until a signal came */
+  int64_t quit_until; /* 0 until a signal arrives */
 };
 
 enum option_key
@@ -67,21 +68,23 @@
   { "count", OPTION_COUNT, "N", 0, "targets (default 1)", 0 },
   { "name-prefix", OPTION_NAME_PREFIX, "TEXT", 0, "names are TEXT-1, TEXT-2 (default: the pool)",
     0 },
-  { "domain", OPTION_DOMAIN, "NAME,...", 0, "failure domains, in turn", 0 },
+  { "domain", OPTION_DOMAIN, "NAME,...", 0, "failure domains, assigned round-robin", 0 },
   { "hosts", OPTION_HOSTS, "IP:PORT,...", 0, "targets addresses of hosts to announce to", 0 },
-  { "listen", OPTION_LISTEN, "IP:PORT", 0, "for each target (default 127.0.0.1:0)", 0 },
-  { "control", OPTION_CONTROL, "IP:PORT", 0, "for faults and counts of all targets", 0 },
-  { "time-scale", OPTION_TIME_SCALE, "X", 0, "of every service time; 0 answers at once", 0 },
-  { "slots", OPTION_SLOTS, "N", 0, "calls at one time (default: the kind's)", 0 },
+  { "listen", OPTION_LISTEN, "IP:PORT", 0, "listen address of each target (default 127.0.0.1:0)",
+    0 },
+  { "control", OPTION_CONTROL, "IP:PORT", 0, "control address for faults and counts of all targets",
+    0 },
+  { "time-scale", OPTION_TIME_SCALE, "X", 0, "factor on every service time; 0 answers at once", 0 },
+  { "slots", OPTION_SLOTS, "N", 0, "concurrent calls (default depends on the kind)", 0 },
   { "queue", OPTION_QUEUE, "N", 0, "calls that wait for a slot (default 64)", 0 },
   { "cache-blocks", OPTION_CACHE_BLOCKS, "N", 0, "prefix blocks held (default 2048)", 0 },
   { "piece-tokens", OPTION_PIECE_TOKENS, "N", 0, "tokens in an event of a stream (default 8)", 0 },
-  { "report-ms", OPTION_REPORT_MS, "N", 0, "between reports (default 200)", 0 },
+  { "report-ms", OPTION_REPORT_MS, "N", 0, "interval between load reports (default 200)", 0 },
   { "report-lag-ms", OPTION_REPORT_LAG_MS, "N", 0, "age of reports when sent (default 100)", 0 },
-  { "report-drop", OPTION_REPORT_DROP, "SHARE", 0, "of reports lost (default 0)", 0 },
+  { "report-drop", OPTION_REPORT_DROP, "SHARE", 0, "share of load reports lost (default 0)", 0 },
   { "no-reports", OPTION_NO_REPORTS, NULL, 0, "never report load", 0 },
   { "checks-orders", OPTION_CHECKS_ORDERS, NULL, 0, "refuse orders with an old fence", 0 },
-  { "seed", OPTION_SEED, "N", 0, "of what is random (default 1)", 0 },
+  { "seed", OPTION_SEED, "N", 0, "seed of the random numbers (default 1)", 0 },
   { 0 },
 };
 
@@ -112,7 +115,7 @@
   return end != text && *end == '\0' && isfinite (*out) && *out >= 0 && *out <= max;
 }
 
-/* Split at commas into fields of `size` bytes. */
+/* Split `text` at commas into fields of `size` bytes each. */
 static bool
 parse_list (const char *text, char *fields, size_t size, uint32_t max, uint32_t *count)
 {
@@ -241,7 +244,7 @@
       valid = parse_number_option (options, program, key, value);
     }
   if (!valid)
-    argp_error (state, "bad value: %s", value);
+    argp_error (state, "invalid value: %s", value);
   return 0;
 }
 
@@ -255,7 +258,7 @@
   fake_reply_json (exchange, 200, json_pack ("{s:o}", "targets", targets));
 }
 
-/* The fault of one target by name, or of all. */
+/* Inject the fault into the named target, or into all when no name is given. */
 static void
 apply_fault (struct program *program, struct http_exchange *exchange, int64_t now)
 {
@@ -308,7 +311,8 @@
     timer_arm (loop_timers (program->loop), timer, now + QUIT_STEP);
 }
 
-/* Leave, and end when nothing is in flight. */
+/* Make all targets leave, and exit when no call is in flight or QUIT_BOUND has passed; a second
+ * signal exits at once. */
 static void
 on_signal (struct loop_signal *handler, int signo, int64_t now)
 {
@@ -427,6 +431,6 @@
     loop_run (program->loop);
   else
     fprintf (stderr, "fake-target: %s\n", status_message ());
-  /* Calls in flight point into targets: the process ends without freeing them. */
+  /* Calls in flight hold pointers into the targets, so the process exits without freeing them. */
   return started ? EXIT_SUCCESS : EXIT_FAILURE;
 }
--- a/bench/cmd_policy.c
+++ b/bench/cmd_policy.c
@@ -1,4 +1,4 @@
-/* Compares the policies over experiments and seeds, on virtual time: a table, or CSV. */
+/* Compares the policies over experiments and seeds on virtual time; prints a table or CSV. */
 #include "policy.h"
 #include <argp.h>
 #include <stdio.h>
@@ -24,11 +24,11 @@
   { "experiment", 'x', "NAME", 0, "one experiment (default all)", 0 },
   { "seeds", 'n', "N", 0, "seeds 1 to N (default 5)", 0 },
   { "hosts", 'h', "N", 0, "entry hosts (default 6)", 0 },
-  { "scale", 'k', "TIMES", 0, "targets and rate, in times (default 1)", 0 },
+  { "scale", 'k', "TIMES", 0, "factor on targets and rate (default 1)", 0 },
   { "load", 'l', "SHARE", 0, "calm load of the generating pool (default 0.45)", 0 },
   { "seconds", 't', "S", 0, "length of a run (default 90)", 0 },
   { "csv", 'c', NULL, 0, "comma-separated values, for --before and for plots", 0 },
-  { "before", 'b', "FILE", 0, "show beside ours what an earlier build wrote with --csv", 0 },
+  { "before", 'b', "FILE", 0, "also print the rows that an earlier build wrote with --csv", 0 },
   { "dump", 'd', NULL, 0, "write the first host's state at each end to standard error", 0 },
   { 0 },
 };
@@ -90,12 +90,12 @@
     case 'h':
       options->config.hosts = (uint32_t) strtoul (value, NULL, 10);
       if (options->config.hosts < 1 || options->config.hosts > POLICY_HOSTS_MAX)
-        argp_error (state, "1 to %d hosts", POLICY_HOSTS_MAX);
+        argp_error (state, "--hosts: expected a number from 1 to %d", POLICY_HOSTS_MAX);
       break;
     case 'k':
       options->config.scale = (uint32_t) strtoul (value, NULL, 10);
       if (options->config.scale < 1)
-        argp_error (state, "the scale is at least 1");
+        argp_error (state, "--scale: expected a number of at least 1");
       break;
     case 'l':
       options->load = strtod (value, NULL);
@@ -118,7 +118,7 @@
   return 0;
 }
 
-/* The calm rate that loads the generating pool by `load`. */
+/* Returns the calm rate, in requests/s, that loads the generating pool by `load`. */
 static double
 calm_rate (const struct options *options, enum trace_site site, double capacity)
 {
@@ -222,7 +222,7 @@
   fflush (stdout);
 }
 
-/* Rows of an earlier build's CSV for the same site and experiment, as they are. */
+/* Print the rows of an earlier build's CSV for the same site and experiment, unchanged. */
 static void
 print_before (const struct options *options, const char *site, const char *experiment)
 {
--- a/bench/cmd_policy_cost.c
+++ b/bench/cmd_policy_cost.c
@@ -1,7 +1,8 @@
-/* What a decision costs: time of admission and choice, and memory for each known target.
+/* Measures the cost of a decision: time of admission and of target choice, and memory per known
+ * target.
  *
- * Run it under `valgrind --tool=callgrind --toggle-collect=decide_choose` (or decide_admit) for
- * instructions, which are the same from run to run. */
+ * For instruction counts, which do not vary between runs, run it under
+ * `valgrind --tool=callgrind --toggle-collect=decide_choose` (or decide_admit). */
 #include "decide.h"
 #include "rng.h"
 #include "text.h"
@@ -17,7 +18,7 @@
 struct options
 {
   uint32_t targets;
-  uint32_t pools; /* the targets are spread over */
+  uint32_t pools; /* pools that the targets are spread over */
   uint32_t hosts;
   uint32_t decisions;
 };
@@ -183,7 +184,7 @@
   if (key != 't' && key != 'p' && key != 'h' && key != 'n')
     return ARGP_ERR_UNKNOWN;
   if (number == 0)
-    argp_error (state, "a number from 1");
+    argp_error (state, "expected a number of at least 1");
   *(key == 't'   ? &options->targets
     : key == 'p' ? &options->pools
     : key == 'h' ? &options->hosts
--- a/bench/cmd_replay.c
+++ b/bench/cmd_replay.c
@@ -1,4 +1,4 @@
-/* Experiments on real processes: a row each, tab-separated. */
+/* Runs experiments on real processes; prints one tab-separated row for each. */
 #include "experiment.h"
 #include <argp.h>
 #include <math.h>
@@ -18,7 +18,7 @@
   { "seed", 'e', "N", 0, "seed of the trace (default 1)", 0 },
   { "seconds", 'l', "S", 0, "length of the trace (default 60)", 0 },
   { "rate", 'r', "R", 0, "requests a second outside a burst (default 20)", 0 },
-  { "time-scale", 't', "X", 0, "of arrivals, windows and service times (default 0.2)", 0 },
+  { "time-scale", 't', "X", 0, "factor on arrivals, windows and service times (default 0.2)", 0 },
   { "hosts", 'n', "N", 0, "host processes (default 6)", 0 },
   { 0 },
 };
@@ -83,7 +83,7 @@
       return ARGP_ERR_UNKNOWN;
     }
   if (!valid)
-    argp_error (state, "bad value: %s", value);
+    argp_error (state, "invalid value: %s", value);
   return 0;
 }
 
--- a/bench/cmd_slopes.c
+++ b/bench/cmd_slopes.c
@@ -1,11 +1,11 @@
-/* What a host costs by the number of hosts, targets, organisations and changes: real processes on
- * loopback, at rest, and a line through each measure.
+/* Measures how the cost of a host grows with the number of hosts, targets, organisations and
+ * changes.  Uses real idle processes on loopback and fits a line to each measure.
  *
- *     slopes hosts [HOMES [N...]]   N hosts at rest, the first HOMES with 10 targets each
- *     slopes keys [N...]            N hosts at rest that encrypt what they send each other
+ *     slopes hosts [HOMES [N...]]   N idle hosts, the first HOMES with 10 targets each
+ *     slopes keys [N...]            N idle hosts that encrypt the traffic between them
  *     slopes targets [N...]         N targets at one of four hosts
  *     slopes organisations [N...]   N organisations and 20 pipelines on four hosts
- *     slopes changes [N...]         N changes in turn, seen from four hosts
+ *     slopes changes [N...]         N sequential changes, measured on four hosts
  *     slopes stream [N...]          streamed answers of N pieces through one of four hosts
  */
 #include "settings.h"
@@ -31,12 +31,12 @@
     {
       uint32_t hosts = (uint32_t) run->sizes[i];
 
-      /* A host pins the keys of its seeds. */
+      /* With keys, every host is a seed, since a host pins the keys of its seeds. */
       if (hosts < 2 || hosts > (run->keys ? SETTINGS_SEEDS_MAX : LAUNCH_HOSTS_MAX)
           || homes > LAUNCH_POOLS_MAX || homes > hosts)
-        slopes_must (run,
-                     status_fail (STATUS_INVALID, "2 to %d hosts (%d with keys), at most %d homes",
-                                  LAUNCH_HOSTS_MAX, SETTINGS_SEEDS_MAX, LAUNCH_POOLS_MAX));
+        slopes_must (run, status_fail (STATUS_INVALID,
+                                       "expected 2 to %d hosts (%d with keys) and at most %d homes",
+                                       LAUNCH_HOSTS_MAX, SETTINGS_SEEDS_MAX, LAUNCH_POOLS_MAX));
       slopes_start_hosts (run, hosts);
       for (uint32_t home = 0; home < homes; home++)
         slopes_start_targets (run, home, TARGETS_EACH);
@@ -139,7 +139,7 @@
   slopes_print_lines (run, "organisations");
 }
 
-/* What N changes cost over what the same time at rest costs: points of N against the whole. */
+/* Measure the cost of N changes less the idle cost over the same time; adds a point (N, total). */
 static void
 take_changes (struct slopes_run *run,
               uint32_t changes,
@@ -202,7 +202,8 @@
   slopes_print_lines (run, "changes");
 }
 
-/* The pieces of one streamed answer of `tokens` tokens; 0 when it was not whole. */
+/* Returns the number of pieces of one streamed answer of `tokens` tokens; 0 when the answer was
+ * incomplete. */
 static uint32_t
 stream_once (struct slopes_run *run, uint32_t host, uint32_t tokens)
 {
@@ -230,7 +231,7 @@
     for (const char *at = answer.body.data; (at = strstr (at, "event: token")); at++)
       pieces++;
   else
-    fprintf (stderr, "slopes: not whole: %d %.300s\n", answer.code,
+    fprintf (stderr, "slopes: incomplete streamed answer: status %d, body %.300s\n", answer.code,
              answer.body.data ? answer.body.data : "");
   talloc_free (scratch);
   return pieces;
@@ -258,7 +259,8 @@
               spent / STREAMS * (double) USEC_PER_SEC);
 }
 
-/* One request at a time, its pieces some 0.2 ms apart, so that each is read and written alone. */
+/* Sends one request at a time with pieces about 0.2 ms apart, so that each piece is read and
+ * written separately. */
 static void
 run_stream (struct slopes_run *run)
 {
--- a/bench/cmd_spread.c
+++ b/bench/cmd_spread.c
@@ -1,4 +1,4 @@
-/* spread: ways to spread membership and the directory of targets, counted on virtual time.
+/* spread: simulates ways to disseminate membership and the directory of targets on virtual time.
  *
  *   spread EXPERIMENT [--way NAME] [--hosts N] [--trials N] [--seconds N] [--loss SHARE] */
 #include "spread_measure.h"
@@ -45,7 +45,7 @@
   { "homes", 'm', "N", 0, "hosts that are homes of targets, for directory (1)", 0 },
   { "trials", 'k', "N", 0, "runs from different seeds (20)", 0 },
   { "seconds", 's', "N", 0, "virtual time measured (120)", 0 },
-  { "loss", 'l', "SHARE", 0, "of messages lost at random (0)", 0 },
+  { "loss", 'l', "SHARE", 0, "share of messages lost at random (0)", 0 },
   { "seed", 'r', "N", 0, "first seed (1)", 0 },
   { 0 },
 };
@@ -129,7 +129,8 @@
     .options = argp_options,
     .parser = parse,
     .args_doc = "idle|busy|dead|silent|leave|alarms|link|directory|target",
-    .doc = "Count what ways to spread membership, and the directory of targets, cost and take.",
+    .doc = "Measure the traffic and delay of ways to disseminate membership and the directory of "
+           "targets.",
   };
   struct options options = {
     .hosts = 9, .homes = 1, .targets = 18, .trials = 20, .seconds = 120, .seed = 1
--- a/bench/cmd_trace.c
+++ b/bench/cmd_trace.c
@@ -22,7 +22,7 @@
   { "seed", 'e', "N", 0, "seed of the generator (default 1)", 0 },
   { "seconds", 'l', "S", 0, "length of the trace (default 60)", 0 },
   { "rate", 'r', "R", 0, "requests a second outside the burst (default 10)", 0 },
-  { "burst", 'b', "TIMES", 0, "rate of the middle third, in times (default 3)", 0 },
+  { "burst", 'b', "TIMES", 0, "factor on the rate in the middle third (default 3)", 0 },
   { 0 },
 };
 
@@ -71,7 +71,7 @@
       return ARGP_ERR_UNKNOWN;
     }
   if (!valid)
-    argp_error (state, "bad value: %s", value);
+    argp_error (state, "invalid value: %s", value);
   return 0;
 }
 
--- a/bench/trace.c
+++ b/bench/trace.c
@@ -1,4 +1,4 @@
-/* Traces: JSON lines in and out.  docs/TRACES.md gives the format. */
+/* Reads and writes traces as JSON lines.  docs/TRACES.md describes the format. */
 #include "trace.h"
 #include "text.h"
 #include <errno.h>
@@ -81,16 +81,17 @@
   valid = read_request (line, &request);
   json_decref (line);
   if (!valid)
-    return status_fail (STATUS_MALFORMED, "%s:%u: a field is missing or bad", path, number);
+    return status_fail (STATUS_MALFORMED, "%s:%u: a field is missing or invalid", path, number);
   if (trace->count > 0 && request.at < trace->requests[trace->count - 1].at)
-    return status_fail (STATUS_MALFORMED, "%s:%u: at_us goes back", path, number);
+    return status_fail (STATUS_MALFORMED, "%s:%u: at_us is less than on the previous line", path,
+                        number);
   if (trace->count >= LINES_MAX)
     return status_fail (STATUS_TOO_LARGE, "%s: more than %d lines", path, LINES_MAX);
   if ((trace->count & (trace->count - 1)) == 0)
     trace->requests = talloc_realloc (trace, trace->requests, struct trace_request,
                                       trace->count ? 2 * trace->count : 1);
   if (!trace->requests)
-    return status_fail (STATUS_NO_MEMORY, "no memory for %s", path);
+    return status_fail (STATUS_NO_MEMORY, "out of memory reading %s", path);
   trace->requests[trace->count++] = request;
   return STATUS_OK;
 }
