--- a/bench/answer.c
+++ b/bench/answer.c
@@ -1,5 +1,5 @@
-/* Answers from hashes (XXH3).  Written without the product's own stage code, so that a fault there
- * shows as a wrong answer. */
+/* Expected answers, derived from XXH3 hashes.  Shares no code with the product's stages, so that a
+ * fault there shows as a wrong answer. */
 #include "answer.h"
 #include <inttypes.h>
 #include <jansson.h>
@@ -9,8 +9,8 @@
 #include <xxhash.h>
 
 #define DOCUMENT_PIECES 50
-/* One piece in this many has a quote, a line break and a letter of two bytes, for the escapes of
- * JSON and the framing of SSE. */
+/* One piece in this many holds a quote, a line break and a two-byte UTF-8 letter, to exercise JSON
+ * escaping and SSE framing. */
 #define ODD_PIECES 16
 #define SCORE_BITS 24
 
@@ -152,7 +152,7 @@
   bytes_clear (&note);
 }
 
-/* What a request carries from stage to stage. */
+/* State of a request passed from stage to stage. */
 struct walk
 {
   struct bytes input;
--- a/bench/call.c
+++ b/bench/call.c
@@ -1,4 +1,4 @@
-/* Calls one at a time over our own loop and client. */
+/* Synchronous HTTP calls, one at a time, on a private event loop and client. */
 #include "call.h"
 #include "counter.h"
 #include "http_client.h"
@@ -21,7 +21,7 @@
 
 struct waiting_call
 {
-  struct http_call_sink sink; /* first: its callbacks cast back */
+  struct http_call_sink sink; /* must be first: callbacks cast it back */
   struct call_answer *answer;
   bool ended;
 };
--- a/bench/disk_fake.c
+++ b/bench/disk_fake.c
@@ -1,4 +1,4 @@
-/* A disk in memory for tests: content and folder entries are durable only once synced. */
+/* In-memory disk for tests: file content and directory entries are durable only after a sync. */
 #include "disk_fake.h"
 #include "text.h"
 #include <string.h>
@@ -14,7 +14,7 @@
 {
   struct bytes now;
   struct bytes durable;
-  size_t common; /* bytes at the front known to be alike in both */
+  size_t common; /* length of the prefix known to be equal in both */
 };
 
 struct name
@@ -36,7 +36,7 @@
   CHANGE_REMOVE
 };
 
-/* A change of the folder that is not durable yet. */
+/* A directory change that is not durable yet. */
 struct change
 {
   enum change_kind kind;
@@ -131,7 +131,7 @@
   apply_change (&self->now, change);
 }
 
-/* Count a change; false when the disk has stopped. */
+/* Count a change.  False if the disk has stopped. */
 static bool
 may_change (struct disk_fake *self)
 {
@@ -382,8 +382,8 @@
   return &self->disk;
 }
 
-/* What the platter holds of a file after the power went: the synced content, and of what came
- * behind it a random part, sometimes with a sector of it never written. */
+/* Content of a file after a power loss: the synced content, then a random part of the unsynced
+ * content, sometimes with one sector of it never written. */
 static void
 crash_node (struct disk_fake *self, struct node *node)
 {
@@ -392,7 +392,7 @@
 
   if (rng_below (&self->rng, 2) == 0 && start < node->durable.length)
     {
-      /* A truncation that was not synced did not happen. */
+      /* An unsynced truncation is undone. */
       bytes_clear (&node->now);
       bytes_append (&node->now, node->durable.data, node->durable.length);
     }
--- a/bench/fake_answer.c
+++ b/bench/fake_answer.c
@@ -1,12 +1,11 @@
-/* What a fake target answers: whole, or piece by piece, as answer.h says and its faults spoil it.
- */
+/* Sends the answers of a fake target, whole or streamed, as modified by its faults. */
 #include "answer.h"
 #include "fake_task_private.h"
 #include <stdlib.h>
 #include <string.h>
 #include <talloc.h>
 
-/* The other side's view of a call, with the id a fault may have changed. */
+/* Header fields of an answer; a fault may replace the request id. */
 static size_t
 answer_fields (const struct fake_task *task, const char *type, struct http_field out[3])
 {
