--- a/bench/answer.h
+++ b/bench/answer.h
@@ -1,5 +1,5 @@
-/* What a target answers to a given input: a deterministic function of the request, so that the
- * replayer knows every byte of a pipeline's answer and that it belongs to its own request. */
+/* The expected answer of a target: a deterministic function of the request, so that the replayer
+ * can check every byte of a pipeline's answer and that it belongs to the right request. */
 #ifndef ANSWER_H
 #define ANSWER_H
 
@@ -28,24 +28,26 @@
 
 struct answer_rank
 {
-  uint32_t index; /* in the documents asked about */
+  uint32_t index; /* into the documents passed in */
   uint32_t score;
 };
 
-/* The input of a trace's request: its document's text, then a question that names its id.  Bytes
- * are 4 times its tokens, or more where the id needs it. */
+/* The input of a request of a trace: its document's text, then a question that holds the request's
+ * id.  The length is 4 bytes per token, or more if the id does not fit. */
 void answer_input (const struct trace_request *request, struct bytes *out);
 
 void answer_embed (const char *input, size_t length, struct answer_embedding *out);
 
-/* The document at `rank` for this query; differs with the embedding, so that a wrong one shows. */
+/* The document at `rank` for this query.  Depends on the embedding, so that a wrong embedding is
+ * detected. */
 void answer_retrieve (const char *query,
                       size_t length,
                       const struct answer_embedding *embedding, /* NULL for none */
                       uint32_t rank,
                       struct answer_document *out);
 
-/* Rank `documents` best first; the count of ranks written is at most `top`. */
+/* Rank `documents` by descending score.  Returns the number of ranks written, at most `top`; a
+ * `top` of 0 means all. */
 uint32_t answer_rerank (const char *query,
                         size_t length,
                         const char *const *documents,
@@ -55,19 +57,19 @@
 
 uint64_t answer_prompt_hash (const char *prompt, size_t length);
 
-/* The piece at `index` of the text generated from the prompt, 4 bytes and a NUL. */
+/* The piece at `index` of the text generated from the prompt: 4 bytes and a NUL. */
 void answer_piece (uint64_t prompt_hash, uint32_t index, char out[ANSWER_BYTES_PER_TOKEN + 1]);
 
-/* The body a plain service answers, from the bytes of its request's body in canonical form: keys
- * sorted, no spaces.  False when the body isn't JSON. */
+/* The response body of a plain service: size and hash of the request's body in canonical form (keys
+ * sorted, no spaces).  False if the body is not JSON. */
 bool answer_call (const char *body, size_t length, struct bytes *out);
 
 /* The body of a request to a plain service of the trace. */
 void answer_call_body (const struct trace_request *request, struct bytes *out);
 
-/* The final answer of a whole pipeline, stage by stage as the hosts do it: the text of the last
- * generate stage, or the JSON of a last call stage.  False when a pipeline's
- * shape has no answer. */
+/* The final answer of a pipeline, computed stage by stage as the hosts do: the text of a final
+ * generate stage, or the JSON of a final call stage.  False if the last stage is of another kind or
+ * a body is not JSON. */
 bool answer_pipeline (const struct pipeline_spec *pipeline,
                       const char *input,
                       size_t length,
--- a/bench/disk_fake.h
+++ b/bench/disk_fake.h
@@ -1,4 +1,5 @@
-/* A disk in memory that keeps apart what was written and what was synced, and fails on order. */
+/* In-memory disk that tracks written and synced content separately and injects faults on request.
+ */
 #ifndef DISK_FAKE_H
 #define DISK_FAKE_H
 
@@ -14,37 +15,38 @@
 struct disk *disk_fake_new (void *parent, uint64_t seed);
 struct disk_fake *disk_fake_of (struct disk *disk);
 
-/* The power goes: unsynced content is lost or kept in part, torn or with garbage in its place;
- * unsynced folder entries are lost from some point on.  The disk works again afterwards. */
+/* Simulate a power loss: unsynced content is lost or kept in part, possibly with a zeroed sector;
+ * unsynced directory changes are lost from a random one on.  The disk works again afterwards. */
 void disk_fake_crash (struct disk_fake *disk);
 
-/* Operations that change anything, so far. */
+/* Number of modifying operations so far. */
 uint64_t disk_fake_changes (const struct disk_fake *disk);
 
-/* Stop at the `n`th change from now, before it is made (an append may be made in part): that one
- * and everything after fails until disk_fake_crash().  0: never. */
+/* Stop before the `n`th change from now (an append may be done in part): that change and every
+ * later operation fails until disk_fake_crash().  0: never. */
 void disk_fake_stop_after (struct disk_fake *disk, uint64_t n);
 bool disk_fake_stopped (const struct disk_fake *disk);
 
-/* Fail the next sync, once; the data is not durable. */
+/* Fail the next sync once; its data does not become durable. */
 void disk_fake_fail_sync (struct disk_fake *disk);
 
-/* Bytes in all files. */
+/* Total size of all files in bytes. */
 uint64_t disk_fake_used (const struct disk_fake *disk);
 
-/* Room for so many bytes in all. */
+/* Set the capacity of the disk in bytes. */
 void disk_fake_set_capacity (struct disk_fake *disk, uint64_t bytes);
 
-/* Free bytes as reported, whatever the room: UINT64_MAX reports the truth. */
+/* Set the free bytes to report, regardless of the capacity.  UINT64_MAX: report the actual value.
+ */
 void disk_fake_set_reported (struct disk_fake *disk, uint64_t bytes);
 
-/* Flip one bit of a file, durable content too. */
+/* Flip one bit of a file, in its durable content as well. */
 void disk_fake_flip (struct disk_fake *disk, const char *name, uint64_t offset);
 
-/* Cut a file, durable content too. */
+/* Truncate a file, its durable content as well. */
 void disk_fake_cut (struct disk_fake *disk, const char *name, uint64_t length);
 
-/* Another disk with the durable content of this one. */
+/* A new disk with a copy of the durable content of this one. */
 struct disk *disk_fake_copy (void *parent, struct disk_fake *disk);
 
 uint64_t disk_fake_syncs (const struct disk_fake *disk);
--- a/bench/fake.h
+++ b/bench/fake.h
@@ -1,7 +1,8 @@
-/* A fake target: a model engine, a retriever, a plain service, behind docs/INTERFACES.md.
+/* A fake target (model engine, retriever or plain service) with the interface of
+ * docs/INTERFACES.md.
  *
- * It answers as answer.h says, takes as long as service_time.h says, announces itself, and fails
- * when it is told to.  Many live in one process. */
+ * Its answers come from answer.h and its service times from service_time.h.  It announces itself to
+ * the hosts and injects faults on request.  One process runs many of them. */
 #ifndef FAKE_H
 #define FAKE_H
 
@@ -19,53 +20,53 @@
 
 #define FAKE_HOSTS_MAX 16
 
-/* What all targets of a process share. */
+/* Options shared by all targets of a process. */
 struct fake_options
 {
   enum stage_kind kind;
   const char *pool;
   const char *model;
-  double time_scale;     /* of every service time; 0 answers at once */
+  double time_scale;     /* factor on every service time; 0: no delay */
   uint32_t slots;        /* 0: service_slots() */
-  uint32_t queue_max;    /* calls that wait for a slot */
-  uint32_t cache_blocks; /* of a generating target */
-  uint32_t piece_tokens; /* tokens in one event of a stream */
+  uint32_t queue_max;    /* max. calls that wait for a slot */
+  uint32_t cache_blocks; /* prefix cache capacity of a generating target */
+  uint32_t piece_tokens; /* tokens per event of a stream */
   bool reports_load;
   bool checks_orders;
   int64_t report_interval; /* of load and cache events */
   int64_t report_lag;
-  double report_drop; /* share of the reports that are lost */
+  double report_drop; /* fraction of the reports lost */
   uint64_t seed;
-  char hosts[FAKE_HOSTS_MAX][RESOURCE_ADDRESS_SIZE]; /* to announce to */
+  char hosts[FAKE_HOSTS_MAX][RESOURCE_ADDRESS_SIZE]; /* hosts to announce to */
   uint32_t n_hosts;
 };
 
-/* What goes wrong, set by POST /v1/fault, until "recover". */
+/* Injected faults, set by POST /v1/fault and cleared by "recover". */
 struct fake_fault
 {
-  double slow;   /* times the service time; 1 normal */
+  double slow;   /* factor on the service time; 1: normal */
   bool refuse;   /* 503 with x-not-run */
-  bool hang;     /* take the work and never answer */
+  bool hang;     /* accept the call and never answer */
   bool die;      /* close in the middle of the answer */
-  bool twice;    /* the answer, or each piece, two times */
-  bool other;    /* the answer carries another request's id */
-  bool silent;   /* no renewals, no reports */
-  int64_t late;  /* hold a finished answer for this long */
-  int64_t times; /* calls the fault is for; 0: all */
+  bool twice;    /* send the answer, or each piece, twice */
+  bool other;    /* answer with another request's id */
+  bool silent;   /* send no renewals and no reports */
+  int64_t late;  /* delay of a finished answer */
+  int64_t times; /* number of calls affected; 0: all */
 };
 
 struct fake_counts
 {
-  uint64_t calls; /* taken */
+  uint64_t calls; /* accepted */
   uint64_t refused;
   uint64_t answered;
-  uint64_t cancelled; /* the host went away or cancelled */
-  uint64_t faults;    /* calls a fault spoilt */
+  uint64_t cancelled; /* the host disconnected or cancelled */
+  uint64_t faults;    /* calls affected by a fault */
   uint64_t announced;
-  int64_t busy;                  /* slot time spent, not scaled back */
-  int64_t wasted;                /* of that, on calls that were not answered */
-  uint64_t after_leave;          /* calls that came after it said it leaves, by time since */
-  int64_t last_call_after_leave; /* span from leave to the last new call */
+  int64_t busy;                  /* slot time used, in us; includes time_scale */
+  int64_t wasted;                /* part of it on calls not answered */
+  uint64_t after_leave;          /* calls received after it announced its leave */
+  int64_t last_call_after_leave; /* time from the leave to the last new call */
 };
 
 struct fake_task;
@@ -73,7 +74,7 @@
 
 struct fake_target
 {
-  struct http_route route; /* first: the route's callbacks cast back */
+  struct http_route route; /* must be first: the route's callbacks cast it back */
   const struct fake_options *options;
   struct loop *loop;
   struct http_client *client;
@@ -92,11 +93,11 @@
   struct fake_execution *executions; /* by request id */
   struct fake_register *registration;
   uint64_t incarnation;
-  uint64_t fence;  /* the highest of an order */
-  int64_t left_at; /* 0 until it leaves */
+  uint64_t fence;  /* highest fence seen in an order */
+  int64_t left_at; /* time of the leave; 0: none */
 };
 
-/* Listens on `listen`, port 0 for one of the kernel's.  NULL with status_message(). */
+/* Listens on `listen`; port 0: assigned by the kernel.  NULL on error, with status_message(). */
 struct fake_target *fake_target_new (void *parent,
                                      const struct fake_options *options,
                                      struct loop *loop,
@@ -106,38 +107,38 @@
                                      const char *domain,
                                      const char *listen);
 
-/* Apply a fault's JSON: STATUS_INVALID with a message on unknown fields. */
+/* Apply a fault given as JSON.  STATUS_INVALID with a message on unknown fields. */
 enum status fake_target_fault (struct fake_target *target, const json_t *fault, int64_t now);
 
-/* Say to the host that it leaves; work in flight goes on. */
+/* Announce the leave to the host; calls in flight continue. */
 void fake_target_leave (struct fake_target *target, int64_t now);
 
-/* A host took the leave, or there was none to tell. */
+/* True if a host acknowledged the leave or there is no host to notify. */
 bool fake_target_left (const struct fake_target *target);
 
-/* Nothing in flight. */
+/* True if no call is in flight. */
 bool fake_target_idle (const struct fake_target *target);
 
-/* Counts and executions, a new reference. */
+/* Counters and executions; a new reference. */
 json_t *fake_target_describe (const struct fake_target *target);
 
-/* ---- parts, for each other ---- */
+/* ---- shared by the files of the fake target ---- */
 
 uint32_t fake_target_slots (const struct fake_target *target);
 
 /* Takes the reference to `body`. */
 void fake_reply_json (struct http_exchange *exchange, int code, json_t *body);
 
-/* Take a call of the target's kind (fake_task.c). */
+/* Accept a call of the target's kind (fake_task.c). */
 void fake_task_take (struct fake_target *target, struct http_exchange *exchange, int64_t now);
 void fake_task_cancel (struct fake_target *target,
                        const char *id,
                        const char *attempt,
                        int64_t now);
-/* Let go of calls that hang. */
+/* Release the calls that a fault made hang. */
 void fake_task_release (struct fake_target *target, int64_t now);
 
-/* The JSON of an answer that comes whole (fake_reply.c); false when the body is bad. */
+/* The JSON of an answer that is not streamed (fake_reply.c).  False if the body is invalid. */
 bool fake_reply_whole (enum stage_kind kind, const char *body, size_t length, struct bytes *out);
 
 /* Announce, renew, report, leave (fake_register.c). */
--- a/bench/fake_cache.h
+++ b/bench/fake_cache.h
@@ -1,5 +1,5 @@
-/* The prefix cache of a fake engine: blocks of prompts in limited memory, least recently used out
- * first, and the events it would publish. */
+/* The prefix cache of a fake engine: prompt blocks with bounded capacity and LRU eviction, and the
+ * events that an engine would publish. */
 #ifndef FAKE_CACHE_H
 #define FAKE_CACHE_H
 
@@ -18,21 +18,21 @@
 
 struct fake_cache *fake_cache_new (void *parent, uint32_t blocks_max);
 
-/* The tokens of `prompt` whose blocks are held, from its start. */
+/* Length in tokens of the longest cached prefix of `prompt`. */
 uint32_t fake_cache_match (struct fake_cache *cache, const char *prompt, size_t length);
 
-/* Hold the prompt's blocks. */
+/* Insert the prompt's blocks. */
 void fake_cache_store (struct fake_cache *cache, const char *prompt, size_t length);
 
-/* KV that came from another engine, by its blocks' hashes. */
+/* Insert KV blocks imported from another engine, by their hashes. */
 void fake_cache_store_block (struct fake_cache *cache, uint64_t block);
 
 bool fake_cache_holds (const struct fake_cache *cache, uint64_t block);
 double fake_cache_used (const struct fake_cache *cache);
 void fake_cache_clear (struct fake_cache *cache);
 
-/* The events since the last call, as docs/INTERFACES.md has them, a new reference; NULL when there
- * are none.  `first` takes the number of the first one. */
+/* The events since the last call, in the format of docs/INTERFACES.md.  A new reference, NULL if
+ * there are none.  Sets `first` to the number of the first event. */
 json_t *fake_cache_take_events (struct fake_cache *cache, uint64_t *first);
 
 END_DECLS
--- a/bench/fake_execution.c
+++ b/bench/fake_execution.c
@@ -1,4 +1,4 @@
-/* Counts by request id. */
+/* Execution counts by request id. */
 #include "fake_execution.h"
 #include "text.h"
 #include <string.h>
@@ -12,7 +12,7 @@
   UT_hash_handle hh;
 };
 
-/* uthash's macros are long; the functions are not.
+/* The functions are short; uthash's macros expand to long code.
  * NOLINTBEGIN(readability-function-size) */
 void
 fake_execution_count (struct fake_target *target, const char *id)
--- a/bench/fake_execution.h
+++ b/bench/fake_execution.h
@@ -1,4 +1,5 @@
-/* How often each request was executed: one that was not run never, an unrepeatable call once. */
+/* Execution count per request.  Must be 0 for a request reported as not run and at most 1 for an
+ * unrepeatable call. */
 #ifndef FAKE_EXECUTION_H
 #define FAKE_EXECUTION_H
 
--- a/bench/fake_group.c
+++ b/bench/fake_group.c
@@ -1,4 +1,4 @@
-/* Many voters in one process on virtual time: clocks, events, what a test asks. */
+/* Simulated group of voters on virtual time: clocks, the event loop and the test interface. */
 #include "fake_group_private.h"
 #include <stdarg.h>
 #include <stdio.h>
@@ -17,7 +17,7 @@
   va_end (args);
 }
 
-/* The host's own clock. */
+/* Convert global time to the host's clock. */
 int64_t
 group_local (const struct host *host, int64_t now)
 {
@@ -27,7 +27,7 @@
          + since % 1000000 * host->clock_ppm / 1000000;
 }
 
-/* When the host's clock shows `at`; a little later never hurts. */
+/* Global time at which the host's clock shows at least `at`.  May be slightly late, never early. */
 static int64_t
 global (const struct host *host, int64_t at)
 {
@@ -71,7 +71,7 @@
   return group;
 }
 
-/* The next timer of a host in global time; a busy process serves it late. */
+/* Global time at which the host's next timer fires; delayed while the process is busy. */
 static int64_t
 next_timer (const struct host *host)
 {
@@ -135,7 +135,7 @@
   group_check_host (group, host);
 }
 
-/* The next event before `until`; false when there is none. */
+/* Process the next event up to `until`.  False if there is none or a rule is broken. */
 static bool
 one_event (struct fake_group *group, int64_t until)
 {
--- a/bench/fake_group.h
+++ b/bench/fake_group.h
@@ -1,7 +1,7 @@
-/* Many voters in one process on virtual time, over fakes of the network and of disks.
+/* Simulated group of voters in one process on virtual time, over a fake network and fake disks.
  *
- * Everything replays from the seed.  After each event the rules that must always hold are checked;
- * the first breach is kept as text and nothing runs on. */
+ * Runs are deterministic for a seed.  The invariants are checked after each event; the first
+ * violation is kept as text and stops the simulation. */
 #ifndef FAKE_GROUP_H
 #define FAKE_GROUP_H
 
@@ -21,46 +21,46 @@
 struct fake_group_config
 {
   uint64_t seed;
-  uint32_t voters;    /* the first ones, named "v0" and on */
-  uint32_t waiting;   /* more hosts with data folders, that wait to be taken in */
-  bool no_lease;      /* reads ask a quorum; clocks may then jump while running */
-  uint32_t clock_ppm; /* clocks run apart by up to this; the voters are told twice as much */
+  uint32_t voters;    /* initial voters, named "v0", "v1", ... */
+  uint32_t waiting;   /* spare hosts with data folders, not yet members */
+  bool no_lease;      /* reads go to a quorum; clocks may then jump while running */
+  uint32_t clock_ppm; /* max. drift of each clock; voters are configured with twice this */
   uint32_t snapshot_entries;
-  struct consensus_timing timing; /* zero: the product's */
-  int64_t delay_max;              /* of a message; 0: 2 ms */
+  struct consensus_timing timing; /* zero: the product's defaults */
+  int64_t delay_max;              /* of a message, in us; 0: 2 ms */
   uint32_t drop;                  /* of 1000 messages */
   uint32_t duplicate;             /* of 1000 messages */
-  uint32_t state_bytes;           /* the machine's state is padded to */
-  uint32_t entry_bytes;           /* of the group's own proposals; 0: 32 */
+  uint32_t state_bytes;           /* size to which a saved machine state is padded */
+  uint32_t entry_bytes;           /* size of the group's own proposals; 0: 32 */
 };
 
 struct fake_group *fake_group_new (void *parent, const struct fake_group_config *config);
 
-/* Run for `span` of virtual time, or until a rule is broken. */
+/* Run for `span` us of virtual time, or until an invariant is violated. */
 void fake_group_run (struct fake_group *group, int64_t span);
 
-/* Run until there is a leader that has committed in its term, for at most `span`; its number, -1.
- */
+/* Run until the leader of the highest term has committed its whole log, for at most `span`. Returns
+ * its number, or -1. */
 int fake_group_await_leader (struct fake_group *group, int64_t span);
 
-/* Run until every running host has applied what any has, for at most `span`. */
+/* Run until every running host has applied as much as any host, for at most `span`. */
 bool fake_group_await_equal (struct fake_group *group, int64_t span);
 
-/* "" while all rules hold. */
+/* The first invariant violation, "" if none. */
 const char *fake_group_breach (const struct fake_group *group);
 
 int64_t fake_group_now (const struct fake_group *group);
-int64_t fake_group_local (const struct fake_group *group, uint32_t host); /* on its own clock */
+int64_t fake_group_local (const struct fake_group *group, uint32_t host); /* by its own clock */
 uint64_t fake_group_events (const struct fake_group *group);
 struct consensus *fake_group_consensus (struct fake_group *group, uint32_t host); /* NULL: down */
 struct disk_fake *fake_group_disk (struct fake_group *group, uint32_t host);
 
-/* Entries applied by that host's machine, and the most applied by any ever. */
+/* Highest index applied by the host's machine, and by any machine so far. */
 uint64_t fake_group_applied (const struct fake_group *group, uint32_t host);
 uint64_t fake_group_most_applied (const struct fake_group *group);
 
-/* Propose or read through a host.  The outcomes are counted; OK reads are checked to see everything
- * that was applied anywhere before they began. */
+/* Propose or read through a host and count the outcome.  A successful read must see every entry
+ * applied on any host before it began. */
 void fake_group_propose (struct fake_group *group, uint32_t host, int64_t timeout);
 void fake_group_read (struct fake_group *group, uint32_t host, int64_t timeout);
 
@@ -68,7 +68,7 @@
 {
   uint64_t proposed;
   uint64_t committed;
-  uint64_t refused; /* not OK, of any kind */
+  uint64_t refused; /* any status other than OK */
   uint64_t reads;
   uint64_t reads_ok;
   uint64_t crashes;
@@ -81,30 +81,31 @@
 
 void fake_group_counts (const struct fake_group *group, struct fake_group_count *out);
 
-/* The status of the last own proposal or read that ended. */
+/* Status of the last completed proposal or read of the group. */
 enum status fake_group_last_status (const struct fake_group *group);
 
-/* Messages from one host to another are lost. */
+/* Drop all messages from one host to another. */
 void fake_group_cut (struct fake_group *group, uint32_t from, uint32_t to, bool cut);
 void fake_group_isolate (struct fake_group *group, uint32_t host, bool isolated);
 void fake_group_heal (struct fake_group *group);
 
-/* End a host's process; with `power` its disk loses what was not synced. */
+/* Stop a host's process.  With `power`, its disk also loses unsynced data. */
 void fake_group_stop (struct fake_group *group, uint32_t host, bool power);
 
-/* The outcome of opening its data folder. */
+/* Start a host's process.  Returns the status of opening its data folder. */
 enum status fake_group_start (struct fake_group *group, uint32_t host);
 
-/* Put another disk in: an empty one for NULL.  The host must be down. */
+/* Replace the disk; NULL: by an empty one.  The host must be down. */
 void fake_group_set_disk (struct fake_group *group, uint32_t host, struct disk *disk);
 
-/* Every sync of this host takes so long. */
+/* Set the duration of each sync of this host, in us. */
 void fake_group_slow_disk (struct fake_group *group, uint32_t host, int64_t delay);
 
-/* Move a host's clock by `by`; only with no_lease, or while it is down. */
+/* Step a host's clock by `by` us.  Only with no_lease or while the host is down. */
 void fake_group_jump_clock (struct fake_group *group, uint32_t host, int64_t by);
 
-/* All voters wanted are there under their present identities and hold everything. */
+/* True if the configured number of voters run under their current identities and hold all committed
+ * entries. */
 bool fake_group_whole (struct fake_group *group);
 
 END_DECLS
--- a/bench/fake_group_host.c
+++ b/bench/fake_group_host.c
@@ -1,4 +1,4 @@
-/* The hosts of a fake group: their machines, their calls, and the rules checked on them. */
+/* Hosts of a fake group: state machines, client calls and invariant checks. */
 #include "fake_group_private.h"
 #include "journal.h"
 #include <inttypes.h>
@@ -8,7 +8,7 @@
 #include <talloc.h>
 #include <xxhash.h>
 
-/* Every machine that reaches an index must be in the state that the first one reached there. */
+/* Check that all machines have the same state at the same index. */
 static void
 check_chain (struct fake_machine *machine)
 {
@@ -85,8 +85,8 @@
       group->leaders[term] = raft_id (raft);
       group->count.elections++;
       if (term > group->highest_term && raft_last (raft) < group->most_applied)
-        group_breach_at (group, "%s leads term %" PRIu64 " without what is committed", host->name,
-                         term);
+        group_breach_at (group, "%s leads term %" PRIu64 " without all committed entries",
+                         host->name, term);
     }
   else if (group->leaders[term] != raft_id (raft))
     group_breach_at (group, "two leaders in term %" PRIu64, term);
@@ -128,7 +128,7 @@
     group->count.committed++;
   else
     {
-      /* What a caller would now read, whatever the answer says of the log elsewhere. */
+      /* The state that a caller would read now, regardless of log positions on other hosts. */
       uint64_t seen = host->machine.index;
 
       group->count.reads_ok++;
--- a/bench/fake_group_net.c
+++ b/bench/fake_group_net.c
@@ -1,9 +1,9 @@
-/* The fake network: messages that are late, lost, doubled and out of order. */
+/* Simulated network that delays, drops, duplicates and reorders messages. */
 #include "fake_group_private.h"
 #include <string.h>
 #include <talloc.h>
 
-/* Messages by due time, then in order of sending. */
+/* Heap of messages ordered by due time, then by send order. */
 
 static bool
 earlier (const struct message *a, const struct message *b)
@@ -48,7 +48,7 @@
   return first;
 }
 
-/* A slow disk holds the whole process up: what follows a sync in the same event is later too. */
+/* A sync blocks the whole process, so it also delays what follows it in the same event. */
 void
 group_count_syncs (struct host *host)
 {
--- a/bench/fake_group_private.h
+++ b/bench/fake_group_private.h
@@ -1,4 +1,4 @@
-/* What the files of the fake group share. */
+/* Definitions shared by the files of the fake group. */
 #ifndef FAKE_GROUP_PRIVATE_H
 #define FAKE_GROUP_PRIVATE_H
 
@@ -20,7 +20,8 @@
   struct peer_listener *listeners[PEER_CHANNEL_COUNT];
 };
 
-/* The machine: a running hash of all entries, which any lost, doubled or swapped entry changes. */
+/* State machine: a running hash of all entries, which detects lost, duplicated or reordered ones.
+ */
 struct fake_machine
 {
   struct machine machine;
@@ -44,7 +45,7 @@
   int64_t sync_delay;
   uint64_t syncs_seen;
   int64_t busy_until;
-  uint64_t lost_ids[16]; /* identities that went with a disk */
+  uint64_t lost_ids[16]; /* identities lost with a disk */
   uint32_t n_lost_ids;
 };
 
@@ -83,9 +84,9 @@
   bool cut[GROUP_MAX][GROUP_MAX];
   struct message *messages; /* a heap, from index 1 */
   uint32_t n_messages;
-  uint64_t chains[APPLIED_MAX]; /* of the machine after each index, 0: not seen */
+  uint64_t chains[APPLIED_MAX]; /* machine state after each index; 0: not reached */
   uint64_t most_applied;
-  uint64_t leaders[TERMS_MAX]; /* identity that led in a term */
+  uint64_t leaders[TERMS_MAX]; /* identity of each term's leader; 0: none seen */
   uint64_t highest_term;
   uint64_t proposals;
   struct fake_group_count count;
--- a/bench/fake_register.c
+++ b/bench/fake_register.c
@@ -1,14 +1,15 @@
-/* A fake target's words to the hosts: announce, renew, leave; and its reports, late and with gaps.
+/* Registration of a fake target with the hosts (announce, renew, leave) and its load and cache
+ * reports, sent with a lag and with losses.
  *
- * It talks to one host at a time and goes to the next when that one does not answer, so that the
- * target stays known when its home host dies or is cut off. */
+ * Uses one host at a time and switches to the next if that one does not answer, so that the target
+ * stays registered when its home host crashes or is partitioned. */
 #include "fake.h"
 #include "text.h"
 #include <stdlib.h>
 #include <string.h>
 #include <talloc.h>
 
-#define MESSAGE_SPAN (600 * USEC_PER_MSEC) /* well inside a lease of 3 s, twice */
+#define MESSAGE_SPAN (600 * USEC_PER_MSEC) /* two attempts fit well within a lease of 3 s */
 #define RETRY_FIRST (50 * USEC_PER_MSEC)
 #define RETRY_MAX (500 * USEC_PER_MSEC)
 #define RENEW_DEFAULT USEC_PER_SEC
@@ -34,7 +35,7 @@
 /* One call to a host. */
 struct message
 {
-  struct http_call_sink sink; /* first: its callbacks cast back */
+  struct http_call_sink sink; /* must be first: callbacks cast it back */
   struct fake_register *registration;
   enum message_kind kind;
   int code;
@@ -47,7 +48,7 @@
   uint32_t running;
   uint32_t waiting;
   double kv_used;
-  json_t *events; /* NULL when there were none */
+  json_t *events; /* NULL if none */
   uint64_t first_event;
 };
 
@@ -62,11 +63,11 @@
   uint64_t sequence;
   bool announced;
   bool leaving;
-  bool left; /* a host took the leave */
+  bool left; /* a host acknowledged the leave */
   bool in_call;
   int64_t retry;
   int64_t renew;
-  struct report reports[REPORTS_KEPT]; /* a ring */
+  struct report reports[REPORTS_KEPT]; /* ring buffer */
   uint32_t report_first;
   uint32_t n_reports;
 };
@@ -206,7 +207,7 @@
   .head = on_head, .data = on_data, .end = on_end, .failed = on_failed
 };
 
-/* Takes the reference to `body`; false when the call could not be started. */
+/* Takes the reference to `body`.  False if the call could not be started. */
 static bool
 send_message (struct fake_register *registration, enum message_kind kind, json_t *body, int64_t now)
 {
@@ -270,7 +271,7 @@
   return body;
 }
 
-/* Leave, announce or renew, whichever is next. */
+/* Send the next registration message: leave, announce or renew. */
 static void
 speak (struct fake_register *registration, int64_t now)
 {
@@ -324,7 +325,7 @@
   report->events = fake_cache_take_events (target->cache, &report->first_event);
 }
 
-/* Takes the report's events. */
+/* Takes the reference to the report's events. */
 static void
 send_report (struct fake_register *registration, const struct report *report, int64_t now)
 {
--- a/bench/fake_reply.c
+++ b/bench/fake_reply.c
@@ -1,4 +1,4 @@
-/* Answers that come whole: everything but generation. */
+/* Answers that are not streamed: all kinds except generation. */
 #include "answer.h"
 #include "fake.h"
 #include <stdlib.h>
@@ -36,7 +36,7 @@
                     out);
 }
 
-/* False when the body has an embedding of another shape. */
+/* False if the body's embedding is not an array of ANSWER_EMBEDDING_SIZE numbers. */
 static bool
 read_embedding (const json_t *body, struct answer_embedding *out, bool *given)
 {
--- a/bench/fake_task.c
+++ b/bench/fake_task.c
@@ -1,5 +1,5 @@
-/* The calls of a fake target: they wait by priority for a slot of the batch, take the time that
- * service_time.h says at the batch's size of the moment, and are answered by fake_answer.c. */
+/* Calls of a fake target: queued by priority for a batch slot, delayed by the service time of
+ * service_time.h at the current batch size, and answered by fake_answer.c. */
 #include "answer.h"
 #include "fake_execution.h"
 #include "fake_task_private.h"
@@ -92,7 +92,7 @@
   struct service_load load;
   int64_t span;
 
-  /* The analyzer does not know that a waiting task is in a list with a head.
+  /* The analyzer cannot tell that the list of a waiting task is not empty.
    * NOLINTNEXTLINE(clang-analyzer-core.NullDereference) */
   DL_DELETE (target->waiting, task);
   target->n_waiting--;
@@ -117,7 +117,8 @@
     timer_arm (loop_timers (target->loop), &task->timer, now + span);
 }
 
-/* With answers that come at once, each end starts the next: the depth is the queue's, bounded. */
+/* Recursive if answers take no time, as each end starts the next call; the depth is bounded by the
+ * queue's length. */
 static void
 start_waiting (struct fake_target *target, int64_t now)
 {
@@ -167,7 +168,7 @@
   return fake_reply_whole (kind, exchange->body, exchange->body_length, &task->answer);
 }
 
-/* Say that nothing was done. */
+/* Answer 503 with x-not-run: the call was not executed. */
 static void
 refuse (struct fake_target *target, struct http_exchange *exchange)
 {
--- a/bench/launch.c
+++ b/bench/launch.c
@@ -1,4 +1,4 @@
-/* Starting, stopping and ending our own binaries. */
+/* Starts, stops and reaps the project's processes. */
 #include "launch.h"
 #include "settings.h"
 #include "text.h"
@@ -71,7 +71,7 @@
             temporary ? temporary : "/tmp");
   if (!slash || !mkdtemp (launch->folder))
     {
-      status_fail (STATUS_IO, "no temporary folder: %s", strerror (errno));
+      status_fail (STATUS_IO, "cannot create a temporary folder: %s", strerror (errno));
       talloc_free (launch);
       return NULL;
     }
@@ -84,8 +84,8 @@
   return NULL;
 }
 
-/* A port that stays bound by us without listening: the kernel gives it to nobody who asks for any
- * port, and a host with SO_REUSEADDR can listen on it, again after each restart. */
+/* Reserve a port by binding it without listening: the kernel does not hand it out as an ephemeral
+ * port, and a host with SO_REUSEADDR can listen on it, also after a restart. */
 static enum status
 reserve_port (char address[RESOURCE_ADDRESS_SIZE])
 {
@@ -98,12 +98,12 @@
   if (fd < 0 || setsockopt (fd, SOL_SOCKET, SO_REUSEADDR, &on, sizeof on) != 0
       || bind (fd, (const struct sockaddr *) &name, sizeof name) != 0
       || getsockname (fd, (struct sockaddr *) &name, &size) != 0)
-    return status_fail (STATUS_IO, "no port: %s", strerror (errno));
+    return status_fail (STATUS_IO, "cannot reserve a loopback port: %s", strerror (errno));
   snprintf (address, RESOURCE_ADDRESS_SIZE, "127.0.0.1:%u", ntohs (name.sin_port));
   return STATUS_OK;
 }
 
-/* "name@address, ..." of hosts from 0 to `end`, without `but`. */
+/* Write "name@address, ..." of the hosts below `end`, except `but`. */
 static void
 write_peers (const struct launch *launch, FILE *file, const char *key, uint32_t end, uint32_t but)
 {
@@ -137,7 +137,7 @@
   for (int i = 0; i < LAUNCH_PORT_COUNT; i++)
     fprintf (file, "%s = %s\n", port_names[i], host->addresses[i]);
   fprintf (file, "\n[cluster]\n");
-  /* Settings take so many seeds; one that is itself the host is left out. */
+  /* The number of seeds is limited; a host does not list itself. */
   write_peers (launch, file, "seeds",
                launch->n_hosts < SETTINGS_SEEDS_MAX ? launch->n_hosts : SETTINGS_SEEDS_MAX, index);
   write_peers (launch, file, "voters", voters, UINT32_MAX);
@@ -152,7 +152,7 @@
   return fclose (file) == 0 ? STATUS_OK : status_fail (STATUS_IO, "%s: writing failed", path);
 }
 
-/* In the child: die with our parent, write to a file of our own, become the program. */
+/* In the child: request SIGKILL on the parent's death, redirect output to a file and exec. */
 static void __attribute__ ((noreturn)) become (pid_t parent, const char *output, char **argv)
 {
   int fd = open (output, O_WRONLY | O_CREAT | O_APPEND, 0600);
@@ -183,7 +183,7 @@
   return STATUS_OK;
 }
 
-/* Run keygen and keep the public key it prints. */
+/* Run keygen and store the public key it prints. */
 static enum status
 make_key (struct launch *launch, uint32_t index)
 {
--- a/bench/launch_control.c
+++ b/bench/launch_control.c
@@ -1,11 +1,12 @@
-/* What a launch asks of its running processes: readiness, resources, faults, counts. */
+/* Requests of a launch to its running processes: readiness, resources, faults, counters. */
 #include "launch.h"
 #include "text.h"
 #include <math.h>
 #include <string.h>
 #include <talloc.h>
 
-/* Wide, so that a busy machine does not decide; readiness is looked at far more often. */
+/* Timeouts are long, so that a busy machine does not cause a failure; readiness is polled far more
+ * often. */
 #define READY_BOUND (60 * USEC_PER_SEC)
 #define CALL_BOUND (5 * USEC_PER_SEC)
 #define LOOK_STEP (20 * USEC_PER_MSEC)
@@ -21,7 +22,7 @@
   while (!look (launch, about))
     {
       if (loop_now (loop) >= until)
-        return status_fail (STATUS_TIMEOUT, "waited in vain until %s (logs in %s)", what,
+        return status_fail (STATUS_TIMEOUT, "timed out waiting until %s (logs in %s)", what,
                             launch->folder);
       loop_run_once (loop, LOOK_STEP);
     }
@@ -67,7 +68,7 @@
   uint32_t usable = 0;
   size_t i;
 
-  /* A host may know of a target before it holds a lease on it. */
+  /* A host may know a target before it holds a lease on it. */
   json_array_foreach (targets, i, target)
     {
       const char *state = json_string_value (json_object_get (target, "state"));
@@ -96,7 +97,7 @@
   return wait_until (launch, targets_known, &targets, "every host may use the targets");
 }
 
-/* Every host that runs is reachable and at the same revision. */
+/* True if every running host is reachable and reports the same revision. */
 static bool
 revision_everywhere (struct launch *launch, void *about)
 {
@@ -135,7 +136,7 @@
   char error[256];
 };
 
-/* Any host that answers will do; a refusal for good ends the wait. */
+/* Put through the first host that answers; a permanent rejection also ends the wait. */
 static bool
 put_anywhere (struct launch *launch, void *about)
 {
@@ -174,7 +175,7 @@
   snprintf (path, sizeof path, "/v1/%s/%s", plurals[kind], name);
   put.body = json_pack ("{s:s, s:{s:s}, s:o}", "kind", plurals[kind], "metadata", "name", name,
                         "spec", spec);
-  status = wait_until (launch, put_anywhere, &put, "a host takes the resource");
+  status = wait_until (launch, put_anywhere, &put, "a host accepts the resource");
   json_decref (put.body);
   if (status == STATUS_OK && put.code >= 300)
     return status_fail (STATUS_INVALID, "PUT %s: %d: %s", path, put.code, put.error);
--- a/tests/unit_bench.cc
+++ b/tests/unit_bench.cc
@@ -1,4 +1,4 @@
-// Traces and the service-time model: what the replayer and the policy driver stand on.
+// Traces, sites and the service-time model used by the replayer and the policy driver.
 #include "service_time.h"
 #include "site.h"
 #include "trace.h"
@@ -46,7 +46,7 @@
   fclose (file);
 }
 
-TEST (Trace, SavedAndLoadedIsTheSame)
+TEST (Trace, SaveAndLoadRoundTrips)
 {
   for (enum trace_site site : both_sites)
     {
@@ -81,7 +81,7 @@
     }
 }
 
-TEST (Trace, TheSeedDecidesEverything)
+TEST (Trace, SameSeedGivesSameTrace)
 {
   struct trace *a = trace_generate (nullptr, TRACE_BKK, 5, 10 * USEC_PER_SEC, 20, 3);
   struct trace *same = trace_generate (a, TRACE_BKK, 5, 10 * USEC_PER_SEC, 20, 3);
@@ -114,7 +114,7 @@
   talloc_free (trace);
 }
 
-TEST (Trace, ABadLineIsNamedWithItsNumber)
+TEST (Trace, ErrorNamesTheInvalidLine)
 {
   TemporaryFile file;
 
--- a/tests/unit_bench_answer.cc
+++ b/tests/unit_bench_answer.cc
@@ -1,4 +1,5 @@
-// The oracle of the replayer: answers that depend on every input, and on nothing else.
+// Expected answers of the replayer: an answer that ignored an input would hide a wrong stage, and
+// one that depended on anything else would report correct answers as wrong.
 #include "answer.h"
 #include "site.h"
 #include <cstring>
@@ -64,7 +65,7 @@
   EXPECT_NE (a.substr (0, 400), other.substr (0, 400));
 }
 
-TEST_F (Answer, DocumentsFollowTheQueryTheEmbeddingAndTheRank)
+TEST_F (Answer, DocumentsDependOnEmbeddingAndRank)
 {
   struct answer_embedding embedding;
   struct answer_embedding wrong;
@@ -95,7 +96,7 @@
   EXPECT_EQ (answer_rerank ("q", 1, documents, 4, 2, ranks), 2u);
 }
 
-TEST_F (Answer, ACallsReceiptIgnoresTheOrderOfKeysButNotTheirValues)
+TEST_F (Answer, CallReceiptIgnoresKeyOrderButNotValues)
 {
   struct bytes a;
   struct bytes b;
--- a/tests/unit_bench_fake.cc
+++ b/tests/unit_bench_fake.cc
@@ -1,4 +1,4 @@
-// The fake engine's prefix cache, and the flood added to a trace.
+// The fake engine's prefix cache, and the flood of requests added to a trace.
 #include "fake_cache.h"
 #include "site.h"
 #include "trace.h"
@@ -16,7 +16,7 @@
   return std::string (1, first) + std::string (blocks * FAKE_BLOCK_BYTES - 1, 'x');
 }
 
-TEST (FakeCache, APromptIsMatchedUpToItsFirstUnknownBlock)
+TEST (FakeCache, MatchStopsAtFirstUncachedBlock)
 {
   struct fake_cache *cache = fake_cache_new (nullptr, 10);
   std::string stored = text_of ('a', 3);
@@ -30,7 +30,7 @@
   talloc_free (cache);
 }
 
-TEST (FakeCache, TheLeastRecentBlocksGoFirstAndEventsSaySo)
+TEST (FakeCache, EvictsLeastRecentlyUsedBlocksAndPublishesEvents)
 {
   struct fake_cache *cache = fake_cache_new (nullptr, 4);
   std::string a = text_of ('a', 2);
--- a/tests/unit_bench_replay.cc
+++ b/tests/unit_bench_replay.cc
@@ -1,4 +1,5 @@
-// The replayer against a host that lies: every way in which an answer can be wrong must be seen.
+// The replayer against a faulty host: it must detect a wrong body or request id, a truncated answer
+// and a wrong report that a request was not run.
 #include "answer.h"
 #include "call.h"
 #include "counter.h"
@@ -17,12 +18,12 @@
   none,
   body,      // one byte differs
   id,        // another request's id
-  cut,       // closed in the middle
+  cut,       // closed before the end of the answer
   not_run,   // refused the first time
-  no_window, // refused for good
+  no_window, // refused permanently, with 410
 };
 
-// One host of its own, in the replayer's loop.
+// A faulty host in the replayer's event loop.
 class ReplayCheck : public testing::Test
 {
 protected:
@@ -53,7 +54,7 @@
     talloc_free (caller_);
   }
 
-  // A price and an order.
+  // A trace of two service calls: a price and an order.
   struct trace *
   services_trace ()
   {
@@ -134,7 +135,7 @@
 
   struct test_route
   {
-    struct http_route route; // first: the callback casts back
+    struct http_route route; // must be first: the callback casts it back
     ReplayCheck *test;
   };
 
@@ -146,23 +147,23 @@
   int asked_ = 0;
 };
 
-TEST_F (ReplayCheck, ATrueAnswerIsAttained)
+TEST_F (ReplayCheck, CorrectAnswerIsAttained)
 {
   EXPECT_EQ (run (Lie::none)->outcomes[REPLAY_ATTAINED], 2u);
 }
 
-TEST_F (ReplayCheck, OneWrongByteIsSeen)
+TEST_F (ReplayCheck, OneWrongByteIsDetected)
 {
   EXPECT_EQ (run (Lie::body)->outcomes[REPLAY_WRONG], 2u);
 }
 
-TEST_F (ReplayCheck, AnotherRequestsIdIsSeen)
+TEST_F (ReplayCheck, WrongRequestIdIsDetected)
 {
   EXPECT_EQ (run (Lie::id)->outcomes[REPLAY_WRONG], 2u);
 }
 
-// The bytes are all there, but the answer's end is not: it must not count as whole.
-TEST_F (ReplayCheck, AnAnswerWithoutItsEndIsNotWhole)
+// All bytes arrive but the connection closes before the end of the answer.
+TEST_F (ReplayCheck, TruncatedAnswerIsNotComplete)
 {
   const struct replay_result *result = run (Lie::cut);
 
@@ -171,7 +172,7 @@
   EXPECT_GT (result->resends, 0u);
 }
 
-TEST_F (ReplayCheck, WhatWasNotRunIsSentAgain)
+TEST_F (ReplayCheck, RequestNotRunIsResent)
 {
   const struct replay_result *result = run (Lie::not_run);
 
@@ -179,7 +180,7 @@
   EXPECT_EQ (result->resends, 1u);
 }
 
-TEST_F (ReplayCheck, WorkDoneForWhatWasSaidNotToHaveRunBreaksAPromise)
+TEST_F (ReplayCheck, ExecutionOfRejectedRequestIsAViolation)
 {
   const struct replay_result *result = run (Lie::no_window);
 
@@ -189,7 +190,7 @@
              1u);
 }
 
-TEST_F (ReplayCheck, AnUnrepeatableCallDoneTwiceBreaksAPromise)
+TEST_F (ReplayCheck, SecondExecutionOfUnrepeatableCallIsAViolation)
 {
   const struct replay_result *result = run (Lie::none);
 
