--- a/bench/call.h
+++ b/bench/call.h
@@ -1,5 +1,4 @@
-/* HTTP calls that wait for their answer, for programs and tests that drive a system step by step.
- */
+/* Blocking HTTP calls, for programs and tests that drive a system step by step. */
 #ifndef CALL_H
 #define CALL_H
 
@@ -17,14 +16,14 @@
 
 struct call_answer
 {
-  int code; /* 0: no whole answer came */
+  int code; /* HTTP status; 0: no complete answer */
   bool sent;
-  char outcome[CALL_OUTCOME_SIZE]; /* x-outcome, "" where there is none */
+  char outcome[CALL_OUTCOME_SIZE]; /* x-outcome, "" if absent */
   char request_id[160];            /* x-request-id */
-  struct bytes body;               /* of `parent`; freed with it */
+  struct bytes body;               /* allocated under the caller; freed with it */
 };
 
-/* A loop and a client for the calls. */
+/* The event loop and HTTP client used for the calls. */
 struct caller *caller_new (void *parent);
 struct loop *caller_loop (struct caller *caller);
 struct http_client *caller_client (struct caller *caller);
@@ -36,8 +35,8 @@
            int64_t timeout,
            struct call_answer *out);
 
-/* The same with JSON in, which may be NULL and whose reference is taken, and JSON out: a new
- * reference, NULL when the answer was none. */
+/* The same with JSON bodies.  Takes the reference to `body`, which may be NULL.  Returns a new
+ * reference, NULL without an answer or if it is not JSON. */
 json_t *call_json (struct caller *caller,
                    const char *address,
                    const char *method,
--- a/bench/fake_cache.c
+++ b/bench/fake_cache.c
@@ -1,4 +1,5 @@
-/* Blocks are chained hashes, so a block stands for the whole prompt up to its end. */
+/* Each block's hash is chained to the previous one, so it identifies the whole prefix up to the
+ * block's end. */
 #include "fake_cache.h"
 #include "status.h"
 #include <inttypes.h>
@@ -8,7 +9,8 @@
 #include <utlist.h>
 #include <xxhash.h>
 
-#define EVENTS_MAX 4096 /* more than these are lost, as a real engine's queue would lose them */
+/* On overflow the buffered events are lost, as in a real engine's queue. */
+#define EVENTS_MAX 4096
 
 struct cache_block
 {
@@ -27,7 +29,7 @@
 struct fake_cache
 {
   struct cache_block *by_hash;
-  struct cache_block *by_use; /* the least recent first */
+  struct cache_block *by_use; /* least recently used first */
   uint32_t count;
   uint32_t blocks_max;
   struct cache_event events[EVENTS_MAX];
@@ -63,7 +65,7 @@
   cache->events[cache->n_events++] = (struct cache_event){ .block = block, .stored = stored };
 }
 
-/* uthash's macros are long; the functions are not.
+/* The functions are short; uthash's macros expand to long code.
  * NOLINTBEGIN(readability-function-size) */
 static struct cache_block *
 find (const struct fake_cache *cache, uint64_t hash)
--- a/bench/fake_target.c
+++ b/bench/fake_target.c
@@ -1,4 +1,4 @@
-/* A fake target's interface: calls by its kind, cancel, KV, orders, faults and counts. */
+/* HTTP interface of a fake target: calls of its kind, cancel, KV, orders, faults and counters. */
 #include "fake.h"
 #include "fake_execution.h"
 #include "service_time.h"
@@ -65,7 +65,8 @@
   return *end == '\0';
 }
 
-/* What is exported is the list of the blocks held; importing it makes them held here. */
+/* An export lists which of the requested blocks are cached; an import adds the blocks to the cache.
+ */
 static void
 on_export (struct fake_target *target, struct http_exchange *exchange, json_t *body, int64_t now)
 {
@@ -190,7 +191,7 @@
   http_reply_error (exchange, 404, NULL, "a target of this kind has no such call");
 }
 
-/* Settings of a fault that stay; the others are done at once. */
+/* Persistent settings of a fault; the other keys take effect at once. */
 static bool
 set_fault (struct fake_fault *fault, const char *key, const json_t *value)
 {
@@ -298,7 +299,7 @@
   return 0;
 }
 
-/* Grows at each start of the process. */
+/* Used as incarnation: increases with each start of the process. */
 static uint64_t
 wall_clock (void)
 {
