--- a/bench/engine_model.c
+++ b/bench/engine_model.c
@@ -1,4 +1,4 @@
-/* Entry hosts and model engines on virtual time. */
+/* Simulation of entry hosts and model engines on virtual time. */
 #include "engine_model.h"
 #include "balance.h"
 #include "container.h"
@@ -13,7 +13,7 @@
 #define POOL "engines"
 #define DOMAINS 3
 
-/* An engine's rate and what it takes beside reading; hosts begin with a rate near it. */
+/* Prefill rate and fixed times of an engine; the hosts' initial rate estimate is close to it. */
 #define RATE 60.0 /* tokens a millisecond */
 #define FIRST_TIME (4 * USEC_PER_MSEC)
 #define ANSWER_TIME (500 * USEC_PER_MSEC)
@@ -24,8 +24,8 @@
 struct model_engine
 {
   struct registry_target record;
-  int64_t free_at; /* has read what came by then */
-  bool *holds;     /* parts, by number */
+  int64_t free_at; /* when all prompts received so far are read */
+  bool *holds;     /* cached parts, by number */
   bool lost;
 };
 
@@ -33,7 +33,7 @@
 {
   struct balance balance;
   struct engine_load *picture;
-  void *memory; /* of its picture and its balance */
+  void *memory; /* parent of its load estimates and its balancer */
   char domain[8];
 };
 
@@ -44,7 +44,7 @@
   NEWS_END
 };
 
-/* One request, and each step of it by its timer. */
+/* One request; `timer` fires at each of its steps. */
 struct model_request
 {
   struct timer timer;
@@ -127,7 +127,8 @@
     }
 }
 
-/* A record tells one balance of its target; here many share it, so each looks its own up. */
+/* A record points to the target of one balancer; here many balancers share the record, so each
+ * target's number is read from its id. */
 static uint32_t
 engine_number (const struct balance_target *target)
 {
@@ -224,7 +225,7 @@
 {
   struct model *model = request->model;
 
-  /* News before it are told by now: each step takes longer than the delay, or is told with it. */
+  /* A pending earlier message is delivered first, if this step came within the delay. */
   if (timer_is_armed (&request->news))
     {
       timer_disarm (model->timers, &request->news);
@@ -324,7 +325,7 @@
   timer_arm (model->timers, &request->news, model->now + model->options.news_delay);
 }
 
-/* ---- the pattern ---- */
+/* ---- load and fault patterns ---- */
 
 static void
 set_lost (struct model *model, bool lost)
@@ -367,8 +368,8 @@
     }
 }
 
-/* Requests a microsecond that take the share of the engines' reading: each reads its own tokens,
- * and the parts are read once in the whole time. */
+/* Requests per microsecond that use `load` of the prefill capacity: each request reads its own
+ * tokens, and each part is read once in the whole span. */
 static double
 usual_rate (const struct engine_model_options *options)
 {
--- a/bench/engine_model.h
+++ b/bench/engine_model.h
@@ -1,8 +1,8 @@
-/* Model engines behind many entry hosts on virtual time: the hosts' own choice (balance.c) on their
- * own pictures (engine_load.c), which news between them make, against engines that read prompts one
- * after another and keep the parts that they have read.
+/* Simulation of model engines behind many entry hosts on virtual time.  Each host balances with
+ * balance.c over its own load estimates (engine_load.c), which the hosts update by messages to each
+ * other.  Engines prefill prompts one after another and cache the prompt parts they have read.
  *
- * Pure: no clock, no socket; the same options give the same result. */
+ * It uses no clock and no socket; the same options give the same result. */
 #ifndef ENGINE_MODEL_H
 #define ENGINE_MODEL_H
 
@@ -21,9 +21,9 @@
   X (STEADY, "steady")                                                                             \
   X (BURST, "burst")   /* twice as many requests */                                                \
   X (HOT, "hot")       /* half of the requests share one part */                                   \
-  X (LOST, "lost")     /* a quarter of the engines end, with what they hold */                     \
+  X (LOST, "lost")     /* a quarter of the engines fail and lose their caches */                   \
   X (SLOW, "slow")     /* a tenth of the engines read at a quarter of their rate */                \
-  X (FORGET, "forget") /* at its start all hosts begin anew, without their picture */
+  X (FORGET, "forget") /* all hosts restart at its start, without load estimates */
 
 enum engine_pattern
 {
@@ -40,11 +40,11 @@
   enum engine_pattern pattern;
   uint32_t hosts;
   uint32_t engines;
-  uint32_t parts; /* different shared parts; a request has one of them */
+  uint32_t parts; /* distinct shared prompt parts; each request has one */
   uint32_t part_tokens;
   uint32_t own_tokens; /* of each request, mean */
-  double load; /* share of the engines' reading that own tokens and first reads would take */
-  bool told;   /* hosts hear of beginnings and ends as well as of starts */
+  double load;         /* share of prefill capacity taken by own tokens and first reads of parts */
+  bool told; /* hosts are told of first output and end of a request, not only of its start */
   int64_t news_delay;
   int64_t span; /* of arrivals */
   uint64_t seed;
@@ -55,15 +55,15 @@
   uint64_t requests;
   double wait_mean; /* from arrival to the answer's first byte, in microseconds */
   int64_t wait_p95;
-  double expected_mean; /* of the wait, as the choosing host saw it */
+  double expected_mean; /* of the wait, as estimated by the choosing host */
   uint64_t tokens_read;
-  uint64_t tokens_again; /* of parts that some living engine holds or has yet to read */
+  uint64_t tokens_again; /* of parts that a live engine had cached or queued already */
 };
 
-/* The options' ordinary values. */
+/* Sets the default options. */
 void engine_model_defaults (struct engine_model_options *options);
 
-/* False where the first reads of all parts take more than the engines' share of the time. */
+/* False if the first reads of all parts alone use up the engines' capacity times `load`. */
 bool engine_model_has_arrivals (const struct engine_model_options *options);
 
 /* The options must have arrivals. */
--- a/bench/policy.h
+++ b/bench/policy.h
@@ -1,8 +1,8 @@
-/* The policy driver: the decisions of several hosts on virtual time, against targets with slots,
- * queues and prefix caches that take the time of service_time.h.
+/* Simulator of scheduling policies: the decisions of several hosts on virtual time, against targets
+ * with slots, queues and prefix caches whose service times come from service_time.h.
  *
- * It compares policies from a seed, exactly and in seconds.  It models no network between hosts,
- * no membership and no consensus: those are tested where they live. */
+ * Runs are deterministic by seed and take seconds.  The network between hosts, membership and
+ * consensus are not modelled; their own tests cover them. */
 #ifndef POLICY_H
 #define POLICY_H
 
@@ -19,11 +19,11 @@
 #define POLICY_HOSTS_MAX 360
 #define POLICY_HISTORY 32 /* load samples kept of a target */
 #define POLICY_SAMPLE_SPAN (250 * USEC_PER_MSEC)
-#define POLICY_LEASE (3 * USEC_PER_SEC)       /* a lost target's lease ends after this */
-#define POLICY_LEAVE_BOUND (3 * USEC_PER_SEC) /* no new work this long after it said so */
+#define POLICY_LEASE (3 * USEC_PER_SEC)       /* until a lost target's lease expires */
+#define POLICY_LEAVE_BOUND (3 * USEC_PER_SEC) /* after its leave notice, no new work */
 #define POLICY_LEAVE_KNOWN (500 * USEC_PER_MSEC)
 #define POLICY_MIDDLE_SETTLE (5 * USEC_PER_SEC)
-#define POLICY_HOP (500) /* one way between a host and a target */
+#define POLICY_HOP (500) /* one-way delay between host and target, in microseconds */
 
 /* name, text */
 #define POLICY_ARM_LIST(X)                                                                         \
@@ -40,7 +40,7 @@
       POLICY_ARM_COUNT
 };
 
-/* name, text, load as a share of the calm rate, burst in the middle third */
+/* name, text, load as a multiple of the calm rate, load factor of the middle third */
 #define POLICY_EXPERIMENT_LIST(X)                                                                  \
   X (CALM, "calm", 1.0, 1.0)                                                                       \
   X (BURST, "burst-3x", 1.0, 3.0)                                                                  \
@@ -70,7 +70,7 @@
   enum policy_experiment experiment;
   uint64_t seed;
   uint32_t hosts;
-  uint32_t scale; /* targets and rate, in times */
+  uint32_t scale; /* factor on the number of targets and the rate */
   int64_t length;
   double rate; /* calm, requests a second */
   bool dump;   /* write the first host's state to standard error at the end */
@@ -84,24 +84,24 @@
   double p50;       /* seconds, of the whole answers */
   double p99;
   double cost[STAGE_KIND_COUNT];
-  double prompt_tokens; /* of generations begun */
+  double prompt_tokens; /* of generations started */
   double cached_tokens; /* of those */
-  double wasted;        /* cost that went into no attained answer */
+  double wasted;        /* cost of attempts that no attained answer used */
   uint32_t retries;
   uint32_t hedges;
   uint32_t attempts;
   double worst_organisation; /* attainment; a flooding organisation is left out */
-  double goodput; /* nominal generation work a second that ended in time, from POLICY_MIDDLE_SETTLE
+  double goodput; /* nominal generation work per second completed in time, from POLICY_MIDDLE_SETTLE
                      into the middle third to its end */
   uint32_t duplicates;  /* unrepeatable stages sent twice */
-  uint32_t to_unusable; /* attempts on targets that had left or were lost for long */
+  uint32_t to_unusable; /* attempts on targets gone longer than the leave bound or lease */
 };
 
 struct policy_run;
 struct policy_request;
 struct policy_target;
 
-/* One attempt, from its sending to its end. */
+/* One attempt, from sending to completion. */
 struct policy_attempt
 {
   struct timer done; /* arrival at the target, first output, end */
@@ -119,7 +119,7 @@
     ATTEMPT_WAITING,
     ATTEMPT_PREFILL,
     ATTEMPT_DECODE,
-    ATTEMPT_ANSWERED, /* the answer is on its way to the host */
+    ATTEMPT_ANSWERED, /* the answer is in transit to the host */
     ATTEMPT_OVER
   } state;
   bool is_hedge;
@@ -158,7 +158,7 @@
   struct policy_attempt *queue; /* by priority */
   double slowdown;
   bool hangs;      /* accepts and never answers */
-  int64_t lost_at; /* silent from then on; USEC_NEVER while it lives */
+  int64_t lost_at; /* unresponsive from then on; USEC_NEVER while alive */
   int64_t leaving_at;
   struct policy_sample history[POLICY_HISTORY];
   uint32_t n_history;
@@ -196,7 +196,7 @@
   uint32_t stage_attempts;
   uint32_t sent[RESOURCE_STAGES_MAX];
   double cost;      /* of all its attempts */
-  double kept_cost; /* of those whose answers were used */
+  double kept_cost; /* of the attempts whose answers were used */
   bool over;
 };
 
@@ -220,7 +220,7 @@
   uint32_t n_requests;
   float *latencies;
   double middle_work; /* nominal generation seconds attained, see policy_result.goodput */
-  bool count_always;  /* count it whenever it ends */
+  bool count_always;  /* count work outside the middle third too */
 };
 
 /* policy_target.c */
@@ -235,18 +235,18 @@
 void policy_attempt_ended (struct policy_attempt *attempt, enum decide_end end, int64_t now);
 double policy_nominal_work (const struct trace_request *trace, const struct pipeline_spec *spec);
 
-/* policy_choose.c: the simple arms */
+/* policy_choose.c: the baseline policies */
 enum decide_reason policy_choose_simple (struct policy_request *request,
                                          int64_t now,
                                          struct decide_choice *out);
 
-/* policy_fault.c: first at a third of the length, then as it arms itself */
+/* policy_fault.c: fires first at a third of the length, then rearms itself */
 extern const struct timer_ops policy_fault_ops;
 
 /* policy_run.c */
 struct policy_result policy_play (const struct policy_config *config);
 
-/* Nominal generation work a second that the site's generating pool can do, kept full. */
+/* Nominal generation work per second of the site's generation pool at saturation. */
 double policy_capacity (enum trace_site site, uint32_t scale, uint64_t seed);
 
 END_DECLS
--- a/bench/policy_fault.c
+++ b/bench/policy_fault.c
@@ -1,4 +1,4 @@
-/* The faults of an experiment, played by the clock of its run. */
+/* Fault injection of the experiments, on the virtual time of the run. */
 #include "policy.h"
 #include <stddef.h>
 
@@ -44,7 +44,8 @@
     }
 }
 
-/* Hosts learn POLICY_LEAVE_KNOWN after the target has said it: the second step. */
+/* The first step starts the leave at the target; in the second, POLICY_LEAVE_KNOWN later, the hosts
+ * learn of it. */
 static void
 leave (struct policy_run *run, bool known, int64_t now)
 {
@@ -75,7 +76,7 @@
     policy_target_clear_cache (&run->targets[i], now);
 }
 
-/* First at a third of the length, then as armed. */
+/* Fires first at a third of the length, then as it rearms itself. */
 static void
 fault (struct timer *timer, int64_t now)
 {
--- a/bench/policy_flow.c
+++ b/bench/policy_flow.c
@@ -1,7 +1,7 @@
-/* A request through its stages: the order of decisions of the request path, without its I/O.
+/* Runs a request through its stages: the decisions of the request path in order, without its I/O.
  *
- * All arms end a request at its deadline, cancel what it has running, try again at most as often
- * as the pipeline says and from a budget of the same share. */
+ * All policies end a request at its deadline, cancel its running attempts, and retry within the
+ * pipeline's attempt limit and a retry budget of the same share. */
 #include "policy.h"
 #include "service_time.h"
 #include <stddef.h>
@@ -9,7 +9,7 @@
 #include <talloc.h>
 
 #define DOCUMENT_TOKENS 64 /* of a retrieved document */
-#define CHECK_SHARE 8      /* hopeless work is looked for this often in what is left */
+#define CHECK_SHARE 8 /* the check for hopeless requests is due after 1/8 of the remaining time */
 #define CHECK_MIN (20 * USEC_PER_MSEC)
 
 static void try_targets (struct policy_request *request, int64_t now);
@@ -26,7 +26,7 @@
   return request->run->config.arm == POLICY_OURS;
 }
 
-/* The tokens of a stage's call: input, and the documents where it has them. */
+/* Prompt tokens of a stage's call: the input, plus retrieved documents if the stage takes them. */
 static uint32_t
 stage_tokens (const struct policy_request *request, uint32_t stage)
 {
@@ -42,7 +42,7 @@
   return request->trace->input_tokens + documents * DOCUMENT_TOKENS;
 }
 
-/* Generation seconds of the request alone on a target with nothing cached. */
+/* Generation seconds of the request alone on a target with an empty cache. */
 double
 policy_nominal_work (const struct trace_request *trace, const struct pipeline_spec *spec)
 {
--- a/bench/policy_target.c
+++ b/bench/policy_target.c
@@ -1,4 +1,4 @@
-/* A target of the policy driver: slots, a queue by priority, and a prefix cache by document. */
+/* A simulated target: slots, a priority queue, and a prefix cache keyed by document. */
 #include "policy.h"
 #include "service_time.h"
 #include <string.h>
@@ -6,7 +6,7 @@
 #include <utlist.h>
 #include <xxhash.h>
 
-#define CACHE_EVENT_LOST 10 /* one in so many cache events never arrives */
+#define CACHE_EVENT_LOST 10 /* one in this many cache events is lost */
 
 static void advance (struct timer *timer, int64_t now);
 
@@ -33,8 +33,8 @@
   return XXH3_64bits (key, sizeof key);
 }
 
-/* Events go to every host at once: their lateness is that of the store itself, their gaps are
- * here. */
+/* Sends the events to all hosts at once; only their loss is modelled here, their delay is that of
+ * the store. */
 static void
 publish (struct policy_target *target, const struct policy_cached *cached, bool stored, int64_t now)
 {
@@ -83,7 +83,7 @@
   return NULL;
 }
 
-/* The tokens of the prompt that are cached; a document becomes the most recently used. */
+/* Returns the cached tokens of the prompt and marks the document most recently used. */
 static uint32_t
 match_cache (struct policy_target *target, const struct trace_request *trace)
 {
@@ -180,7 +180,7 @@
   attempt->request->cost += attempt->cost;
 }
 
-/* Leave the slot or the queue. */
+/* Releases the slot or the place in the queue. */
 void
 policy_target_drop (struct policy_target *target, struct policy_attempt *attempt, int64_t now)
 {
@@ -232,8 +232,8 @@
   struct policy_attempt *attempt = (struct policy_attempt *) timer;
   struct policy_target *target = attempt->target;
 
-  /* A silent target keeps what it has: only the host's own timers end the attempt.  An answer
-   * that has left it arrives. */
+  /* An unresponsive target keeps its attempts; only the host's timers end them.  An answer already
+   * in transit still arrives. */
   if (silent (target, now) && attempt->state != ATTEMPT_ANSWERED)
     {
       if (attempt->state == ATTEMPT_ON_ITS_WAY)
--- a/bench/replay.c
+++ b/bench/replay.c
@@ -1,4 +1,4 @@
-/* Requests at their times, tries, and the check of what comes back. */
+/* Sends requests at their scheduled times, retries them and checks the answers. */
 #include "replay.h"
 #include "answer.h"
 #include "text.h"
@@ -11,7 +11,7 @@
 #define CALLERS_DEFAULT 8
 #define TRIES_MAX 32
 #define LOOP_STEP (5 * USEC_PER_MSEC)
-/* A host answers at the window's end at the latest; this long after it, none is expected. */
+/* A host answers by the end of the window; a call is given up this long after it. */
 #define ANSWER_GRACE (3 * USEC_PER_SEC)
 #define RESEND_PAUSE (20 * USEC_PER_MSEC)
 
@@ -66,7 +66,7 @@
   replay->ended++;
 }
 
-/* ---- the check ---- */
+/* ---- answer checks ---- */
 
 static void
 add_stage (struct replay_result *result, const json_t *report)
@@ -92,7 +92,7 @@
   stage->cost += json_number_value (json_object_get (report, "cost"));
 }
 
-/* A pipeline's own answer is in result.text, or is the result where a call comes last. */
+/* The pipeline's answer is in result.text, or is the whole result if the last stage is a call. */
 static bool
 result_matches (const struct pipeline_spec *spec, const json_t *result, const struct bytes *wanted)
 {
@@ -166,7 +166,7 @@
   bytes_clear (&input);
 }
 
-/* NULL when the answer is whole and this request's. */
+/* Returns NULL if the answer is correct and belongs to this request, else the problem. */
 static const char *
 check_whole (struct replay_request *request, const struct replay_try_end *end)
 {
@@ -193,7 +193,7 @@
   return problem;
 }
 
-/* In the body of an outcome, finer than the header's seconds. */
+/* Reads retry_after_ms from the body, which is finer than the header's seconds. */
 static int64_t
 retry_after_of (const struct replay_try_end *end)
 {
@@ -208,7 +208,7 @@
 
 static void start_try (struct replay_request *request, int64_t now);
 
-/* Try the next host after `pause`, if time and tries are left; else the outcome stands. */
+/* Retries after `pause` if time and tries are left, else ends the request with `outcome`. */
 static void
 resend_or_end (struct replay_request *request,
                enum replay_outcome outcome,
@@ -296,7 +296,8 @@
     {
       replay_list_skip (list_of (request), request->address, now);
       end->retry_after = retry_after_of (end);
-      /* Another host may do what this one cannot; a limit holds on all of them. */
+      /* Another host may accept after a 503, so it is tried at once; a 429 limit holds on all
+       * hosts. */
       if (end->code == 503 && request->record->tries % replay_list_hosts (list_of (request)) != 0)
         end->retry_after = 0;
       resend_or_end (request, REPLAY_NOT_RUN,
--- a/bench/replay.h
+++ b/bench/replay.h
@@ -1,7 +1,7 @@
-/* The replayer: callers who drive hosts with a trace and check every byte of every answer.
+/* Trace replay: simulated callers send a trace to the hosts and check every byte of every answer.
  *
- * Each caller keeps its own list of hosts from /v1/entries for as long as it may be kept, goes to
- * the next host when one refuses or is gone, and resends under the same id while time is left. */
+ * Each caller caches the list of hosts from /v1/entries for its keep_ms, moves to the next host
+ * when one refuses or is unreachable, and resends under the same request id until the deadline. */
 #ifndef REPLAY_H
 #define REPLAY_H
 
@@ -28,9 +28,9 @@
   X (NOT_RUN, "not-run")                                                                           \
   X (FAILED, "failed")                                                                             \
   X (UNKNOWN, "unknown")                                                                           \
-  X (NO_ANSWER, "no-answer") /* none came, or only part of one */                                  \
+  X (NO_ANSWER, "no-answer") /* no answer, or a truncated one */                                   \
   X (REJECTED, "rejected")   /* 4xx that is not an outcome */                                      \
-  X (WRONG, "wrong")         /* said to be whole, and is not this request's answer */
+  X (WRONG, "wrong")         /* marked whole, but not this request's answer */
 
 enum replay_outcome
 {
@@ -45,12 +45,12 @@
 struct replay_record
 {
   enum replay_outcome outcome;
-  int64_t latency; /* from its time in the trace to its last answer */
+  int64_t latency; /* from the scheduled send time to the last answer */
   uint32_t tries;
-  uint32_t cuts;     /* answers that ended before their end */
+  uint32_t cuts;     /* truncated answers */
   uint32_t ran;      /* tries whose host did not say "not run" */
   bool said_not_run; /* the last answer */
-  char detail[160];  /* of what was not attained, for people */
+  char detail[160];  /* why it was not attained, human-readable */
 };
 
 /* Sums over the answers' own stage reports. */
@@ -70,7 +70,7 @@
   uint32_t outcomes[REPLAY_OUTCOME_COUNT];
   uint32_t resends;
   uint32_t cuts;
-  char first_cut[256]; /* which answer, and when, for people */
+  char first_cut[256]; /* which answer and when, human-readable */
   struct replay_stage stages[RESOURCE_STAGES_MAX];
   uint32_t n_stages;
 };
@@ -80,13 +80,13 @@
   struct caller *caller;
   const struct trace *trace;
   const struct site *site; /* its pipelines, for the expected answers */
-  char entries[REPLAY_ENTRIES_MAX][RESOURCE_ADDRESS_SIZE]; /* to ask for the list at first */
+  char entries[REPLAY_ENTRIES_MAX][RESOURCE_ADDRESS_SIZE]; /* initial hosts to ask for the list */
   uint32_t n_entries;
   double time_scale;     /* of arrivals and windows */
   uint32_t callers;      /* 0: 8 */
-  uint32_t stream_every; /* each so many pipeline requests are streamed; 0: none */
+  uint32_t stream_every; /* one in this many requests is streamed, if of a pipeline; 0: none */
 
-  /* Called between events with the count of requests that have ended; may run calls of its own.
+  /* Called between events with the number of completed requests; may make calls of its own.
    * NULL for none. */
   void (*step) (void *user, const struct replay_result *so_far, uint32_t ended);
   void *user;
@@ -107,9 +107,9 @@
                                   const struct replay_options *options,
                                   const char **name);
 
-/* What a system must never do, counted after the run: a wrong answer, an unrepeatable call executed
- * more than once, work done for a request that only ever was "not run".  `counts` as
- * launch_counts() gives it. */
+/* Counts violations of the system's guarantees after the run: a wrong answer, an unrepeatable call
+ * executed more than once, work done for a request whose answers were all "not run".  `counts` is
+ * the result of launch_counts(). */
 uint32_t replay_broken_promises (const struct replay_result *result,
                                  const struct replay_options *options,
                                  const json_t *counts,
@@ -117,12 +117,12 @@
 
 struct replay_cost
 {
-  double by_kind[STAGE_KIND_COUNT]; /* in the pools' money, work that was wasted included */
+  double by_kind[STAGE_KIND_COUNT]; /* at the pools' prices, wasted work included */
   double wasted;
   uint64_t calls;
 };
 
-/* Cost of the fakes' busy time at the site's prices, scaled back to whole time. */
+/* Cost of the fake targets' busy time at the site's prices, with the time scale undone. */
 void replay_cost_of (const struct site *site,
                      const json_t *counts,
                      double time_scale,
@@ -131,26 +131,26 @@
 /* The outcomes and the first few that were not attained. */
 void replay_print (const struct replay_result *result, const struct trace *trace, FILE *file);
 
-/* ---- parts, for each other ---- */
+/* ---- internal interfaces of replay_*.c ---- */
 
 struct replay;
 struct replay_list;
 
-/* Hosts as one caller knows them (replay_entries.c). */
+/* The host list of one caller (replay_entries.c). */
 struct replay_list *replay_list_new (struct replay *replay,
                                      const struct replay_options *options,
                                      uint32_t caller);
-/* The host to use now; asks for a new list when the old one may no longer be kept. */
+/* Returns the host to use now; requests a new list when the cached one has expired. */
 const char *replay_list_current (struct replay_list *list, int64_t now);
-/* That one refused or is gone: the next one, and a new list soon. */
+/* After `address` refused or was unreachable: moves to the next host and requests a new list. */
 void replay_list_skip (struct replay_list *list, const char *address, int64_t now);
 bool replay_list_idle (const struct replay_list *list);
 uint32_t replay_list_hosts (const struct replay_list *list); /* at least 1 */
 
-/* What one try ended with (replay_try.c). */
+/* Result of one try (replay_try.c). */
 struct replay_try_end
 {
-  bool whole_http; /* the answer ended by its own framing */
+  bool whole_http; /* the answer was complete by its HTTP framing */
   bool sent;
   int code;
   char outcome[CALL_OUTCOME_SIZE];
@@ -169,7 +169,7 @@
   void (*ended) (void *user, struct replay_try_end *end, int64_t now);
 };
 
-/* Start a try; false when nothing was sent.  `end` lives during the callback. */
+/* Starts a try; false if nothing was sent.  `end` is valid only during the callback. */
 bool replay_try_start (void *parent,
                        struct http_client *client,
                        const struct http_call_spec *spec,
--- a/bench/replay_report.c
+++ b/bench/replay_report.c
@@ -1,4 +1,4 @@
-/* What a run comes to. */
+/* Summaries of a replay run. */
 #include "replay.h"
 #include <math.h>
 #include <stdlib.h>
@@ -94,7 +94,7 @@
   return worst;
 }
 
-/* Executions of a request: in the pool of that name, or in all for NULL. */
+/* Executions of a request in the named pool, or in all pools if `pool` is NULL. */
 static json_int_t
 executions_in (const json_t *counts, const char *pool, const char *id)
 {
--- a/bench/replay_try.c
+++ b/bench/replay_try.c
@@ -1,4 +1,4 @@
-/* One try of one request: the answer's head, body or stream. */
+/* One try of a request: receives the answer's head and its body or stream. */
 #include "replay.h"
 #include "text.h"
 #include <stdlib.h>
@@ -70,7 +70,7 @@
   if (strcmp (name, "end") != 0)
     return true;
   if (try->end_event)
-    try->end.pieces_in_order = false; /* exactly one */
+    try->end.pieces_in_order = false; /* exactly one end event is allowed */
   try->end_event = true;
   bytes_append (&try->end.body, data, length);
   return true;
@@ -92,7 +92,7 @@
 finish (struct replay_try *try, int64_t now)
 {
   if (try->end.streamed && !try->end_event)
-    try->end.whole_http = false; /* a stream without its end is not whole */
+    try->end.whole_http = false; /* a stream without its end event is truncated */
   try->ops->ended (try->user, &try->end, now);
   sse_clear (&try->decoder);
   talloc_free (try);
--- a/bench/spread_directory.c
+++ b/bench/spread_directory.c
@@ -1,4 +1,5 @@
-/* Measurements of the directory: bytes with few and many targets, and the end of new work. */
+/* Benchmarks of the directory: traffic by number of targets, and how long new work still goes to a
+ * target that leaves or dies. */
 #include "counter.h"
 #include "directory.h"
 #include "pack.h"
@@ -30,10 +31,10 @@
   struct counters *counters;
   struct follower *hosts[SPREAD_HOSTS_MAX];
   uint32_t n_hosts;
-  uint32_t n_homes; /* the first hosts, each with its share of the targets */
+  uint32_t n_homes; /* the first hosts; targets are spread over them */
   uint32_t n_targets;
   struct directory_record *targets;
-  int64_t *renew_at; /* each target renews at its own moment; USEC_NEVER when it is dead */
+  int64_t *renew_at; /* each target's next renewal; USEC_NEVER once it has left or died */
 };
 
 static void
@@ -180,7 +181,7 @@
   return count;
 }
 
-/* One renewal passed on by itself: name, incarnation, sequence. */
+/* Size of one renewal forwarded on its own: name, incarnation, sequence. */
 static size_t
 renewal_bytes (const struct bed *bed)
 {
@@ -228,19 +229,19 @@
   talloc_free (bed);
 }
 
-/* ---- the end of new work ---- */
+/* ---- time until no new work is sent ---- */
 
 enum ending
 {
-  LEAVES,        /* says so to its home */
-  LEAVES_UNTOLD, /* and the link from its home to one host is cut at that moment */
-  DIES,          /* no renewal any more */
+  LEAVES,        /* notifies its home */
+  LEAVES_UNTOLD, /* as above, while the link from its home to one host is cut */
+  DIES,          /* stops renewing */
   ENDING_COUNT
 };
 
 static const char *const endings[] = { "leaves", "leaves-untold", "dies" };
 
-/* How long some host still uses the target, in seconds. */
+/* Returns the seconds until the last host stops using the target. */
 static double
 trial_ending (enum ending ending, uint32_t n_hosts, double loss, uint64_t seed)
 {
--- a/bench/spread_heartbeat.c
+++ b/bench/spread_heartbeat.c
@@ -1,4 +1,4 @@
-/* Every host to every host: what is simplest, and what the other ways must beat. */
+/* All-to-all heartbeats: the baseline for the other membership protocols. */
 #include "bytes.h"
 #include "pack.h"
 #include "rng.h"
@@ -21,7 +21,7 @@
   bool left[SPREAD_HOSTS_MAX];
 };
 
-/* The same vitals as the product's messages carry. */
+/* Carries the same state as the product's messages. */
 static void
 beat_all (struct heartbeat *self)
 {
--- a/bench/spread_measure.c
+++ b/bench/spread_measure.c
@@ -1,4 +1,5 @@
-/* Measurements of membership: each builds its instances anew, so that trials are independent. */
+/* Benchmarks of membership protocols.  Each trial creates new instances, so trials are independent.
+ */
 #include "spread_measure.h"
 #include "rng.h"
 #include "status.h"
@@ -114,7 +115,7 @@
   measure_cost (c, true);
 }
 
-/* ---- times until all see something ---- */
+/* ---- detection times ---- */
 
 struct samples
 {
@@ -158,7 +159,8 @@
   talloc_free (samples->values);
 }
 
-/* From now on, when does each other host see `about` otherwise than `while_true`? */
+/* Samples the time since `from` for each host at which `look` first returns `wanted` for `about`.
+ */
 static void
 watch (struct group *group,
        uint32_t about,
@@ -179,7 +181,7 @@
 
 struct notice
 {
-  struct samples unnamed; /* no longer named to callers */
+  struct samples unnamed; /* no longer listed to callers */
   struct samples dead;
 };
 
@@ -221,7 +223,7 @@
       struct group *group = start_group (c, c->seed + trial);
       uint32_t victim = trial % c->n_hosts;
 
-      /* At another moment of the probes' round each time. */
+      /* Each trial starts at a different phase of the probe round. */
       spread_net_run (group->net, (int64_t) trial * 137 * USEC_PER_MSEC);
       if (silent)
         for (uint32_t i = 0; i < group->n; i++)
@@ -269,7 +271,7 @@
   return bytes;
 }
 
-/* What one change costs over the same time at rest. */
+/* Extra traffic of one leave over an idle period of the same length. */
 void
 spread_measure_leave (const struct spread_case *c)
 {
@@ -305,7 +307,7 @@
   printf ("\n");
 }
 
-/* Everyone lives all the time, so whatever is held against a host is false. */
+/* All hosts stay alive, so every detection is a false positive. */
 static void
 count_alarms (const struct spread_case *c, struct group *group, const char *what)
 {
@@ -351,7 +353,7 @@
   talloc_free (group);
 }
 
-/* One link of all is bad, both ways. */
+/* One link is cut in both directions. */
 void
 spread_measure_link (const struct spread_case *c)
 {
--- a/bench/spread_member.c
+++ b/bench/spread_member.c
@@ -1,4 +1,4 @@
-/* Membership on the driver. */
+/* The product's membership protocol on the simulated network. */
 #include "spread_member.h"
 #include "counter.h"
 #include "status.h"
--- a/bench/spread_member.h
+++ b/bench/spread_member.h
@@ -1,4 +1,4 @@
-/* Instances of the product's membership on the driver, and the view that each has. */
+/* Instances of the product's membership protocol on the simulated network, and their views. */
 #ifndef SPREAD_MEMBER_H
 #define SPREAD_MEMBER_H
 
@@ -10,7 +10,7 @@
 
 BEGIN_DECLS
 
-/* Host number i is named "host-iii"; the first three are everyone's seeds. */
+/* Host number i is named "host-iii"; the first three are the seeds of all hosts. */
 struct spread_member
 {
   struct spread_node node; /* first member */
@@ -18,7 +18,7 @@
   struct board *board;
   struct counters *counters;
   struct member *member;
-  struct handle seen[SPREAD_HOSTS_MAX]; /* places on the board, looked up once */
+  struct handle seen[SPREAD_HOSTS_MAX]; /* board handles, cached */
 };
 
 struct spread_member *spread_member_new (void *parent,
@@ -26,7 +26,7 @@
                                          uint32_t index,
                                          uint64_t incarnation);
 
-/* How the instance sees host `about`; HOST_STATE_COUNT when it does not know it. */
+/* State of host `about` in this instance's view; HOST_STATE_COUNT if unknown. */
 enum host_state spread_member_sees (struct spread_member *self, uint32_t about);
 
 END_DECLS
--- a/bench/spread_net.c
+++ b/bench/spread_net.c
@@ -1,4 +1,4 @@
-/* The driver: a heap of events in virtual time. */
+/* Simulated network: a heap of events in virtual time. */
 #include "spread_net.h"
 #include "rng.h"
 #include "status.h"
@@ -8,10 +8,10 @@
 struct event
 {
   int64_t at;
-  uint64_t order; /* among equals, as they were made */
+  uint64_t order; /* events due at the same time run in order of creation */
   uint32_t to;
   uint32_t from;
-  uint32_t life; /* of the instance a tick is for */
+  uint32_t life; /* of the instance that the tick is for */
   char *data;    /* NULL for a tick */
   size_t length;
 };
@@ -19,7 +19,7 @@
 struct place
 {
   struct spread_node *node;
-  uint32_t life; /* grows with each instance put here and each stop */
+  uint32_t life; /* incremented by each put and each stop */
   bool stopped;
   bool keep;
   struct spread_traffic traffic;
--- a/bench/spread_net.h
+++ b/bench/spread_net.h
@@ -1,6 +1,6 @@
-/* A driver for many instances of one pure protocol: virtual time, messages with a delay, loss, cut
- * links and stopped instances, and counts of what each sends.  It is no model of machines: nothing
- * but time and links is here. */
+/* Simulated network for many instances of an I/O-free protocol: virtual time, message delay and
+ * loss, cut links, stopped instances, and traffic counters.  Only time and links are modelled, not
+ * the machines. */
 #ifndef SPREAD_NET_H
 #define SPREAD_NET_H
 
@@ -16,7 +16,7 @@
 
 struct spread_net;
 
-/* One instance; its implementation embeds this first. */
+/* One instance; implementations embed it as their first member. */
 struct spread_node
 {
   const struct spread_node_ops *ops;
@@ -29,7 +29,7 @@
   void (*receive) (
       struct spread_node *node, uint32_t from, const void *data, size_t length, int64_t now);
 
-  /* Does what is due; when to call again. */
+  /* Runs what is due and returns the time of the next call. */
   int64_t (*tick) (struct spread_node *node, int64_t now);
 };
 
@@ -42,20 +42,20 @@
 /* Messages take between half and one and a half times `delay`. */
 struct spread_net *spread_net_new (void *parent, uint64_t seed, int64_t delay);
 
-/* Starts now.  An instance put in the place of another takes over its links. */
+/* Starts the instance now.  One that replaces another takes over its links. */
 void spread_net_put (struct spread_net *net, uint32_t index, struct spread_node *node);
 
 void spread_net_send (
     struct spread_net *net, uint32_t from, uint32_t to, const void *data, size_t length);
 
-/* Share of messages lost at random. */
+/* Sets the share of messages lost at random. */
 void spread_net_set_loss (struct spread_net *net, double loss);
 
-/* From now on nothing goes from one to the other, or again. */
+/* Cuts or restores the link, in this direction only. */
 void spread_net_cut (struct spread_net *net, uint32_t from, uint32_t to, bool cut);
 
-/* A stopped instance neither ticks nor receives; what is sent to it meanwhile is lost, or, with
- * `keep`, comes when it goes on. */
+/* A stopped instance neither ticks nor receives.  Messages to it are lost or, with `keep`,
+ * delivered after it resumes. */
 void spread_net_stop (struct spread_net *net, uint32_t index, bool keep);
 void spread_net_go_on (struct spread_net *net, uint32_t index);
 
--- a/bench/spread_tree.c
+++ b/bench/spread_tree.c
@@ -24,9 +24,9 @@
 enum kind
 {
   HEARTBEAT,
-  JOIN,     /* a host without a view */
-  VIEW,     /* what the sender knows, or a part of it */
-  NEIGHBOR, /* take me as a neighbour */
+  JOIN,     /* from a host without neighbours */
+  VIEW,     /* the sender's known states, or some of them */
+  NEIGHBOR, /* asks to become a neighbour */
   DISCONNECT,
   EAGER, /* an event in full */
   IHAVE, /* an event by its id */
@@ -47,7 +47,7 @@
 {
   uint32_t index;
   bool eager;
-  bool heard; /* it took us: until then its silence says nothing */
+  bool heard; /* a message came from it; before that, silence is no sign of failure */
   int64_t heard_at;
 };
 
@@ -103,7 +103,7 @@
       pack_uint (&out, words[i].state);
       if (kind == IHAVE || kind == GRAFT)
         continue;
-      /* What the product's news of a state carries besides: the name and the incarnation. */
+      /* The product's state updates also carry the name and the incarnation. */
       pack_text (&out, "host-000");
       pack_uint (&out, 1700000000000);
     }
@@ -222,7 +222,8 @@
   pass_on (self, &word, self->node.index);
 }
 
-/* Newer words win; of the same, dead over alive.  A host refutes its own death. */
+/* The higher sequence wins; at equal sequence, the higher state.  A host refutes updates about
+ * itself. */
 static bool
 apply (struct tree *self, const struct word *word)
 {
@@ -415,7 +416,7 @@
   self->next_heartbeat = now + PERIOD * 9 / 10 + (int64_t) rng_below (&self->rng, PERIOD / 5);
   for (uint32_t i = 0; i < self->n_active; i++)
     send_plain (self, self->active[i].index, HEARTBEAT);
-  /* Without a neighbour: the seeds. */
+  /* Without neighbours, joins through the seeds. */
   for (uint32_t seed = 0; seed < 3 && self->n_active == 0; seed++)
     if (seed != self->node.index)
       {
--- a/bench/spread_way.h
+++ b/bench/spread_way.h
@@ -1,5 +1,5 @@
-/* A way to spread membership, as the comparison drives it: instances on the driver, and what each
- * sees of the others. */
+/* Interface of the compared membership protocols: instances on the simulated network and their
+ * views of each other. */
 #ifndef SPREAD_WAY_H
 #define SPREAD_WAY_H
 
@@ -14,21 +14,21 @@
   struct spread_node *(*start) (
       void *parent, struct spread_net *net, uint32_t index, uint32_t n_hosts, uint64_t incarnation);
 
-  /* Would the instance name host `about` to a caller now? */
+  /* Whether the instance would list host `about` to a caller now. */
   bool (*sees) (const struct spread_node *node, uint32_t about);
 
-  /* Does it hold it for dead, beyond a suspicion? */
+  /* Whether the instance considers it dead, not only suspected. */
   bool (*holds_dead) (const struct spread_node *node, uint32_t about);
   void (*leave) (struct spread_node *node, int64_t now);
 
-  /* The instance's load and configuration change; NULL where that costs nothing more. */
+  /* Changes the instance's load and configuration revision; NULL if that adds no traffic. */
   void (*stir) (struct spread_node *node, double load, uint64_t revision);
 };
 
-/* The product's: probes, suspicion, news on the probes (member.h). */
+/* The product's protocol: probes, suspicion, updates piggybacked on probes (member.h). */
 extern const struct spread_way spread_way_probe;
 
-/* Every host to every host: a heartbeat a second, dead after three were missed. */
+/* All-to-all: one heartbeat per second, dead after three missed ones. */
 extern const struct spread_way spread_way_heartbeat;
 
 /* Bounded neighbours and a broadcast tree (spread_tree.c). */
