--- a/bench/policy_choose.c
+++ b/bench/policy_choose.c
@@ -1,6 +1,7 @@
-/* The simple arms: random, round robin, least reported load.
+/* The baseline policies: random, round robin, least reported load.
  *
- * They see the same board as ours (leases, leaving, reports) and skip targets already tried. */
+ * They read the same board as the product's policy (leases, leaving state, load reports) and skip
+ * targets already tried. */
 #include "policy.h"
 #include <string.h>
 
@@ -75,7 +76,7 @@
                                  .first_output_by = USEC_NEVER,
                                  .timeout_at = USEC_NEVER,
                                  .hedge_at = USEC_NEVER };
-  /* Half of what is left for the first attempt, so that one that hangs can be tried again. */
+  /* First output is due in half of the remaining time, so that a hung attempt can be retried. */
   if (request->decide.repeatable
       && request->stage_attempts + 1 < run->specs[request->pipeline].max_attempts)
     out->first_output_by = now + (request->decide.deadline - now) / 2;
--- a/bench/policy_run.c
+++ b/bench/policy_run.c
@@ -1,4 +1,4 @@
-/* One run of the policy driver: boards, targets, arrivals, and what comes out. */
+/* One run of the policy simulator: boards, targets, arrivals and results. */
 #include "policy.h"
 #include "service_time.h"
 #include "text.h"
@@ -10,12 +10,12 @@
 #include <talloc.h>
 
 #define CACHE_TOKENS 60000 /* a target's prefix cache */
-#define CLIENTS 64         /* each keeps a host for CLIENT_KEEP */
+#define CLIENTS 64         /* simulated; each stays with a host for CLIENT_KEEP */
 #define CLIENT_KEEP (10 * USEC_PER_SEC)
 #define REPORT_LAG (250 * USEC_PER_MSEC)
 #define STALE_LAG (2 * USEC_PER_SEC)
 #define STALE_LOST 0.2
-#define FLOOD_TIMES 2.0           /* the flood's rate over the calm rate */
+#define FLOOD_TIMES 2.0           /* flood rate, as a multiple of the calm rate */
 #define FLOODER 3                 /* the organisation that floods */
 #define DRAIN (40 * USEC_PER_SEC) /* after the last arrival */
 
@@ -266,7 +266,7 @@
   return i;
 }
 
-/* Callers keep the host they were told of for a while, so hosts are loaded unevenly. */
+/* A client keeps the same host for CLIENT_KEEP, so hosts are loaded unevenly. */
 static struct policy_host *
 host_of (struct policy_run *run, const uint32_t *clients, int64_t at)
 {
@@ -324,7 +324,7 @@
     add_arrivals (run, flood, true);
 }
 
-/* ---- what comes out ---- */
+/* ---- results ---- */
 
 static int
 compare_floats (const void *a, const void *b)
@@ -423,11 +423,11 @@
 
 #define CAPACITY_FROM (20 * USEC_PER_SEC)
 #define CAPACITY_TO (60 * USEC_PER_SEC)
-#define CAPACITY_RATE 60.0 /* requests a second and scale, above what the pools can do */
+#define CAPACITY_RATE 60.0 /* requests per second and unit of scale, above the pools' capacity */
 #define CAPACITY_WINDOW (1000 * USEC_PER_SEC)
 
-/* Only the generating stages, without deadlines or priorities, from one host at random: every slot
- * of the pool is kept full. */
+/* Runs only the generation stages, without deadlines or priorities, from one host with random
+ * choice, so that every slot of the pool stays busy. */
 double
 policy_capacity (enum trace_site site, uint32_t scale, uint64_t seed)
 {
--- a/bench/replay_entries.c
+++ b/bench/replay_entries.c
@@ -1,4 +1,4 @@
-/* The list of hosts that one caller keeps. */
+/* The host list cached by one caller. */
 #include "replay.h"
 #include "text.h"
 #include <string.h>
@@ -6,16 +6,16 @@
 
 #define ASK_TIMEOUT (2 * USEC_PER_SEC)
 #define KEEP_DEFAULT (5 * USEC_PER_SEC)
-/* After a host of the list failed: ask again, but not more often than this. */
+/* Minimum interval between requests for the list, since each failing host causes one. */
 #define ASK_INTERVAL (100 * USEC_PER_MSEC)
 
 struct replay_list
 {
   struct http_call_sink sink; /* first: its callbacks cast back */
   struct http_client *client;
-  char known[REPLAY_ENTRIES_MAX][RESOURCE_ADDRESS_SIZE]; /* every host ever heard of */
+  char known[REPLAY_ENTRIES_MAX][RESOURCE_ADDRESS_SIZE]; /* every host seen so far */
   uint32_t n_known;
-  uint32_t ask_at; /* which of them to ask next */
+  uint32_t ask_at; /* index of the one to ask next */
   char list[REPLAY_ENTRIES_MAX][RESOURCE_ADDRESS_SIZE];
   uint32_t n_list;
   uint32_t current;
