--- a/bench/explore.c
+++ b/bench/explore.c
@@ -1,4 +1,4 @@
-/* A seeded random walk through what can fail in a group. */
+/* Seeded random fault injection into a simulated group. */
 #include "explore.h"
 #include <stdio.h>
 #include <string.h>
@@ -14,22 +14,22 @@
 #define CONTEST_HAND_OVER (20 * USEC_PER_MSEC)
 #define CONTEST_ROUND (20 * USEC_PER_MSEC)
 #define CONTEST_ROUNDS 60
-#define TOLD_ROOM (1u << 20)             /* bytes free as told by a disk that is full */
-#define REPLACE_AFTER (3 * USEC_PER_SEC) /* by a spare host, where there is one */
-#define TIGHT_ROOM 2000                  /* bytes left on a disk that is nearly full, at most */
-#define RESTART_ODDS 20                  /* one in so many steps */
-#define DISK_DEED_ODDS 8                 /* one in so many steps of a walk with bad disks */
+#define TOLD_ROOM (1u << 20)             /* free bytes that a full disk reports */
+#define REPLACE_AFTER (3 * USEC_PER_SEC) /* by a spare host, if there is one */
+#define TIGHT_ROOM 2000                  /* most bytes left on a nearly full disk */
+#define RESTART_ODDS 20                  /* one in this many steps */
+#define DISK_DEED_ODDS 8                 /* one in this many steps, with bad_disks */
 
 struct walk
 {
   struct fake_group *group;
   struct rng rng;
   uint32_t n;
-  bool jumps; /* clocks jump while running; then there are no leases */
+  bool jumps; /* clocks jump while hosts run; leases are off then */
   bool plain;
   bool bad_disks;
   bool tight_disks;
-  bool disk_missing; /* a disk was lost and the group is not whole again */
+  bool disk_missing; /* a disk was lost and the group has not recovered yet */
 };
 
 static uint32_t
@@ -72,7 +72,7 @@
   fake_group_isolate (walk->group, any_host (walk), true);
 }
 
-/* Two parts that do not hear each other. */
+/* Partitions the group into two random parts. */
 static void
 do_split (struct walk *walk)
 {
@@ -99,7 +99,7 @@
     fake_group_stop (walk->group, host, rng_below (&walk->rng, 4) != 0);
 }
 
-/* The power goes between two operations on files. */
+/* Simulates a power failure between two file operations. */
 static void
 do_stop_disk (struct walk *walk)
 {
@@ -115,13 +115,13 @@
   if (is_up (walk, host))
     return;
   status = fake_group_start (walk->group, host);
-  /* The disk may stop or be full during the start; anything else is a fault of ours. */
+  /* The disk may stop or be full during the start; any other error is a defect. */
   if (status != STATUS_OK && status != STATUS_IO && !(walk->bad_disks && status == STATUS_DISK_FULL)
       && breach[0] == '\0')
     snprintf (breach, GROUP_BREACH_SIZE, "v%u cannot start: %s", host, status_message ());
 }
 
-/* At most one disk at a time: more than a group is made to survive would prove nothing. */
+/* Loses at most one disk at a time: the group is not designed to survive more. */
 static void
 do_lose_disk (struct walk *walk)
 {
@@ -178,9 +178,10 @@
   return -1;
 }
 
-/* Reads through the old leader race entries through a new one: whoever answers from an old lease is
- * seen.  A voter that does not hear the leader stands; the leader is cut off about when it may be
- * elected, or has just handed over; another voter may restart and must not forget its promise. */
+/* Runs reads on the old leader concurrently with writes on a new one, to detect a read served under
+ * an expired lease.  A voter cut off from the leader becomes a candidate; the leader is isolated at
+ * about the time of that election, or just after it transferred leadership.  Another voter may
+ * restart and must still honour the promise that it made before. */
 static void
 do_contest (struct walk *walk)
 {
@@ -217,8 +218,8 @@
   fake_group_heal (walk->group);
 }
 
-/* No write finds room.  Whether the voter learns it before a write fails is chance: the room that
- * is told lags behind. */
+/* Fills the disk.  The reported free space may lag behind, so it is random whether the voter learns
+ * of it before a write fails. */
 static void
 do_fill_disk (struct walk *walk)
 {
@@ -261,7 +262,7 @@
   uint32_t weight;
 };
 
-/* The contest last: plain walks draw from those before it. */
+/* do_contest must be last: plain runs choose among the entries before it. */
 static const struct deed deeds[] = {
   { do_propose, 40 },  { do_read, 20 },     { do_cut_one_way, 5 }, { do_isolate, 3 },
   { do_split, 3 },     { do_heal, 20 },     { do_crash, 6 },       { do_stop_disk, 6 },
@@ -301,7 +302,7 @@
     do_one_of (walk, deeds, walk->plain ? n - 1 : n);
 }
 
-/* An operator starts a process again whose voter has stopped for good. */
+/* Stops a host whose voter has failed permanently, as an operator who restarts the process. */
 static void
 restart_stopped (struct walk *walk, uint32_t host)
 {
@@ -331,7 +332,7 @@
     .waiting = config->spares,
     .entry_bytes = 40,
     .snapshot_entries = 60,
-    /* Fixed, so that seeds keep their walks when the product's times change. */
+    /* Fixed, so that a seed gives the same run when the product's timeouts change. */
     .timing = { .heartbeat = 200 * USEC_PER_MSEC,
                 .election_min = 1000 * USEC_PER_MSEC,
                 .election_max = 2000 * USEC_PER_MSEC },
@@ -356,7 +357,7 @@
   walk->group = fake_group_new (NULL, &group);
 }
 
-/* What was broken mends: then the group must, too. */
+/* Removes all faults and checks that the group recovers. */
 static void
 finish (struct walk *walk, char *breach)
 {
@@ -375,7 +376,7 @@
          && !(fake_group_whole (walk->group) && fake_group_await_equal (walk->group, 0)))
     {
       fake_group_run (walk->group, USEC_PER_SEC);
-      /* A sync that was to fail may do so only now. */
+      /* An injected sync failure may take effect only now. */
       for (uint32_t i = 0; i < walk->n; i++)
         {
           restart_stopped (walk, i);
@@ -384,7 +385,7 @@
     }
   if (breach[0] == '\0' && fake_group_breach (walk->group)[0] == '\0'
       && !(fake_group_whole (walk->group) && fake_group_await_equal (walk->group, 0)))
-    snprintf (breach, GROUP_BREACH_SIZE, "the group did not become whole after all was mended");
+    snprintf (breach, GROUP_BREACH_SIZE, "the group did not recover after all faults were removed");
 }
 
 void
--- a/bench/explore.h
+++ b/bench/explore.h
@@ -1,5 +1,5 @@
-/* A seeded random walk through what can fail in a group, with all rules checked after each event.
- */
+/* Seeded random fault injection into a simulated group; all invariants are checked after each
+ * event. */
 #ifndef EXPLORE_H
 #define EXPLORE_H
 
@@ -12,21 +12,22 @@
 {
   uint64_t seed;
   uint32_t voters;
-  uint32_t spares; /* hosts that follow the log and take a lost voter's place */
-  uint32_t steps;  /* random deeds; some tens of events lie between two */
-  bool plain;      /* without contests of leaders: the walks of the first seeds that found faults */
-  bool tight_disks; /* those that fill up have room for some writes more */
-  bool bad_disks;   /* disks also fill up, noticed or not, and fail to sync */
+  uint32_t spares;  /* non-voting hosts that replicate the log and can replace a lost voter */
+  uint32_t steps;   /* random actions; some tens of events lie between two */
+  bool plain;       /* no leader contests; keeps the runs of the first seeds that found faults */
+  bool tight_disks; /* a disk that fills up has room for some more writes */
+  bool bad_disks;   /* disks also fill up, reported or not, and fail to sync */
 };
 
 struct explore_result
 {
-  char breach[GROUP_BREACH_SIZE]; /* "" when all rules held */
+  char breach[GROUP_BREACH_SIZE]; /* "" if no invariant was violated */
   uint64_t events;
   struct fake_group_count count;
 };
 
-/* Walk, then heal everything and see that the group becomes whole and commits again. */
+/* Runs the random steps, then removes all faults and checks that the group recovers and commits
+ * again. */
 void explore (const struct explore_config *config, struct explore_result *out);
 
 END_DECLS
--- a/bench/fuzz.c
+++ b/bench/fuzz.c
@@ -8,8 +8,8 @@
 #define SLICE_MAX 64
 #define INPUT_MAX (64u << 10)
 
-/* Bytes that mean something to some decoder: MessagePack's tags of long texts, arrays and extreme
- * numbers, JSON's and INI's punctuation, ends of ranges, broken UTF-8. */
+/* Bytes with a meaning to some decoder: MessagePack tags of long strings, arrays and extreme
+ * numbers, JSON and INI punctuation, range limits, invalid UTF-8. */
 static const uint8_t telling[] = { 0x00, 0x01, 0x7f, 0x80, 0x8f, 0x90, 0x9f, 0xa0, 0xbf, 0xc0,
                                    0xc1, 0xc4, 0xc6, 0xcb, 0xcf, 0xd3, 0xd9, 0xdb, 0xdc, 0xdd,
                                    0xde, 0xdf, 0xe0, 0xff, '"',  '\\', '{',  '}',  '[',  ']',
@@ -29,7 +29,7 @@
   data->data[rng_below (rng, data->length)] = (char) telling[rng_below (rng, sizeof telling)];
 }
 
-/* A run of one byte, as where a length becomes huge. */
+/* Sets up to 8 bytes to 0xff or 0x00, for example to make a length huge. */
 static void
 set_run (struct bytes *data, struct rng *rng)
 {
@@ -60,7 +60,7 @@
   data->length -= length;
 }
 
-/* Copy a slice of the data to another place in it. */
+/* Inserts a copy of a slice of the data elsewhere in it. */
 static void
 repeat_slice (struct bytes *data, struct rng *rng)
 {
--- a/bench/fuzz.h
+++ b/bench/fuzz.h
@@ -1,7 +1,7 @@
-/* Seeded mutation of what decoders take from outside.
+/* Seeded mutation of the input of decoders of external data.
  *
- * One table names every decoder with valid samples, which the encoders make, so that they stay
- * valid.  The tests run it with a fixed seed under the sanitizers; `fuzz` runs it for longer. */
+ * One table lists every decoder with valid samples.  The encoders make the samples, so that they
+ * stay valid.  The tests run it with a fixed seed under the sanitizers; `fuzz` runs it longer. */
 #ifndef FUZZ_H
 #define FUZZ_H
 
@@ -19,33 +19,34 @@
   const char *name;
   uint32_t n_samples;
   void (*sample) (uint32_t i, struct bytes *out);
-  /* What it allocates belongs to `parent`. */
+  /* Allocates under `parent`. */
   enum status (*decode) (void *parent, const void *data, size_t length);
 };
 
-/* Ended by NULL. */
+/* Terminated by NULL. */
 extern const struct fuzz_decoder *const fuzz_decoders[];
 
 struct fuzz_result
 {
   uint64_t runs;
-  uint64_t taken; /* of mutated inputs, those the decoder took for valid */
+  uint64_t taken; /* mutated inputs that the decoder accepted */
   uint64_t refused;
 };
 
-/* Change `data` in one to four places: bits, bytes, lengths, cuts, repeats. */
+/* Applies one to four random mutations to `data`: changed bits, bytes and lengths, removed and
+ * repeated slices. */
 void fuzz_mutate (struct bytes *data, struct rng *rng);
 
-/* Decode a copy that ends where its memory ends, so that a sanitizer sees any read beyond. */
+/* Decodes a copy of exactly `length` bytes, so that a sanitizer reports any read past the end. */
 enum status fuzz_decode (const struct fuzz_decoder *decoder, const void *data, size_t length);
 
-/* `runs` mutations of the samples in turn. */
+/* Decodes `runs` mutated inputs, taking the samples in turn. */
 void fuzz_run (const struct fuzz_decoder *decoder,
                uint64_t seed,
                uint64_t runs,
                struct fuzz_result *result);
 
-/* The input that is being decoded, for who must say what crashed. */
+/* The input being decoded, for crash reports. */
 extern struct bytes fuzz_current;
 
 END_DECLS
--- a/bench/fuzz_parts.h
+++ b/bench/fuzz_parts.h
@@ -1,4 +1,4 @@
-/* The decoders by the file that has them; fuzz_decoders[] puts them together. */
+/* The decoders, by the file that defines them; fuzz_decoders[] lists them all. */
 #ifndef FUZZ_PARTS_H
 #define FUZZ_PARTS_H
 
