--- a/bench/fuzz_claim.c
+++ b/bench/fuzz_claim.c
@@ -1,4 +1,4 @@
-/* Decoders of claims: what the log carries, the machine's answers and snapshots. */
+/* Decoders of claims: log entries, results of the state machine and snapshots. */
 #include "claim_entry.h"
 #include "claim_machine.h"
 #include "fuzz_parts.h"
@@ -39,7 +39,7 @@
   claim_entry_pack (&entry, out);
 }
 
-/* A machine that has started the holder's epoch and holds one claim of it. */
+/* Returns a machine that has applied the start of the holder's epoch and one claim of it. */
 static struct machine *
 filled_machine (void *parent)
 {
@@ -64,7 +64,7 @@
   return machine;
 }
 
-/* The machine answers any entry, and its answer decodes. */
+/* Applies the entry, valid or not; the result of a valid one must decode. */
 static enum status
 entry_decode (void *parent, const void *data, size_t length)
 {
--- a/bench/fuzz_config.c
+++ b/bench/fuzz_config.c
@@ -1,6 +1,6 @@
-/* Messages of the configuration between a voter and a host that follows.
+/* Configuration messages between a voter and a follower.
  *
- * The samples are what the two of them sent each other in a run, recorded by fake ports. */
+ * The samples are the messages that the two exchange in a run, recorded by fake ports. */
 #include "config.h"
 #include "config_feed.h"
 #include "config_follow.h"
@@ -21,7 +21,7 @@
 #define STEPS 40
 #define OBJECTS 3
 
-/* A port that hands what is sent to its peer's listener, and records it. */
+/* A port that passes each sent message to the listener of its peer and records it. */
 struct fake_port
 {
   struct peer_port port;
@@ -88,11 +88,11 @@
   struct fake_port port;
   struct board *board;
   struct store *store;
-  struct consensus *consensus; /* of a voter */
+  struct consensus *consensus; /* voter only */
   struct config_link *link;
 };
 
-/* Two hosts on one virtual clock. */
+/* Two hosts that share a virtual clock. */
 struct pair
 {
   struct timer_service *timers;
@@ -180,7 +180,7 @@
   config_follow_set_voters (follow, voters, 1);
 }
 
-/* Declare the `i`-th pool on the voter. */
+/* Applies the declaration of the `i`-th pool on the voter. */
 static void
 declare (struct pair *pair, uint32_t i)
 {
@@ -219,8 +219,8 @@
   return pair;
 }
 
-/* What the pair says: all objects in parts first, since the voter's history does not reach back to
- * the start, and then changes. */
+/* Records the messages of a run: first all objects in parts, since the voter's history does not
+ * reach back to the start, and then changes. */
 static uint32_t
 record_run (void *parent, struct bytes messages[MESSAGES_MAX])
 {
@@ -267,8 +267,9 @@
   talloc_free (parent);
 }
 
-/* Both hosts take the message; what they answer goes nowhere.  There is no verdict but that they
- * go on: a message from another release is passed over without a word. */
+/* Delivers the message to both hosts and drops their replies.  The hosts report no error, since a
+ * message from another release is silently ignored; they must only keep running.  The status tells
+ * whether the message has a known kind. */
 static enum status
 config_decode (void *parent, const void *data, size_t length)
 {
@@ -288,7 +289,7 @@
   if (pack_read_uint (&reader, CONFIG_MESSAGE_COUNT - 1) < CONFIG_MESSAGE_COUNT
       && pack_read_is_ok (&reader))
     status = STATUS_OK;
-  /* Timers go before what they belong to. */
+  /* Disarms the timers of the pair before their service, a child of `parent`, is freed. */
   talloc_free (pair);
   return status;
 }
--- a/bench/fuzz_decoders.c
+++ b/bench/fuzz_decoders.c
@@ -12,7 +12,7 @@
   &fuzz_resource,
   &fuzz_http_answer,
   &fuzz_http_request,
-  /* messages between hosts, and what the log carries */
+  /* messages between hosts, and log entries */
   &fuzz_raft,
   &fuzz_raft_follower,
   &fuzz_raft_leader,
--- a/bench/fuzz_http.c
+++ b/bench/fuzz_http.c
@@ -1,4 +1,4 @@
-/* The reader of HTTP messages: what it reads does not depend on how the bytes are cut. */
+/* The reader of HTTP messages: its result must not depend on how the bytes are split. */
 #include "container.h"
 #include "fuzz_parts.h"
 #include "h1.h"
@@ -6,7 +6,7 @@
 
 #define COUNT(array) (sizeof (array) / sizeof (array)[0])
 
-/* Interim answers before the one that counts. */
+/* Limit on interim (1xx) responses before the final one. */
 #define MESSAGES_MAX 4
 
 struct reading
@@ -44,7 +44,7 @@
   .complete = on_complete,
 };
 
-/* Feed pieces of `step` bytes until a message that is no interim answer is whole. */
+/* Feeds chunks of `step` bytes until a message that is not an interim response is complete. */
 static enum status
 read_all (struct reading *reading, const char *data, size_t length, size_t step)
 {
@@ -107,7 +107,7 @@
   return status;
 }
 
-/* ---- answers ---- */
+/* ---- responses ---- */
 
 static const char *const answer_samples[] = {
   "HTTP/1.1 200 OK\r\nContent-Length: 5\r\nContent-Type: a/b\r\n\r\nhello",
--- a/bench/fuzz_member.c
+++ b/bench/fuzz_member.c
@@ -1,4 +1,4 @@
-/* Messages of membership, taken by a member that knows two other hosts. */
+/* Membership messages, received by a member that knows two other hosts. */
 #include "fuzz_parts.h"
 #include "member.h"
 #include "member_wire.h"
@@ -85,7 +85,7 @@
   .forget = drop_host,
 };
 
-/* The decoder's verdict, apart from what the member makes of the message. */
+/* Returns the decoder's status, regardless of how the member handles the message. */
 static enum status
 read_whole (const void *data, size_t length)
 {
--- a/bench/fuzz_message.c
+++ b/bench/fuzz_message.c
@@ -1,7 +1,7 @@
-/* Decoders of messages between hosts and of what the log carries.
+/* Decoders of messages between hosts and of log entries.
  *
- * Where a decoder feeds a state machine, the machine takes the message too: a field that is in
- * range for the codec may still be out of range for who acts on it. */
+ * If a decoder feeds a state machine, the message is also applied to the machine: a field that is
+ * in range for the codec may still be out of range for the code that uses it. */
 #include "consensus_client.h"
 #include "directory.h"
 #include "directory_wire.h"
@@ -232,7 +232,7 @@
   .decode = store_answer_decode,
 };
 
-/* A store with one pool in it. */
+/* Returns a store that holds one pool. */
 static struct store *
 filled_store (void *parent)
 {
@@ -250,7 +250,7 @@
   return store;
 }
 
-/* A refused entry still has an answer that decodes. */
+/* The result of a rejected entry must decode, too. */
 static enum status
 store_entry_decode (void *parent, const void *data, size_t length)
 {
@@ -376,7 +376,7 @@
     board->self = handle;
 }
 
-/* OK when the message was not counted as malformed. */
+/* Returns STATUS_OK if the request, or the head of another message, decodes. */
 static enum status
 directory_decode (void *parent, const void *data, size_t length)
 {
--- a/bench/fuzz_raft.c
+++ b/bench/fuzz_raft.c
@@ -1,4 +1,4 @@
-/* Messages of consensus, taken by a follower and by a leader. */
+/* Consensus messages, received by a follower and by a leader. */
 #include "fuzz_parts.h"
 #include "raft.h"
 #include "text.h"
@@ -38,7 +38,7 @@
     }
 }
 
-/* What a driver does with a ready, on a disk that never fails. */
+/* Handles each ready as a driver does, with a disk that never fails. */
 static void
 store_all (struct raft *raft, int64_t now)
 {
@@ -50,7 +50,7 @@
     raft_mark_applied (raft);
 }
 
-/* A server with a few entries, the first of them committed. */
+/* Returns a server with a few log entries, of which the first is committed. */
 static struct raft *
 filled_raft (void *parent, bool leads)
 {
--- a/bench/fuzz_text.c
+++ b/bench/fuzz_text.c
@@ -1,4 +1,5 @@
-/* Decoders of text: settings, key files, event streams, JSON of targets, operators and callers. */
+/* Decoders of text: settings, key files, event streams, JSON from targets, operators and callers.
+ */
 #include "fuzz_parts.h"
 #include "keyfile.h"
 #include "resource_parse.h"
@@ -61,7 +62,7 @@
 static void
 keyfile_sample (uint32_t i, struct bytes *out)
 {
-  /* A pair for this alone. */
+  /* A key pair used only here. */
   static struct key_pair pair;
 
   (void) i;
@@ -117,7 +118,7 @@
 
 static const struct sse_sink_ops event_ops = { .event = count_event };
 
-/* Fed in pieces whose lengths the data itself gives. */
+/* Feeds the data in pieces of 1 to 16 bytes; the first byte of each piece gives its length. */
 static enum status
 sse_decode (void *parent, const void *data, size_t length)
 {
@@ -172,7 +173,8 @@
   take_text (answer_samples, i, out);
 }
 
-/* Every kind takes every answer: one that takes none of them is a fault of the sample. */
+/* Parses the answer as every stage kind; fails if none accepts it.  A sample that none accepts is a
+ * defect of the sample. */
 static enum status
 answer_decode (void *parent, const void *data, size_t length)
 {
--- a/bench/host_cost.c
+++ b/bench/host_cost.c
@@ -1,4 +1,4 @@
-/* Keeps calls in flight and takes their times; each answer is compared with the expected one. */
+/* Keeps calls in flight and measures their latency; checks each answer against the expected one. */
 #include "host_cost.h"
 #include <stdio.h>
 #include <stdlib.h>
@@ -12,7 +12,7 @@
 
 struct slot
 {
-  struct http_call_sink sink; /* first: its callbacks cast back */
+  struct http_call_sink sink; /* must be first: its callbacks cast to struct slot */
   struct run *run;
   uint32_t step;
   int code;
@@ -23,7 +23,7 @@
 
 struct run
 {
-  struct timer look_timer; /* first: its callback casts back */
+  struct timer look_timer; /* must be first: its callback casts to struct run */
   const struct host_cost_look *look;
   struct caller *caller;
   const struct host_cost_way *way;
@@ -44,7 +44,7 @@
 static void
 start_request (struct slot *slot)
 {
-  static uint64_t ids; /* of the whole process: a host has seen none twice */
+  static uint64_t ids; /* per process, so that a host never sees an id twice */
   struct run *run = slot->run;
 
   run->to_start--;
@@ -95,7 +95,7 @@
 
   slot->code = 0;
   bytes_consume (&slot->answer, slot->answer.length);
-  /* Never for want of a call: the client takes more than the slots. */
+  /* Cannot run out of calls: the client allows more than there are slots. */
   INVARIANT (client->ops->start (client, &spec, &slot->sink, now, &call) == STATUS_OK);
 }
 
--- a/bench/host_cost.h
+++ b/bench/host_cost.h
@@ -1,4 +1,4 @@
-/* Calls kept in flight through a host or straight to targets, for the cost of a host. */
+/* Keeps calls in flight through a host or directly to targets, to measure the cost of a host. */
 #ifndef HOST_COST_H
 #define HOST_COST_H
 
@@ -11,7 +11,7 @@
 #define HOST_COST_STEPS_MAX 4
 #define HOST_COST_SLOTS_MAX 1024
 
-/* One call of a request; the next one starts when it has answered whole. */
+/* One call of a request; the next one starts when its answer is complete. */
 struct host_cost_step
 {
   char address[RESOURCE_ADDRESS_SIZE];
@@ -28,29 +28,30 @@
 
 struct host_cost_result
 {
-  int64_t *latencies; /* of whole answers; host_cost_quantile() sorts them */
+  int64_t *latencies; /* us, of complete and expected answers; sorted by host_cost_quantile() */
   uint32_t capacity;
   uint32_t whole;
   uint32_t refused; /* 429 and 503 */
-  uint32_t failed;  /* any other code, or no whole answer */
-  uint32_t wrong;   /* whole, and not the expected answer */
-  int64_t spent;    /* wall time */
+  uint32_t failed;  /* any other code, or no complete answer */
+  uint32_t wrong;   /* complete, but not the expected answer */
+  int64_t spent;    /* wall time, us */
 };
 
 void host_cost_result_init (struct host_cost_result *result, void *parent, uint32_t capacity);
 
-/* Microseconds; 0 when nothing answered. */
+/* Returns microseconds; 0 if there was no complete answer. */
 int64_t host_cost_quantile (struct host_cost_result *result, double q);
 
-/* Called once, `after` the run's start, while the run goes on. */
+/* A callback that is called once during the run, `after` microseconds from its start. */
 struct host_cost_look
 {
   void (*look) (void *user, uint32_t running);
   void *user;
-  int64_t after; /* a span */
+  int64_t after; /* us */
 };
 
-/* Run `requests` with `in_flight` at one time and add what came to `result`; `look` may be NULL. */
+/* Runs `requests` with `in_flight` at a time and adds the outcome to `result`; `look` may be NULL.
+ */
 void host_cost_run (struct caller *caller,
                     const struct host_cost_way *way,
                     uint32_t requests,
@@ -58,14 +59,14 @@
                     const struct host_cost_look *look,
                     struct host_cost_result *result);
 
-/* The ways to a service and to the four stages of a pipeline, through a host or straight. */
+/* Make the calls to a service or to the four stages of a pipeline, through a host or directly. */
 void host_cost_way_hosted (struct host_cost_way *way,
                            void *parent,
                            const char *host,
                            const struct pipeline_spec *spec);
 void host_cost_way_direct (struct host_cost_way *way,
                            void *parent,
-                           const char *const *targets, /* one address a stage */
+                           const char *const *targets, /* one address per stage */
                            const struct pipeline_spec *spec);
 
 END_DECLS
--- a/bench/host_cost_way.c
+++ b/bench/host_cost_way.c
@@ -1,4 +1,4 @@
-/* The calls of one request of the demo's site: one to a host, or one to each stage's target. */
+/* The calls of one request of the demo site: one to a host, or one to the target of each stage. */
 #include "answer.h"
 #include "host_cost.h"
 #include "site.h"
@@ -8,7 +8,7 @@
 #include <talloc.h>
 
 #define OUTPUT_TOKENS 16
-#define TRACE_REQUESTS 2 /* a pipeline's, then a service's */
+#define TRACE_REQUESTS 2 /* one of a pipeline, then one of a service */
 
 static void
 take_json (struct bytes *out, void *parent, json_t *json)
@@ -33,7 +33,8 @@
     answer_input (&trace->requests[0], out);
 }
 
-/* The text as it stands in JSON, or of a generator's stream its first piece, half of the tokens. */
+/* Sets the expected answer: the text as escaped in JSON, or the first piece of a generator's
+ * stream, which holds half of the tokens. */
 static void
 expect (struct host_cost_way *way,
         void *parent,
@@ -52,7 +53,7 @@
     }
   take_json (&way->expected, parent,
              json_stringn (answer.data, first_piece ? answer.length / 2 : answer.length));
-  /* Without the quotes. */
+  /* Removes the quotes. */
   bytes_consume (&way->expected, 1);
   way->expected.length--;
 }
@@ -80,7 +81,7 @@
                           (json_int_t) OUTPUT_TOKENS));
 }
 
-/* What the stages before have made of the input. */
+/* The input as processed by the preceding stages. */
 struct walk
 {
   struct bytes input;
--- a/bench/slopes.h
+++ b/bench/slopes.h
@@ -1,4 +1,4 @@
-/* What real hosts cost, sampled from outside, and the lines through it. */
+/* The resource use of real hosts, sampled from outside, and linear fits of it. */
 #ifndef SLOPES_H
 #define SLOPES_H
 
@@ -7,7 +7,7 @@
 
 BEGIN_DECLS
 
-/* Name and text of each measure. */
+/* Name and printed text of each measure. */
 #define SLOPES_MEASURE_LIST(X)                                                                     \
   X (RESIDENT, "resident, KiB")                                                                    \
   X (PROCESSOR, "processor, % of a core")                                                          \
@@ -24,7 +24,7 @@
       SLOPES_MEASURE_COUNT
 };
 
-/* What a host does in a run; a host with targets is a home whatever else it is. */
+/* The role of a host in a run; a host with targets is a home, whatever its other role. */
 #define SLOPES_ROLE_LIST(X)                                                                        \
   X (LEADER, "leader")                                                                             \
   X (VOTER, "voter")                                                                               \
@@ -39,7 +39,7 @@
       SLOPES_ROLE_COUNT
 };
 
-/* Totals of one host at one moment. */
+/* Totals of one host at one time. */
 struct slopes_sample
 {
   int64_t at;
@@ -50,7 +50,8 @@
 
 enum status slopes_take (struct launch *launch, uint32_t host, struct slopes_sample *out);
 
-/* Resident memory is the later one's; the others are rates between the two. */
+/* Resident memory is that of `after`; the others are rates per second between the two samples,
+ * processor time in percent of a core. */
 void slopes_rates (const struct slopes_sample *before,
                    const struct slopes_sample *after,
                    double rates[SLOPES_MEASURE_COUNT]);
@@ -68,15 +69,15 @@
 {
   double slope;
   double intercept;
-  double residual; /* root of the mean square of what the line leaves */
+  double residual; /* root mean square error of the fit */
 };
 
 void slopes_add (struct slopes_points *points, double x, double y);
 
-/* Least squares; false with fewer than two different x. */
+/* Fits a line by least squares; returns false with fewer than two different x. */
 bool slopes_fit (const struct slopes_points *points, struct slopes_line *out);
 
-/* The machine's load over the last minute, -1 where it is not told. */
+/* Returns the 1-minute load average of the machine; -1 if it is not available. */
 double slopes_load (void);
 
 END_DECLS
--- a/bench/slopes_fit.c
+++ b/bench/slopes_fit.c
@@ -1,4 +1,4 @@
-/* Lines by least squares. */
+/* Linear fits by least squares. */
 #include "slopes.h"
 #include <math.h>
 
--- a/bench/slopes_run.c
+++ b/bench/slopes_run.c
@@ -1,4 +1,4 @@
-/* Hosts and fakes started, sampled at rest, and what comes of it printed. */
+/* Starts hosts and fake targets, samples them at rest and prints the results. */
 #include "slopes_run.h"
 #include <math.h>
 #include <stdlib.h>
@@ -94,7 +94,7 @@
     slopes_must (run, slopes_take (run->launch, i, &samples[i]));
 }
 
-/* One row for each role: the mean of its hosts. */
+/* Prints one row per role: the mean over its hosts. */
 static void
 print_rows (const struct slopes_run *run,
             double size,
--- a/bench/slopes_run.h
+++ b/bench/slopes_run.h
@@ -1,4 +1,4 @@
-/* A run of hosts of which the cost is measured by their number or by what they hold. */
+/* A run that measures the cost of hosts against their number or against the data they hold. */
 #ifndef SLOPES_RUN_H
 #define SLOPES_RUN_H
 
@@ -7,8 +7,8 @@
 
 BEGIN_DECLS
 
-#define SLOPES_WINDOW (20 * USEC_PER_SEC) /* that rates are taken over */
-#define SLOPES_SETTLE (10 * USEC_PER_SEC) /* before it */
+#define SLOPES_WINDOW (20 * USEC_PER_SEC) /* interval that rates are computed over */
+#define SLOPES_SETTLE (10 * USEC_PER_SEC) /* wait before the interval */
 #define SLOPES_CALL_WITHIN (20 * USEC_PER_SEC)
 #define SLOPES_SIZES_MAX 16
 
@@ -17,7 +17,7 @@
   struct launch *launch;
   const char *unit;
   bool keys;
-  uint32_t first_home; /* hosts from here to `end_home` are homes */
+  uint32_t first_home; /* hosts from here to before `end_home` are homes */
   uint32_t end_home;
   double sizes[SLOPES_SIZES_MAX];
   uint32_t n_sizes;
@@ -27,14 +27,14 @@
 extern const char *const slopes_role_texts[SLOPES_ROLE_COUNT];
 extern const char *const slopes_measure_texts[SLOPES_MEASURE_COUNT];
 
-/* A failed step of a bench ends it; the launch's destructor ends the processes. */
+/* Exits the program if `status` is an error; the destructor of the launch ends the processes. */
 void slopes_must (struct slopes_run *run, enum status status);
 void slopes_wait (struct slopes_run *run, int64_t span);
 
 void slopes_start_hosts (struct slopes_run *run, uint32_t hosts);
 
-/* Several processes of fakes, begun one after the other: one process with thousands of targets is
- * slower than the home, and targets of a real site do not renew in step. */
+/* Starts several processes of fake targets, one after the other: a single process with thousands of
+ * targets is slower than the home, and the targets of a real site do not renew at the same time. */
 void slopes_start_targets (struct slopes_run *run, uint32_t home, uint32_t count);
 
 enum slopes_role slopes_role_of (const struct slopes_run *run,
@@ -42,19 +42,19 @@
                                  const struct slopes_sample *sample);
 void slopes_sample_all (struct slopes_run *run, struct slopes_sample samples[LAUNCH_HOSTS_MAX]);
 
-/* Rates of all hosts at rest: printed by role, and points for the lines. */
+/* Measures the rates of all hosts at rest, prints them by role and adds them to the points. */
 void slopes_measure_rest (struct slopes_run *run, double size);
 
-/* A line through the points of each role and measure. */
+/* Prints the fitted line for each role and measure. */
 void slopes_print_lines (const struct slopes_run *run, const char *per);
 
-/* How many targets the first host may use and how many each home has; asked for after the samples,
- * because the answers themselves take memory. */
+/* Prints how many targets the first host may use and how many are at home at each host.  Call it
+ * after sampling, because the answers themselves take memory. */
 void slopes_print_known (struct slopes_run *run);
 
-/* A host without targets is asked for news of them each 5 s, or each 0.4 s for every host where
- * that is longer (directory_sync.c), so that part of the cost follows these asks and not the hosts.
- */
+/* Replaces the number of hosts in the points by directory requests per second.  A host without
+ * targets is polled every 5 s, or every 0.4 s times the number of hosts if that is longer
+ * (directory_sync.c), so part of the cost grows with these requests and not with the hosts. */
 void slopes_count_asks (struct slopes_run *run);
 
 END_DECLS
--- a/bench/slopes_sample.c
+++ b/bench/slopes_sample.c
@@ -1,4 +1,4 @@
-/* Sampling a host from outside: /proc for memory and processor time, /metrics for its peers. */
+/* Samples a host from outside: memory and processor time from /proc, peer traffic from /metrics. */
 #include "slopes.h"
 #include <stdio.h>
 #include <stdlib.h>
@@ -8,7 +8,7 @@
 
 #define CALL_WITHIN (20 * USEC_PER_SEC)
 #define PROC_BYTES 4096
-#define STAT_UTIME 11 /* fields after the command's closing parenthesis */
+#define STAT_UTIME 11 /* index of utime in the fields after the command's closing parenthesis */
 
 static enum status
 read_proc (pid_t pid, const char *name, char out[PROC_BYTES])
@@ -20,7 +20,7 @@
   snprintf (path, sizeof path, "/proc/%d/%s", (int) pid, name);
   file = fopen (path, "re");
   if (file == NULL)
-    return status_fail (STATUS_IO, "%s is gone", path);
+    return status_fail (STATUS_IO, "cannot open %s", path);
   length = fread (out, 1, PROC_BYTES - 1, file);
   out[length] = '\0';
   fclose (file);
@@ -39,7 +39,8 @@
     return status;
   field = strstr (text, "\nVmRSS:");
   if (field == NULL)
-    return status_fail (STATUS_IO, "process %d has ended", (int) pid);
+    return status_fail (STATUS_IO, "status of process %d has no VmRSS line; the process has ended",
+                        (int) pid);
   out->totals[SLOPES_RESIDENT] = strtod (field + strlen ("\nVmRSS:"), NULL);
   status = read_proc (pid, "stat", text);
   if (status != STATUS_OK)
@@ -48,14 +49,14 @@
   for (int i = 0; field && i <= STAT_UTIME; i++)
     field = strchr (field + 1, ' ');
   if (field == NULL)
-    return status_fail (STATUS_IO, "stat of process %d was not read", (int) pid);
+    return status_fail (STATUS_IO, "stat of process %d has too few fields", (int) pid);
   out->totals[SLOPES_PROCESSOR] = strtod (field, &end);
   out->totals[SLOPES_PROCESSOR] += strtod (end, NULL);
   out->totals[SLOPES_PROCESSOR] /= (double) sysconf (_SC_CLK_TCK);
   return STATUS_OK;
 }
 
-/* The value of the line that begins with `name`; a counter that was never written is 0. */
+/* Returns the value of the line that begins with `name`; 0 for a counter that was never written. */
 static double
 metric (const char *text, const char *name)
 {
@@ -86,7 +87,8 @@
       || !strstr (answer.body.data, "cherryarch_peer_bytes_total"))
     {
       talloc_free (scratch);
-      return status_fail (STATUS_IO, "no metrics of %s", launch->hosts[host].process.name);
+      return status_fail (STATUS_IO, "no peer metrics from host %s",
+                          launch->hosts[host].process.name);
     }
 #define PEER(what, way)                                                                            \
   metric (answer.body.data, "cherryarch_peer_" what "_total{direction=\"" way "\"}")
--- a/tests/unit_fuzz.cc
+++ b/tests/unit_fuzz.cc
@@ -1,5 +1,5 @@
-// Bytes from outside: a caller, a target or another host sends what no honest one would.  A decoder
-// that trusts a length or a type crashes the host, and with it every request in flight.
+// Malformed input from a caller, a target or another host.  A decoder that trusts a length or a
+// type in it crashes the host, and with it every request in flight.
 #include "fuzz.h"
 #include <gtest/gtest.h>
 #include <set>
@@ -17,7 +17,7 @@
 
 using Fuzz = fuzz;
 
-TEST_P (Fuzz, TakesItsSamplesWholeAndNoneWithNothingInIt)
+TEST_P (Fuzz, AcceptsItsSamplesAndRejectsEmptyInput)
 {
   const struct fuzz_decoder *decoder = GetParam ();
 
@@ -35,8 +35,9 @@
   EXPECT_NE (fuzz_decode (decoder, "", 0), STATUS_OK);
 }
 
-// A message cut anywhere, as by a sender that died, is refused or read as a shorter whole one.
-TEST_P (Fuzz, SurvivesACutAnywhere)
+// A message truncated anywhere, as by a sender that crashed, is rejected or read as a shorter valid
+// one.
+TEST_P (Fuzz, SurvivesTruncationAtAnyLength)
 {
   const struct fuzz_decoder *decoder = GetParam ();
 
@@ -52,9 +53,9 @@
     }
 }
 
-// The sanitizers judge reads, writes, leaks and undefined behaviour; a decoder that refused nothing
-// would check nothing.
-TEST_P (Fuzz, SurvivesMutationsAndRefusesSome)
+// The sanitizers report invalid reads and writes, leaks and undefined behaviour.  A decoder that
+// rejects nothing checks nothing, so some inputs must be rejected.
+TEST_P (Fuzz, SurvivesMutationsAndRejectsSome)
 {
   struct fuzz_result result = {};
 
--- a/tests/unit_slopes.cc
+++ b/tests/unit_slopes.cc
@@ -1,11 +1,11 @@
-// The lines through what real hosts cost.
+// Linear fits of the resource use of real hosts.
 #include "slopes.h"
 #include <gtest/gtest.h>
 
 namespace
 {
 
-TEST (Slopes, ALineIsFoundWithWhatItLeaves)
+TEST (Slopes, FitsALineAndReportsTheResidual)
 {
   struct slopes_points points = {};
   struct slopes_line line;
@@ -22,7 +22,7 @@
   EXPECT_DOUBLE_EQ (line.residual, 1);
 }
 
-TEST (Slopes, RatesAreOverTheTimeBetweenAndMemoryIsTheLaters)
+TEST (Slopes, RatesCoverTheIntervalAndMemoryIsOfTheLaterSample)
 {
   struct slopes_sample before = {};
   struct slopes_sample after = {};
