--- a/bench/cmd_commit.c
+++ b/bench/cmd_commit.c
@@ -22,9 +22,9 @@
 #include <unistd.h>
 
 #define ENTRY_BYTES 256
-#define DEADLINE (10 * USEC_PER_SEC)
+#define PROPOSAL_TIMEOUT (10 * USEC_PER_SEC)
 #define VOTERS_MAX 9
-#define SETTLE (5 * USEC_PER_SEC)
+#define STARTUP_DELAY (5 * USEC_PER_SEC)
 #define WINDOW_MAX 4096
 
 static int64_t
@@ -51,49 +51,49 @@
 }
 
 /* A state machine that retains every entry, like a store of small objects. */
-struct keeper
+struct recorder
 {
   struct machine machine;
-  struct bytes kept;
+  struct bytes recorded;
   uint64_t entries;
 };
 
 static void
-keeper_apply (
+recorder_apply (
     struct machine *machine, uint64_t index, const void *entry, size_t length, struct bytes *result)
 {
-  struct keeper *keeper = (struct keeper *) machine;
+  struct recorder *recorder = (struct recorder *) machine;
 
-  bytes_append (&keeper->kept, entry, length);
+  bytes_append (&recorder->recorded, entry, length);
   bytes_append (result, &index, sizeof index);
-  keeper->entries++;
+  recorder->entries++;
 }
 
 static enum status
-keeper_save (struct machine *machine, struct bytes *out)
+recorder_save (struct machine *machine, struct bytes *out)
 {
-  const struct keeper *keeper = (const struct keeper *) machine;
+  const struct recorder *recorder = (const struct recorder *) machine;
 
-  bytes_append (out, keeper->kept.data, keeper->kept.length);
+  bytes_append (out, recorder->recorded.data, recorder->recorded.length);
   return STATUS_OK;
 }
 
 static enum status
-keeper_load (struct machine *machine, uint64_t index, const void *data, size_t length)
+recorder_load (struct machine *machine, uint64_t index, const void *data, size_t length)
 {
-  struct keeper *keeper = (struct keeper *) machine;
+  struct recorder *recorder = (struct recorder *) machine;
 
   (void) index;
-  bytes_clear (&keeper->kept);
-  bytes_append (&keeper->kept, data, length);
-  keeper->entries = length / ENTRY_BYTES;
+  bytes_clear (&recorder->recorded);
+  bytes_append (&recorder->recorded, data, length);
+  recorder->entries = length / ENTRY_BYTES;
   return STATUS_OK;
 }
 
-static const struct machine_ops keeper_ops = {
-  .apply = keeper_apply,
-  .save = keeper_save,
-  .load = keeper_load,
+static const struct machine_ops recorder_ops = {
+  .apply = recorder_apply,
+  .save = recorder_save,
+  .load = recorder_load,
 };
 
 /* Load generator: keeps a fixed number of proposals outstanding and records their latency. */
@@ -136,7 +136,7 @@
   memcpy (entry, &load->begun, sizeof load->begun);
   slot->began = now;
   if (load->consensus->ops->propose (load->consensus, entry, sizeof entry, &slot->proposal,
-                                     now + DEADLINE, now)
+                                     now + PROPOSAL_TIMEOUT, now)
       != STATUS_OK)
     load->failed++;
 }
@@ -168,7 +168,7 @@
 static const struct proposal_ops proposal_ops = { .done = proposal_done };
 
 static void
-load_fired (struct timer *timer, int64_t now)
+on_load_timer (struct timer *timer, int64_t now)
 {
   struct load *load = (struct load *) timer;
 
@@ -195,7 +195,7 @@
     }
 }
 
-static const struct timer_ops load_ops = { .fire = load_fired };
+static const struct timer_ops load_ops = { .fire = on_load_timer };
 
 static struct disk *
 open_folder (void *parent, const char *folder)
@@ -268,7 +268,7 @@
 {
   struct loop *loop;
   struct counters *counters;
-  struct keeper keeper;
+  struct recorder recorder;
   struct peer_port *port;
   struct consensus *consensus;
   int64_t open_time;
@@ -287,8 +287,8 @@
 
   bench->loop = loop_new (NULL, 64);
   bench->counters = counters_new (NULL);
-  bench->keeper.machine.ops = &keeper_ops;
-  bytes_init (&bench->keeper.kept, NULL);
+  bench->recorder.machine.ops = &recorder_ops;
+  bytes_init (&bench->recorder.recorded, NULL);
   for (uint32_t i = 0; i < n; i++)
     {
       snprintf (names[i], sizeof names[i], "v%u", i);
@@ -318,7 +318,7 @@
   config.disk = open_folder (NULL, folder);
   config.port = bench->port;
   config.timers = loop_timers (bench->loop);
-  config.machine = &bench->keeper.machine;
+  config.machine = &bench->recorder.machine;
   config.counters = bench->counters;
   randombytes_buf (&config.seed, sizeof config.seed);
   began = clock_now ();
@@ -344,7 +344,7 @@
   load->target = target;
   load->end = span;
   timer_arm (loop_timers (bench->loop), &load->timer,
-             loop_now (bench->loop) + (bench->port != NULL ? SETTLE : 0));
+             loop_now (bench->loop) + (bench->port != NULL ? STARTUP_DELAY : 0));
   return load;
 }
 
@@ -377,7 +377,7 @@
   printf ("open %.1f ms, to the first commit %.1f ms (an election included), resident %.1f MB"
           " (%.1f before), %" PRIu64 " entries in the machine\n",
           (double) bench.open_time / 1000, (double) (clock_now () - began) / 1000,
-          (double) resident_bytes () / 1e6, (double) before / 1e6, bench.keeper.entries);
+          (double) resident_bytes () / 1e6, (double) before / 1e6, bench.recorder.entries);
   (void) load;
 }
 
--- a/bench/cmd_demo.c
+++ b/bench/cmd_demo.c
@@ -13,7 +13,7 @@
 #define DEMO_CALLERS 16
 #define DEMO_SPACING (10 * USEC_PER_MSEC)
 /* Ends a demo that hangs; no step takes nearly this long. */
-#define DEMO_BOUND_SECONDS 55
+#define DEMO_TIMEOUT_SECONDS 55
 
 static enum status
 start (struct launch *launch)
@@ -92,7 +92,7 @@
   struct launch *launch = launch_new (NULL);
   int failed = 1;
 
-  alarm (DEMO_BOUND_SECONDS); /* the child processes end with this one */
+  alarm (DEMO_TIMEOUT_SECONDS); /* the child processes end with this one */
   if (launch && start (launch) == STATUS_OK)
     {
       printf ("%u hosts and %u targets are up in %s\n", DEMO_HOSTS, DEMO_TARGETS, launch->folder);
--- a/bench/cmd_edge-cost.c
+++ b/bench/cmd_edge-cost.c
@@ -42,7 +42,7 @@
   unsigned whole;
   unsigned failed;
   unsigned n_held;
-  unsigned hold_until; /* answer once this many are held; 0: answer at once */
+  unsigned hold_count; /* answer once this many are held; 0: answer at once */
   int64_t hold;
 };
 
@@ -86,13 +86,13 @@
 {
   struct bench *bench = (struct bench *) route;
 
-  if (bench->hold_until == 0)
+  if (bench->hold_count == 0)
     {
       answer (bench, exchange);
       return;
     }
   bench->held[bench->n_held++] = exchange;
-  if (bench->n_held == bench->hold_until)
+  if (bench->n_held == bench->hold_count)
     timer_arm (loop_timers (bench->loop), &bench->release, now + bench->hold);
 }
 
@@ -123,7 +123,7 @@
 }
 
 static void
-on_over (struct bench_call *call, int64_t now)
+finish_call (struct bench_call *call, int64_t now)
 {
   struct bench *bench = call->bench;
 
@@ -163,7 +163,7 @@
   struct bench_call *call = (struct bench_call *) sink;
 
   call->bench->whole++;
-  on_over (call, now);
+  finish_call (call, now);
 }
 
 static void
@@ -174,7 +174,7 @@
   (void) sent;
   if (call->bench->failed++ == 0)
     printf ("first failure: %s: %s\n", status_text (why), status_message ());
-  on_over (call, now);
+  finish_call (call, now);
 }
 
 static const struct http_call_sink_ops sink_ops = {
@@ -214,7 +214,7 @@
 }
 
 static bool
-open_edges (struct bench *bench)
+open_server_and_client (struct bench *bench)
 {
   struct http_server_config server = {
     .loop = bench->loop,
@@ -255,16 +255,16 @@
   bench->loop = loop_new (bench, CONNECTIONS_MAX);
   bench->calls = talloc_zero_array (bench, struct bench_call, CONNECTIONS_MAX);
   bench->held = talloc_zero_array (bench, struct http_exchange *, CONNECTIONS_MAX);
-  if (bench->loop == NULL || !open_edges (bench) || in_flight > CONNECTIONS_MAX / 2)
+  if (bench->loop == NULL || !open_server_and_client (bench) || in_flight > CONNECTIONS_MAX / 2)
     return EXIT_FAILURE;
   for (unsigned i = 0; i < CONNECTIONS_MAX; i++)
     bench->calls[i] = (struct bench_call){ .sink = { .ops = &sink_ops }, .bench = bench };
   printf ("resident idle: %ld KiB\n", resident_kib ());
   run (bench, "32 in flight", requests, COST_IN_FLIGHT);
-  bench->hold_until = in_flight;
+  bench->hold_count = in_flight;
   bench->hold = hold;
   run (bench, "held", in_flight, in_flight);
-  bench->hold_until = 0;
+  bench->hold_count = 0;
   run (bench, "many in flight", requests, in_flight);
   printf ("resident at the end: %ld KiB\n", resident_kib ());
   talloc_free (bench);
--- a/bench/cmd_explore.c
+++ b/bench/cmd_explore.c
@@ -28,7 +28,7 @@
 
 /* Returns the time without a working leader, in microseconds. */
 static int64_t
-failover (uint32_t voters, uint64_t seed, bool hand_over)
+measure_failover (uint32_t voters, uint64_t seed, bool hand_over)
 {
   struct fake_group_config config = { .seed = seed, .voters = voters };
   struct fake_group *group = fake_group_new (NULL, &config);
@@ -73,7 +73,7 @@
   for (int hand_over = 0; hand_over < 2 && times != NULL && seeds > 0; hand_over++)
     {
       for (uint64_t i = 0; i < seeds; i++)
-        times[i] = failover (voters, i + 1, hand_over);
+        times[i] = measure_failover (voters, i + 1, hand_over);
       qsort (times, seeds, sizeof times[0], compare_times);
       printf ("%u voters, %" PRIu64 " seeds, %s: p50 %.1f ms, p99 %.1f ms, max %.1f ms\n", voters,
               seeds, hand_over ? "hand-over" : "host died", (double) times[half] / 1000,
--- a/bench/cmd_fake-target.c
+++ b/bench/cmd_fake-target.c
@@ -16,8 +16,8 @@
 #define CALLS_MAX 16384
 #define ANSWER_BYTES_MAX 65536
 #define CONNECT_TIMEOUT (500 * USEC_PER_MSEC)
-#define QUIT_BOUND (10 * USEC_PER_SEC)
-#define QUIT_STEP (20 * USEC_PER_MSEC)
+#define QUIT_TIMEOUT (10 * USEC_PER_SEC)
+#define QUIT_POLL_INTERVAL (20 * USEC_PER_MSEC)
 
 struct program
 {
@@ -34,7 +34,7 @@
   const char *control;
   char domains[DOMAINS_MAX][RESOURCE_NAME_SIZE];
   uint32_t n_domains;
-  int64_t quit_until; /* 0 until a signal arrives */
+  int64_t quit_deadline; /* 0 until a signal arrives */
 };
 
 enum option_key
@@ -305,13 +305,13 @@
 
   for (uint32_t i = 0; i < program->count; i++)
     idle = idle && fake_target_idle (program->targets[i]) && fake_target_left (program->targets[i]);
-  if (idle || now >= program->quit_until)
+  if (idle || now >= program->quit_deadline)
     loop_stop (program->loop);
   else
-    timer_arm (loop_timers (program->loop), timer, now + QUIT_STEP);
+    timer_arm (loop_timers (program->loop), timer, now + QUIT_POLL_INTERVAL);
 }
 
-/* Make all targets leave, and exit when no call is in flight or QUIT_BOUND has passed; a second
+/* Make all targets leave, and exit when no call is in flight or QUIT_TIMEOUT has passed; a second
  * signal exits at once. */
 static void
 on_signal (struct loop_signal *handler, int signo, int64_t now)
@@ -320,12 +320,12 @@
       (struct program *) ((char *) handler - offsetof (struct program, signal));
 
   (void) signo;
-  if (program->quit_until > 0)
+  if (program->quit_deadline > 0)
     {
       loop_stop (program->loop);
       return;
     }
-  program->quit_until = now + QUIT_BOUND;
+  program->quit_deadline = now + QUIT_TIMEOUT;
   for (uint32_t i = 0; i < program->count; i++)
     fake_target_leave (program->targets[i], now);
   on_quit (&program->quit_timer, now);
--- a/bench/cmd_host-cost.c
+++ b/bench/cmd_host-cost.c
@@ -15,12 +15,12 @@
 #define ROUNDS 4
 #define SLOTS 2000
 #define TARGETS 6 /* one for each pool of the demo site, and one for the held pool */
-#define WARM_REQUESTS 500
+#define WARMUP_REQUESTS 500
 #define HELD_FOR_MSEC 5000
-#define LOOK_AFTER (4 * USEC_PER_SEC)
+#define SAMPLE_DELAY (4 * USEC_PER_SEC)
 #define IDLE_SECONDS 3
-#define ALONE_SHARE 100 /* 1/100 of the requests is also sent one at a time */
-#define BOUND_SECONDS 300
+#define SEQUENTIAL_DIVISOR 100 /* 1/100 of the requests is also sent one at a time */
+#define TIMEOUT_SECONDS 300
 
 struct cost
 {
@@ -101,7 +101,7 @@
 }
 
 static const char *
-target_of (const json_t *dump, const char *pool)
+target_of_pool (const json_t *dump, const char *pool)
 {
   const json_t *targets = json_object_get (json_object_get (dump, "board"), "targets");
   const json_t *target;
@@ -130,7 +130,7 @@
   const char *targets[RESOURCE_STAGES_MAX];
 
   for (uint32_t i = 0; i < spec->n_stages; i++)
-    targets[i] = target_of (dump, spec->stages[i].pool);
+    targets[i] = target_of_pool (dump, spec->stages[i].pool);
   host_cost_way_hosted (hosted, cost->launch, host->addresses[LAUNCH_CALLERS], spec);
   host_cost_way_direct (direct, cost->launch, targets, spec);
   json_decref (dump);
@@ -138,7 +138,7 @@
 
 /* Processor seconds and resident KiB of the host process; aborts if the process has ended. */
 static struct slopes_sample
-sample (struct cost *cost)
+sample_host (struct cost *cost)
 {
   struct slopes_sample out;
 
@@ -172,17 +172,17 @@
   char name[RESOURCE_NAME_SIZE + 32];
 
   make_ways (cost, spec, &hosted, &direct);
-  host_cost_result_init (&warm, cost->launch, 2 * WARM_REQUESTS);
+  host_cost_result_init (&warm, cost->launch, 2 * WARMUP_REQUESTS);
   host_cost_result_init (&results[0], cost->launch, ROUNDS * round);
   host_cost_result_init (&results[1], cost->launch, ROUNDS * round);
-  host_cost_run (caller, &hosted, WARM_REQUESTS, in_flight, NULL, &warm);
-  host_cost_run (caller, &direct, WARM_REQUESTS, in_flight, NULL, &warm);
+  host_cost_run (caller, &hosted, WARMUP_REQUESTS, in_flight, NULL, &warm);
+  host_cost_run (caller, &direct, WARMUP_REQUESTS, in_flight, NULL, &warm);
   for (int i = 0; i < ROUNDS; i++)
     {
-      double before = sample (cost).totals[SLOPES_PROCESSOR];
+      double before = sample_host (cost).totals[SLOPES_PROCESSOR];
 
       host_cost_run (caller, &hosted, round, in_flight, NULL, &results[0]);
-      processor += sample (cost).totals[SLOPES_PROCESSOR] - before;
+      processor += sample_host (cost).totals[SLOPES_PROCESSOR] - before;
       host_cost_run (caller, &direct, round, in_flight, NULL, &results[1]);
     }
   snprintf (name, sizeof name, "%u stage%s, %u in flight", spec->n_stages,
@@ -192,11 +192,11 @@
   printf ("%s: %.1f us of the host's processor time a request\n", name,
           processor * (double) USEC_PER_SEC / (ROUNDS * round));
   return results[0].whole == ROUNDS * round && results[1].whole == ROUNDS * round
-         && warm.whole == 2 * WARM_REQUESTS;
+         && warm.whole == 2 * WARMUP_REQUESTS;
 }
 
 static void
-look_at_held (void *user, uint32_t running)
+print_held_memory (void *user, uint32_t running)
 {
   const struct cost *cost = user;
   char path[64];
@@ -217,7 +217,7 @@
 static bool
 measure_held (struct cost *cost)
 {
-  const struct host_cost_look look = { look_at_held, cost, LOOK_AFTER };
+  const struct host_cost_look look = { print_held_memory, cost, SAMPLE_DELAY };
   struct host_cost_way hosted;
   struct host_cost_way direct;
   struct host_cost_result result;
@@ -235,27 +235,27 @@
 static bool
 run (struct cost *cost)
 {
-  struct slopes_sample first = sample (cost);
+  struct slopes_sample first = sample_host (cost);
   struct slopes_sample second;
-  uint32_t alone = (cost->requests + ALONE_SHARE - 1) / ALONE_SHARE;
+  uint32_t sequential = (cost->requests + SEQUENTIAL_DIVISOR - 1) / SEQUENTIAL_DIVISOR;
   bool good;
 
   sleep (IDLE_SECONDS);
-  second = sample (cost);
+  second = sample_host (cost);
   printf ("resident idle: %.0f KiB; processor idle: %.2f%% of a core\n",
           second.totals[SLOPES_RESIDENT],
           100 * (second.totals[SLOPES_PROCESSOR] - first.totals[SLOPES_PROCESSOR])
               / ((double) (second.at - first.at) / (double) USEC_PER_SEC));
   good = measure (cost, &cost->service, cost->requests, cost->in_flight);
-  good = measure (cost, &cost->service, alone, 1) && good;
+  good = measure (cost, &cost->service, sequential, 1) && good;
   good = measure (cost, &cost->pipeline, cost->requests, cost->in_flight) && good;
-  good = measure (cost, &cost->pipeline, alone, 1) && good;
-  printf ("resident before any is held: %.0f KiB\n", sample (cost).totals[SLOPES_RESIDENT]);
+  good = measure (cost, &cost->pipeline, sequential, 1) && good;
+  printf ("resident before any is held: %.0f KiB\n", sample_host (cost).totals[SLOPES_RESIDENT]);
   good = measure_held (cost) && good;
   /* The host's connections to callers and targets are still open and idle. */
   printf ("after %u were held at one time:\n", cost->n_held);
   good = measure (cost, &cost->service, cost->requests, cost->in_flight) && good;
-  printf ("resident at the end: %.0f KiB; load %.1f\n", sample (cost).totals[SLOPES_RESIDENT],
+  printf ("resident at the end: %.0f KiB; load %.1f\n", sample_host (cost).totals[SLOPES_RESIDENT],
           slopes_load ());
   return good;
 }
@@ -272,7 +272,7 @@
   struct cost *cost = talloc_zero (NULL, struct cost);
   bool good = false;
 
-  alarm (BOUND_SECONDS); /* the child processes end with this one */
+  alarm (TIMEOUT_SECONDS); /* the child processes end with this one */
   setvbuf (stdout, NULL, _IOLBF, 0);
   cost->requests = argument (argc, argv, 1, 20000);
   cost->in_flight = argument (argc, argv, 2, 32);
--- a/bench/cmd_in_force.c
+++ b/bench/cmd_in_force.c
@@ -9,8 +9,8 @@
 #include <stdlib.h>
 #include <talloc.h>
 
-#define CALL_WITHIN (20 * USEC_PER_SEC)
-#define ENDS_WITHIN (30 * USEC_PER_SEC)
+#define CALL_TIMEOUT (20 * USEC_PER_SEC)
+#define EXIT_TIMEOUT (30 * USEC_PER_SEC)
 
 static int
 compare (const void *a, const void *b)
@@ -29,15 +29,15 @@
 
 /* Propose one change at one host.  Returns false when it does not come into force on all hosts. */
 static bool
-change (struct launch *launch, uint32_t host, uint32_t number, int64_t *span)
+propose_change (struct launch *launch, uint32_t host, uint32_t number, int64_t *span)
 {
   struct loop *loop = caller_loop (launch->caller);
   int64_t begin = loop_now (loop);
   int code = 0;
-  json_t *answer =
-      call_json (launch->caller, launch->hosts[host].addresses[LAUNCH_OPERATORS], "PUT",
-                 "/v1/organisations/probe?wait=10000",
-                 json_pack ("{s:{s:f}}", "spec", "weight", 1 + number * 0.001), CALL_WITHIN, &code);
+  json_t *answer = call_json (launch->caller, launch->hosts[host].addresses[LAUNCH_OPERATORS],
+                              "PUT", "/v1/organisations/probe?wait=10000",
+                              json_pack ("{s:{s:f}}", "spec", "weight", 1 + number * 0.001),
+                              CALL_TIMEOUT, &code);
   const json_t *in_force = json_object_get (answer, "inForce");
   bool good = (code == 200 || code == 201)
               && json_is_true (json_object_get (in_force, "everywhere"))
@@ -57,7 +57,7 @@
 
   INVARIANT (spans != NULL);
   for (i = 0; i < count; i++)
-    if (!change (launch, i % launch->n_hosts, i, &spans[i]))
+    if (!propose_change (launch, i % launch->n_hosts, i, &spans[i]))
       missed++;
   qsort (spans, count, sizeof *spans, compare);
   printf ("%u hosts, %u changes in turn: in force everywhere after p50 %.1f, p90 %.1f, p99 %.1f, "
@@ -75,7 +75,7 @@
   int64_t begin;
 
   launch_signal (&launch->hosts[host].process, SIGKILL);
-  if (!launch_wait_end (launch, &launch->hosts[host].process, ENDS_WITHIN))
+  if (!launch_wait_end (launch, &launch->hosts[host].process, EXIT_TIMEOUT))
     return;
   begin = loop_now (loop);
   if (launch_start_host (launch, host) != STATUS_OK || launch_wait_healthy (launch) != STATUS_OK)
--- a/bench/cmd_policy_cost.c
+++ b/bench/cmd_policy_cost.c
@@ -23,7 +23,7 @@
   uint32_t decisions;
 };
 
-struct bed
+struct fixture
 {
   struct board *board;
   struct decide *decide;
@@ -46,14 +46,14 @@
 }
 
 static void
-add_pools (struct bed *bed, const struct options *options)
+add_pools (struct fixture *fixture, const struct options *options)
 {
   uint32_t i;
 
   for (i = 0; i < options->pools; i++)
     {
       struct handle handle;
-      struct board_pool *pool = table_add (bed->board->pools, &handle);
+      struct board_pool *pool = table_add (fixture->board->pools, &handle);
 
       snprintf (pool->spec.name, sizeof pool->spec.name, "pool-%u", i);
       pool->spec.slots = 16;
@@ -62,14 +62,14 @@
 }
 
 static void
-add_targets (struct bed *bed, const struct options *options)
+add_targets (struct fixture *fixture, const struct options *options)
 {
   uint32_t i;
 
   for (i = 0; i < options->targets; i++)
     {
       struct handle handle;
-      struct board_target *target = table_add (bed->board->targets, &handle);
+      struct board_target *target = table_add (fixture->board->targets, &handle);
 
       snprintf (target->name, sizeof target->name, "target-%u", i);
       snprintf (target->pool, sizeof target->pool, "pool-%u", i % options->pools);
@@ -78,15 +78,15 @@
       target->n_models = 1;
       target->slots = 16;
       target->lease_until = USEC_NEVER;
-      board_find_pool (bed->board, target->pool, &target->pool_handle);
-      board_publish (bed->board, BOARD_TARGET_ADDED, handle, 0);
+      board_find_pool (fixture->board, target->pool, &target->pool_handle);
+      board_publish (fixture->board, BOARD_TARGET_ADDED, handle, 0);
     }
 }
 
 static void
-add_rest (struct bed *bed, const struct options *options)
+add_rest (struct fixture *fixture, const struct options *options)
 {
-  struct board_pipeline *pipeline = table_add (bed->board->pipelines, &bed->pipeline);
+  struct board_pipeline *pipeline = table_add (fixture->board->pipelines, &fixture->pipeline);
   struct handle handle;
   uint32_t i;
 
@@ -104,7 +104,7 @@
     }
   for (i = 0; i < options->hosts; i++)
     {
-      struct board_host *host = table_add (bed->board->hosts, &handle);
+      struct board_host *host = table_add (fixture->board->hosts, &handle);
 
       snprintf (host->name, sizeof host->name, "host-%u", i);
       host->self = i == 0;
@@ -112,7 +112,7 @@
   for (i = 0; i < ORGANISATIONS; i++)
     {
       struct board_organisation *organisation =
-          table_add (bed->board->organisations, &bed->organisation);
+          table_add (fixture->board->organisations, &fixture->organisation);
 
       snprintf (organisation->spec.name, RESOURCE_NAME_SIZE, "organisation-%u", i);
       organisation->spec.weight = 1;
@@ -122,57 +122,57 @@
 }
 
 static void
-run_stage (struct bed *bed, struct decide_request *request)
+run_stage (struct fixture *fixture, struct decide_request *request)
 {
   struct decide_choice choice;
   struct decide_result result = { .end = DECIDE_END_WHOLE, .output_tokens = 100 };
   double start = seconds ();
-  enum decide_reason reason =
-      decide_choose (bed->decide, request, request->input_tokens, NULL, 0, bed->now, &choice);
+  enum decide_reason reason = decide_choose (fixture->decide, request, request->input_tokens, NULL,
+                                             0, fixture->now, &choice);
   double chosen = seconds ();
 
-  bed->choose += chosen - start;
+  fixture->choose += chosen - start;
   if (reason != DECIDE_ADMITTED)
     return;
-  decide_attempt_started (bed->decide, request, &choice, bed->now);
+  decide_attempt_started (fixture->decide, request, &choice, fixture->now);
   result.target = choice.target;
   result.choice = choice;
-  result.started = bed->now;
-  result.first_data = bed->now + 50 * USEC_PER_MSEC;
-  result.ended = bed->now + (int64_t) (200 * USEC_PER_MSEC);
+  result.started = fixture->now;
+  result.first_data = fixture->now + 50 * USEC_PER_MSEC;
+  result.ended = fixture->now + (int64_t) (200 * USEC_PER_MSEC);
   result.input_tokens = request->input_tokens;
-  decide_attempt_ended (bed->decide, request, &result, result.ended);
-  bed->account += seconds () - chosen;
+  decide_attempt_ended (fixture->decide, request, &result, result.ended);
+  fixture->account += seconds () - chosen;
 }
 
 static void
-run_request (struct bed *bed)
+run_request (struct fixture *fixture)
 {
-  struct decide_request request = { .pipeline = bed->pipeline,
-                                    .organisation = bed->organisation,
-                                    .arrived = bed->now,
-                                    .deadline = bed->now + 4 * USEC_PER_SEC,
+  struct decide_request request = { .pipeline = fixture->pipeline,
+                                    .organisation = fixture->organisation,
+                                    .arrived = fixture->now,
+                                    .deadline = fixture->now + 4 * USEC_PER_SEC,
                                     .output_tokens = 100,
                                     .priority = 5,
                                     .repeatable = true };
   double start;
-  uint64_t document = rng_below (&bed->rng, 1000);
+  uint64_t document = rng_below (&fixture->rng, 1000);
   uint32_t i;
 
-  request.input_tokens = 100 + (uint32_t) rng_below (&bed->rng, 8000);
+  request.input_tokens = 100 + (uint32_t) rng_below (&fixture->rng, 8000);
   request.n_prefix = DECIDE_PREFIX_BLOCKS;
   for (i = 0; i < DECIDE_PREFIX_BLOCKS; i++)
     request.prefix[i] = (document * DECIDE_PREFIX_BLOCKS + i + 1) * UINT64_C (0x9e3779b97f4a7c15);
   start = seconds ();
-  decide_admit (bed->decide, &request, bed->now);
-  bed->admit += seconds () - start;
+  decide_admit (fixture->decide, &request, fixture->now);
+  fixture->admit += seconds () - start;
   for (i = 0; i < STAGES; i++)
     {
       request.stage = i;
-      run_stage (bed, &request);
+      run_stage (fixture, &request);
     }
-  decide_finish (bed->decide, &request, true, bed->now);
-  bed->now += 2 * USEC_PER_MSEC;
+  decide_finish (fixture->decide, &request, true, fixture->now);
+  fixture->now += 2 * USEC_PER_MSEC;
 }
 
 static error_t
@@ -207,32 +207,33 @@
     option_list, parse_option, NULL, "Time the decisions.", 0, 0, 0
   };
   struct options options = { .targets = 18, .pools = 1, .hosts = 6, .decisions = 50000 };
-  struct bed bed = { .now = USEC_PER_SEC };
+  struct fixture fixture = { .now = USEC_PER_SEC };
   size_t before;
   uint32_t i;
 
   if (argp_parse (&argp, argc, argv, 0, NULL, &options) != 0)
     return EXIT_FAILURE;
-  rng_init (&bed.rng, 1);
-  bed.board = board_new (NULL);
-  bed.decide = decide_new (bed.board, bed.board, counters_new (bed.board), 1);
-  add_pools (&bed, &options);
-  add_rest (&bed, &options);
-  before = talloc_total_size (bed.decide);
-  add_targets (&bed, &options);
+  rng_init (&fixture.rng, 1);
+  fixture.board = board_new (NULL);
+  fixture.decide = decide_new (fixture.board, fixture.board, counters_new (fixture.board), 1);
+  add_pools (&fixture, &options);
+  add_rest (&fixture, &options);
+  before = talloc_total_size (fixture.decide);
+  add_targets (&fixture, &options);
   printf ("targets %u, pools %u, hosts %u\n", options.targets, options.pools, options.hosts);
   printf ("bytes for each target: %.0f of the decisions, %zu of the board\n",
-          (double) (talloc_total_size (bed.decide) - before) / options.targets,
+          (double) (talloc_total_size (fixture.decide) - before) / options.targets,
           sizeof (struct board_target));
   for (i = 0; i < options.decisions / 5; i++)
-    run_request (&bed);
-  bed.admit = bed.choose = bed.account = 0;
+    run_request (&fixture);
+  fixture.admit = fixture.choose = fixture.account = 0;
   for (i = 0; i < options.decisions; i++)
-    run_request (&bed);
+    run_request (&fixture);
   printf ("admission of four stages %.2f us, choice %.2f us, start and end of an attempt %.2f us\n",
-          bed.admit / options.decisions * 1e6, bed.choose / options.decisions / STAGES * 1e6,
-          bed.account / options.decisions / STAGES * 1e6);
-  printf ("bytes of the decisions in all: %zu\n", talloc_total_size (bed.decide));
-  talloc_free (bed.board);
+          fixture.admit / options.decisions * 1e6,
+          fixture.choose / options.decisions / STAGES * 1e6,
+          fixture.account / options.decisions / STAGES * 1e6);
+  printf ("bytes of the decisions in all: %zu\n", talloc_total_size (fixture.decide));
+  talloc_free (fixture.board);
   return EXIT_SUCCESS;
 }
--- a/bench/cmd_slopes.c
+++ b/bench/cmd_slopes.c
@@ -15,12 +15,12 @@
 #include <talloc.h>
 
 #define SETTLE_PER_HOST (1 * USEC_PER_SEC)
-#define FEW_HOSTS 4 /* three voters and a follower */
-#define TARGETS_EACH 10
+#define BASE_HOSTS 4 /* three voters and a follower */
+#define TARGETS_PER_HOME 10
 #define PIPELINES 20
-#define STREAMS 200U
+#define STREAM_REQUESTS 200U
 #define STAGES_MIN 3
-#define STAGES_SPREAD 4 /* three to six stages */
+#define STAGES_RANGE 4 /* three to six stages */
 
 static void
 run_hosts (struct slopes_run *run, uint32_t homes)
@@ -39,7 +39,7 @@
                                        LAUNCH_HOSTS_MAX, SETTINGS_SEEDS_MAX, LAUNCH_POOLS_MAX));
       slopes_start_hosts (run, hosts);
       for (uint32_t home = 0; home < homes; home++)
-        slopes_start_targets (run, home, TARGETS_EACH);
+        slopes_start_targets (run, home, TARGETS_PER_HOME);
       slopes_wait (run, hosts * SETTLE_PER_HOST);
       slopes_measure_rest (run, hosts);
       if (homes > 0)
@@ -55,12 +55,12 @@
 run_targets (struct slopes_run *run)
 {
   run->unit = "targets";
-  run->first_home = FEW_HOSTS - 1;
-  run->end_home = FEW_HOSTS;
+  run->first_home = BASE_HOSTS - 1;
+  run->end_home = BASE_HOSTS;
   for (uint32_t i = 0; i < run->n_sizes; i++)
     {
-      slopes_start_hosts (run, FEW_HOSTS);
-      slopes_start_targets (run, FEW_HOSTS - 1, (uint32_t) run->sizes[i]);
+      slopes_start_hosts (run, BASE_HOSTS);
+      slopes_start_targets (run, BASE_HOSTS - 1, (uint32_t) run->sizes[i]);
       slopes_measure_rest (run, run->sizes[i]);
       slopes_print_known (run);
       talloc_free (run->launch);
@@ -89,7 +89,7 @@
       char name[RESOURCE_NAME_SIZE];
 
       snprintf (name, sizeof name, "pipeline-%u", i);
-      for (uint32_t s = 0; s < STAGES_MIN + i % STAGES_SPREAD; s++)
+      for (uint32_t s = 0; s < STAGES_MIN + i % STAGES_RANGE; s++)
         {
           char stage[16];
 
@@ -124,7 +124,7 @@
   uint32_t applied = 0;
 
   run->unit = "organisations";
-  slopes_start_hosts (run, FEW_HOSTS);
+  slopes_start_hosts (run, BASE_HOSTS);
   slopes_measure_rest (run, 0);
   memset (run->points, 0, sizeof run->points);
   printf ("  (above: nothing applied; below: with %d pipelines)\n", PIPELINES);
@@ -141,9 +141,9 @@
 
 /* Measure the cost of N changes less the idle cost over the same time; adds a point (N, total). */
 static void
-take_changes (struct slopes_run *run,
-              uint32_t changes,
-              const double rest[LAUNCH_HOSTS_MAX][SLOPES_MEASURE_COUNT])
+measure_changes (struct slopes_run *run,
+                 uint32_t changes,
+                 const double rest[LAUNCH_HOSTS_MAX][SLOPES_MEASURE_COUNT])
 {
   struct slopes_sample before[LAUNCH_HOSTS_MAX] = { 0 };
   struct slopes_sample after[LAUNCH_HOSTS_MAX] = { 0 };
@@ -186,7 +186,7 @@
   double rest[LAUNCH_HOSTS_MAX][SLOPES_MEASURE_COUNT] = { 0 };
 
   run->unit = "changes";
-  slopes_start_hosts (run, FEW_HOSTS);
+  slopes_start_hosts (run, BASE_HOSTS);
   for (uint32_t i = 0; i < 100; i++)
     apply_organisation (run, i, 1);
   slopes_wait (run, SLOPES_SETTLE);
@@ -197,7 +197,7 @@
     slopes_rates (&before[host], &after[host], rest[host]);
   printf ("a run's whole, less the time at rest (processor in hundredths of a second)\n");
   for (uint32_t i = 0; i < run->n_sizes; i++)
-    take_changes (run, (uint32_t) run->sizes[i], (const double (*)[SLOPES_MEASURE_COUNT]) rest);
+    measure_changes (run, (uint32_t) run->sizes[i], (const double (*)[SLOPES_MEASURE_COUNT]) rest);
   talloc_free (run->launch);
   slopes_print_lines (run, "changes");
 }
@@ -205,7 +205,7 @@
 /* Returns the number of pieces of one streamed answer of `tokens` tokens; 0 when the answer was
  * incomplete. */
 static uint32_t
-stream_once (struct slopes_run *run, uint32_t host, uint32_t tokens)
+count_stream_pieces (struct slopes_run *run, uint32_t host, uint32_t tokens)
 {
   static const struct http_field headers[] = { { "accept", "text/event-stream" },
                                                { "x-organisation", "organisation-0" } };
@@ -238,25 +238,26 @@
 }
 
 static void
-take_stream (struct slopes_run *run, uint32_t tokens, double rest)
+measure_stream (struct slopes_run *run, uint32_t tokens, double rest)
 {
-  const uint32_t host = FEW_HOSTS - 1;
+  const uint32_t host = BASE_HOSTS - 1;
   struct slopes_sample before = { 0 };
   struct slopes_sample after = { 0 };
   uint32_t pieces = 0;
   double spent;
 
   slopes_must (run, slopes_take (run->launch, host, &before));
-  for (uint32_t i = 0; i < STREAMS; i++)
-    pieces += stream_once (run, host, tokens);
+  for (uint32_t i = 0; i < STREAM_REQUESTS; i++)
+    pieces += count_stream_pieces (run, host, tokens);
   slopes_must (run, slopes_take (run->launch, host, &after));
   spent = after.totals[SLOPES_PROCESSOR] - before.totals[SLOPES_PROCESSOR]
           - rest * (double) (after.at - before.at) / (double) USEC_PER_SEC;
-  printf ("%u requests, %.1f pieces each, load %.1f: %.0f us of processor a request\n", STREAMS,
-          (double) pieces / STREAMS, slopes_load (), spent / STREAMS * (double) USEC_PER_SEC);
+  printf ("%u requests, %.1f pieces each, load %.1f: %.0f us of processor a request\n",
+          STREAM_REQUESTS, (double) pieces / STREAM_REQUESTS, slopes_load (),
+          spent / STREAM_REQUESTS * (double) USEC_PER_SEC);
   fflush (stdout);
-  slopes_add (&run->points[SLOPES_FOLLOWER][SLOPES_PROCESSOR], (double) pieces / STREAMS,
-              spent / STREAMS * (double) USEC_PER_SEC);
+  slopes_add (&run->points[SLOPES_FOLLOWER][SLOPES_PROCESSOR], (double) pieces / STREAM_REQUESTS,
+              spent / STREAM_REQUESTS * (double) USEC_PER_SEC);
 }
 
 /* Sends one request at a time with pieces about 0.2 ms apart, so that each piece is read and
@@ -277,7 +278,7 @@
   double rates[SLOPES_MEASURE_COUNT];
   struct slopes_line line;
 
-  slopes_start_hosts (run, FEW_HOSTS);
+  slopes_start_hosts (run, BASE_HOSTS);
   slopes_must (run, launch_apply_pool (run->launch, &fakes.spec));
   slopes_must (run, launch_apply (run->launch, RESOURCE_ORGANISATION, "organisation-0",
                                   json_pack ("{s:f}", "weight", 1.0)));
@@ -288,12 +289,12 @@
   slopes_must (run, launch_start_fakes (run->launch, &fakes));
   slopes_must (run, launch_wait_targets (run->launch, 1));
   slopes_wait (run, SLOPES_SETTLE);
-  slopes_must (run, slopes_take (run->launch, FEW_HOSTS - 1, &before));
+  slopes_must (run, slopes_take (run->launch, BASE_HOSTS - 1, &before));
   slopes_wait (run, SLOPES_WINDOW);
-  slopes_must (run, slopes_take (run->launch, FEW_HOSTS - 1, &after));
+  slopes_must (run, slopes_take (run->launch, BASE_HOSTS - 1, &after));
   slopes_rates (&before, &after, rates);
   for (uint32_t i = 0; i < run->n_sizes; i++)
-    take_stream (run, (uint32_t) run->sizes[i], rates[SLOPES_PROCESSOR] / 100);
+    measure_stream (run, (uint32_t) run->sizes[i], rates[SLOPES_PROCESSOR] / 100);
   talloc_free (run->launch);
   if (slopes_fit (&run->points[SLOPES_FOLLOWER][SLOPES_PROCESSOR], &line))
     printf ("line: us of processor a request = %.4g + %.4g x pieces (residual %.3g)\n",
@@ -301,13 +302,13 @@
 }
 
 static void
-take_sizes (struct slopes_run *run, char **words, const double *otherwise, uint32_t count)
+parse_sizes (struct slopes_run *run, char **words, const double *defaults, uint32_t count)
 {
   for (; *words && run->n_sizes < SLOPES_SIZES_MAX; words++)
     run->sizes[run->n_sizes++] = strtod (*words, NULL);
   if (run->n_sizes > 0)
     return;
-  memcpy (run->sizes, otherwise, count * sizeof *otherwise);
+  memcpy (run->sizes, defaults, count * sizeof *defaults);
   run->n_sizes = count;
 }
 
@@ -326,33 +327,33 @@
     {
       uint32_t homes = argc > 2 ? (uint32_t) strtoul (argv[2], NULL, 10) : 0;
 
-      take_sizes (run, argc > 3 ? argv + 3 : argv + argc, SIZES (2, 4, 9, 18, 36));
+      parse_sizes (run, argc > 3 ? argv + 3 : argv + argc, SIZES (2, 4, 9, 18, 36));
       run_hosts (run, homes);
     }
   else if (strcmp (what, "keys") == 0)
     {
       run->keys = true;
-      take_sizes (run, rest, SIZES (4, 9, 16));
+      parse_sizes (run, rest, SIZES (4, 9, 16));
       run_hosts (run, 0);
     }
   else if (strcmp (what, "targets") == 0)
     {
-      take_sizes (run, rest, SIZES (10, 100, 1000, 2000, 4300));
+      parse_sizes (run, rest, SIZES (10, 100, 1000, 2000, 4300));
       run_targets (run);
     }
   else if (strcmp (what, "organisations") == 0)
     {
-      take_sizes (run, rest, SIZES (5, 60, 180, 360, 560));
+      parse_sizes (run, rest, SIZES (5, 60, 180, 360, 560));
       run_organisations (run);
     }
   else if (strcmp (what, "changes") == 0)
     {
-      take_sizes (run, rest, SIZES (1, 10, 100, 1000));
+      parse_sizes (run, rest, SIZES (1, 10, 100, 1000));
       run_changes (run);
     }
   else if (strcmp (what, "stream") == 0)
     {
-      take_sizes (run, rest, SIZES (1, 16, 64, 256));
+      parse_sizes (run, rest, SIZES (1, 16, 64, 256));
       run_stream (run);
     }
   else
--- a/bench/cmd_store.c
+++ b/bench/cmd_store.c
@@ -23,7 +23,7 @@
 }
 
 static double
-allocated (void)
+allocated_bytes (void)
 {
   struct mallinfo2 info = mallinfo2 ();
 
@@ -32,7 +32,7 @@
 
 /* Encode a change to one of OBJECTS organisations; every change differs. */
 static void
-pack_change (uint32_t number, bool with_id, struct bytes *out)
+encode_change (uint32_t number, bool with_id, struct bytes *out)
 {
   struct store_change change = { .op = STORE_PUT, .kind = RESOURCE_ORGANISATION };
   char spec[256];
@@ -64,7 +64,7 @@
     {
       entry.length = 0;
       result.length = 0;
-      pack_change (i, with_id, &entry);
+      encode_change (i, with_id, &entry);
       machine->ops->apply (machine, i + 1, entry.data, entry.length, &result);
     }
   bytes_clear (&entry);
@@ -107,11 +107,11 @@
 {
   const struct store_config config = { .history_events_max = 1 };
   struct store *store = store_new (NULL, &config);
-  double before = allocated ();
+  double before = allocated_bytes ();
 
   apply_changes (store, 0, OBJECTS, false);
   printf ("resource: %.0f bytes each (%d of them, without history)\n",
-          (allocated () - before) / OBJECTS, OBJECTS);
+          (allocated_bytes () - before) / OBJECTS, OBJECTS);
   talloc_free (store);
 }
 
@@ -123,13 +123,13 @@
   double before;
 
   apply_changes (store, 0, OBJECTS, false);
-  before = allocated ();
+  before = allocated_bytes ();
   apply_changes (store, OBJECTS, 2000, false);
-  printf ("history: %.0f bytes a change\n", (allocated () - before) / 2000);
-  before = allocated ();
+  printf ("history: %.0f bytes a change\n", (allocated_bytes () - before) / 2000);
+  before = allocated_bytes ();
   apply_changes (store, OBJECTS + 2000, 4000, true);
   printf ("change id with its answer, and history: %.0f bytes a change\n",
-          (allocated () - before) / 4000);
+          (allocated_bytes () - before) / 4000);
   talloc_free (store);
 }
 
@@ -189,18 +189,19 @@
   struct claim_machine *other = claim_machine_new (NULL, &config);
   struct machine *machine = claim_machine_machine (claims);
   struct bytes saved;
-  double before = allocated ();
+  double before = allocated_bytes ();
   double taken = apply_claims (claims, CLAIM_ACQUIRE, count);
-  double held = (allocated () - before) / count;
+  double held = (allocated_bytes () - before) / count;
   double settled;
   double begin;
 
   INVARIANT (claim_machine_count (claims) == count);
-  before = allocated ();
+  before = allocated_bytes ();
   settled = apply_claims (claims, CLAIM_SETTLE, count);
   printf ("claims %u: %.0f takes/s, %.0f settles/s of %d bytes, %.0f bytes a claim, %.0f more with "
           "its answer\n",
-          count, count / taken, count / settled, BODY_BYTES, held, (allocated () - before) / count);
+          count, count / taken, count / settled, BODY_BYTES, held,
+          (allocated_bytes () - before) / count);
   bytes_init (&saved, NULL);
   begin = seconds ();
   INVARIANT (machine->ops->save (machine, &saved) == STATUS_OK);
--- a/bench/experiment.c
+++ b/bench/experiment.c
@@ -6,10 +6,10 @@
 #include <string.h>
 #include <talloc.h>
 
-#define BURST_TIMES 3
-#define SLOW_TIMES 5.0
+#define BURST_FACTOR 3
+#define SLOW_FACTOR 5.0
 #define STALE_LAG_MSEC 2000
-#define STALE_DROP 0.2
+#define STALE_DROP_SHARE 0.2
 #define STREAM_EVERY 3
 #define LIST_KEEP_MSEC 5000 /* at time scale 1 */
 #define FLOOD_SEED 1000
@@ -39,7 +39,7 @@
   const struct experiment_setup *setup;
   const struct site *site;
   struct launch *launch;
-  uint32_t fault_after; /* completed requests before the fault */
+  uint32_t fault_after_requests; /* completed requests before the fault */
   bool faulted;
 };
 
@@ -62,7 +62,7 @@
 }
 
 static const char *
-runners_of (const struct site *site)
+generating_pool (const struct site *site)
 {
   for (uint32_t i = 0; i < site->n_pools; i++)
     if (site->pools[i].kind == STAGE_GENERATE)
@@ -71,7 +71,7 @@
 }
 
 static void
-fault_one (struct run *run, const char *pool, uint32_t index, json_t *fault)
+inject_fault (struct run *run, const char *pool, uint32_t index, json_t *fault)
 {
   char name[RESOURCE_NAME_SIZE + 12];
 
@@ -83,7 +83,7 @@
 /* Fail the last domain silently: its targets accept work and never answer, its hosts are stopped,
  * and no peer sees a socket error. */
 static void
-lose_domain (struct run *run)
+fail_domain (struct run *run)
 {
   uint32_t lost = SITE_DOMAINS - 1;
 
@@ -92,28 +92,28 @@
       launch_signal (&run->launch->hosts[i].process, SIGSTOP);
   for (uint32_t p = 0; p < run->site->n_pools; p++)
     for (uint32_t t = lost; t < run->site->pools[p].targets; t += SITE_DOMAINS)
-      fault_one (run, run->site->pools[p].name, t,
-                 json_pack ("{s:b, s:b}", "hang", 1, "silent", 1));
+      inject_fault (run, run->site->pools[p].name, t,
+                    json_pack ("{s:b, s:b}", "hang", 1, "silent", 1));
 }
 
 static void
 apply_fault (struct run *run)
 {
-  const char *runners = runners_of (run->site);
+  const char *runners = generating_pool (run->site);
 
   switch (run->setup->experiment)
     {
     case EXPERIMENT_SLOW_STAGE:
-      launch_fault (run->launch, "rerankers", json_pack ("{s:f}", "slow", SLOW_TIMES));
+      launch_fault (run->launch, "rerankers", json_pack ("{s:f}", "slow", SLOW_FACTOR));
       break;
     case EXPERIMENT_DOMAIN_LOST:
-      lose_domain (run);
+      fail_domain (run);
       break;
     case EXPERIMENT_HANG:
-      fault_one (run, runners, 0, json_pack ("{s:b}", "hang", 1));
+      inject_fault (run, runners, 0, json_pack ("{s:b}", "hang", 1));
       break;
     case EXPERIMENT_LEAVE:
-      fault_one (run, runners, 0, json_pack ("{s:b}", "leave", 1));
+      inject_fault (run, runners, 0, json_pack ("{s:b}", "leave", 1));
       break;
     case EXPERIMENT_ENTRY_KILLED:
       launch_signal (&run->launch->hosts[run->launch->n_hosts - 1].process, SIGKILL);
@@ -132,7 +132,7 @@
   struct run *run = user;
 
   (void) so_far;
-  if (run->faulted || ended < run->fault_after)
+  if (run->faulted || ended < run->fault_after_requests)
     return;
   run->faulted = true;
   apply_fault (run);
@@ -150,7 +150,7 @@
   enum status status;
 
   snprintf (lag, sizeof lag, "--report-lag-ms=%g", STALE_LAG_MSEC * setup->time_scale);
-  snprintf (drop, sizeof drop, "--report-drop=%g", STALE_DROP);
+  snprintf (drop, sizeof drop, "--report-drop=%g", STALE_DROP_SHARE);
   snprintf (run->launch->extra_settings, sizeof run->launch->extra_settings,
             "\n[entry]\nlist_keep_ms = %.0f\n", LIST_KEEP_MSEC * setup->time_scale);
   for (uint32_t i = 0; i < run->site->n_pools; i++)
@@ -173,7 +173,7 @@
 make_trace (const struct run *run)
 {
   const struct experiment_setup *setup = run->setup;
-  double burst = experiments[setup->experiment].burst ? BURST_TIMES : 1;
+  double burst = experiments[setup->experiment].burst ? BURST_FACTOR : 1;
   struct trace *trace =
       trace_generate (run->launch, setup->site, setup->seed, setup->length, setup->rate, burst);
 
@@ -209,7 +209,7 @@
     }
   options.trace = make_trace (&run);
   options.caller = run.launch->caller;
-  run.fault_after = options.trace->count / 3;
+  run.fault_after_requests = options.trace->count / 3;
   for (uint32_t i = 0; i < setup->hosts; i++)
     memcpy (options.entries[i], run.launch->hosts[i].addresses[LAUNCH_CALLERS],
             RESOURCE_ADDRESS_SIZE);
--- a/bench/fake.h
+++ b/bench/fake.h
@@ -27,7 +27,7 @@
   const char *pool;
   const char *model;
   double time_scale;     /* factor on every service time; 0: no delay */
-  uint32_t slots;        /* 0: service_slots() */
+  uint32_t slots;        /* 0: service_time_slots() */
   uint32_t queue_max;    /* max. calls that wait for a slot */
   uint32_t cache_blocks; /* prefix cache capacity of a generating target */
   uint32_t piece_tokens; /* tokens per event of a stream */
--- a/bench/fake_answer.c
+++ b/bench/fake_answer.c
@@ -154,7 +154,7 @@
       return;
     }
   timer_arm (loop_timers (target->loop), &task->timer,
-             now + fake_task_scaled (target, piece_tokens (task) * service_time_token (&load)));
+             now + fake_task_scaled (target, piece_tokens (task) * service_time_per_token (&load)));
 }
 
 static void
@@ -174,7 +174,7 @@
       return;
     }
   timer_arm (loop_timers (target->loop), &task->timer,
-             now + fake_task_scaled (target, piece_tokens (task) * service_time_token (&load)));
+             now + fake_task_scaled (target, piece_tokens (task) * service_time_per_token (&load)));
 }
 
 void
--- a/bench/fake_target.c
+++ b/bench/fake_target.c
@@ -26,7 +26,7 @@
 {
   const struct fake_options *options = target->options;
 
-  return options->slots > 0 ? options->slots : service_slots (options->kind);
+  return options->slots > 0 ? options->slots : service_time_slots (options->kind);
 }
 
 void
--- a/bench/fake_task.c
+++ b/bench/fake_task.c
@@ -109,8 +109,9 @@
   if (task->body)
     task->cached_tokens = fake_cache_match (target->cache, task->prompt, task->prompt_length);
   load = fake_task_load (target);
-  span = fake_task_scaled (target, service_time_first (target->options->kind, task->input_tokens,
-                                                       task->cached_tokens, &load));
+  span = fake_task_scaled (target,
+                           service_time_first_output (target->options->kind, task->input_tokens,
+                                                      task->cached_tokens, &load));
   if (span <= 0 && task->fault.late == 0)
     fake_task_first_output (task, now);
   else
--- a/bench/policy_flow.c
+++ b/bench/policy_flow.c
@@ -52,8 +52,8 @@
 
   for (i = 0; i < spec->n_stages; i++)
     if (spec->stages[i].kind == STAGE_GENERATE)
-      work += (double) (service_time_first (STAGE_GENERATE, trace->input_tokens, 0, &load)
-                        + trace->output_tokens * service_time_token (&load))
+      work += (double) (service_time_first_output (STAGE_GENERATE, trace->input_tokens, 0, &load)
+                        + trace->output_tokens * service_time_per_token (&load))
               / USEC_PER_SEC;
   return work;
 }
--- a/bench/policy_run.c
+++ b/bench/policy_run.c
@@ -139,7 +139,7 @@
       run->targets[i] =
           (struct policy_target){ .run = run,
                                   .pool = pool,
-                                  .slots = service_slots (run->site->pools[pool].kind),
+                                  .slots = service_time_slots (run->site->pools[pool].kind),
                                   .slowdown = 1,
                                   .lost_at = USEC_NEVER,
                                   .leaving_at = USEC_NEVER,
--- a/bench/policy_target.c
+++ b/bench/policy_target.c
@@ -132,7 +132,8 @@
       target->run->result.cached_tokens += attempt->cached;
       target->run->result.prompt_tokens += attempt->tokens;
     }
-  arm (attempt, now + service_time_first (spec->kind, attempt->tokens, attempt->cached, &load));
+  arm (attempt,
+       now + service_time_first_output (spec->kind, attempt->tokens, attempt->cached, &load));
 }
 
 static void
@@ -220,7 +221,7 @@
   if (spec->kind == STAGE_GENERATE)
     {
       store_cache (target, attempt->request->trace, now);
-      arm (attempt, now + attempt->request->trace->output_tokens * service_time_token (&load));
+      arm (attempt, now + attempt->request->trace->output_tokens * service_time_per_token (&load));
       return;
     }
   answer (attempt, now);
--- a/bench/service_time.c
+++ b/bench/service_time.c
@@ -24,21 +24,21 @@
 };
 
 #define TOKEN_FIXED_USEC 18000.0
-#define TOKEN_SHARING_USEC 700.0
+#define TOKEN_USEC_PER_OTHER_CALL 700.0
 /* Reading a cached block has a small cost. */
 #define CACHED_USEC_PER_TOKEN 0.5
 
 static double
-others (const struct service_load *load)
+other_calls (const struct service_load *load)
 {
   return load->running > 1 ? load->running - 1 : 0;
 }
 
 int64_t
-service_time_first (enum stage_kind kind,
-                    uint32_t input_tokens,
-                    uint32_t cached_tokens,
-                    const struct service_load *load)
+service_time_first_output (enum stage_kind kind,
+                           uint32_t input_tokens,
+                           uint32_t cached_tokens,
+                           const struct service_load *load)
 {
   const struct stage_cost *cost = &stage_costs[kind];
   uint32_t cached = cached_tokens < input_tokens ? cached_tokens : input_tokens;
@@ -46,19 +46,19 @@
 
   alone = cost->fixed_usec + cost->usec_per_token * (input_tokens - cached);
   alone += CACHED_USEC_PER_TOKEN * cached;
-  return (int64_t) llround (alone * (1 + cost->sharing * others (load)) * load->slowdown);
+  return (int64_t) llround (alone * (1 + cost->sharing * other_calls (load)) * load->slowdown);
 }
 
 int64_t
-service_time_token (const struct service_load *load)
+service_time_per_token (const struct service_load *load)
 {
-  double usec = TOKEN_FIXED_USEC + TOKEN_SHARING_USEC * others (load);
+  double usec = TOKEN_FIXED_USEC + TOKEN_USEC_PER_OTHER_CALL * other_calls (load);
 
   return (int64_t) llround (usec * load->slowdown);
 }
 
 uint32_t
-service_slots (enum stage_kind kind)
+service_time_slots (enum stage_kind kind)
 {
   return stage_costs[kind].slots;
 }
--- a/bench/site.c
+++ b/bench/site.c
@@ -185,7 +185,7 @@
   *out = (struct pool_spec){
     .kind = pool->kind,
     .cost_per_second = pool->cost_per_second,
-    .slots = service_slots (pool->kind),
+    .slots = service_time_slots (pool->kind),
     .eject_share_max = EJECT_SHARE_MAX,
   };
   text_copy_truncated (out->name, sizeof out->name, pool->name);
--- a/bench/trace_generate.c
+++ b/bench/trace_generate.c
@@ -18,15 +18,15 @@
 #define DOCUMENT_SIGMA 0.9
 #define DOCUMENT_TOKENS_MIN 200
 #define DOCUMENT_TOKENS_MAX 60000
-#define TAIL_SHARE 0.04 /* of documents from the Pareto tail */
-#define TAIL_START 5.0  /* times the median */
+#define TAIL_SHARE 0.04       /* of documents from the Pareto tail */
+#define TAIL_START_FACTOR 5.0 /* times the median */
 #define TAIL_ALPHA 1.3
-#define QUESTION_MEDIAN 60.0 /* tokens */
+#define QUESTION_MEDIAN_TOKENS 60.0 /* tokens */
 #define QUESTION_SIGMA 0.7
-#define QUESTION_MAX 1000
+#define QUESTION_MAX_TOKENS 1000
 #define NEW_DOCUMENT_SHARE 0.25
 #define NEW_DOCUMENT_SHARE_BURST 0.5
-#define LARGE_SHARE_BURST 0.5 /* of the burst's requests from the largest organisation */
+#define LARGEST_SHARE_BURST 0.5 /* of the burst's requests from the largest organisation */
 
 struct document
 {
@@ -40,7 +40,7 @@
   struct rng rng;
   struct document documents[SITE_PIPELINES_MAX][DOCUMENTS_KNOWN];
   uint32_t made[SITE_PIPELINES_MAX]; /* by group of pipelines with the same median size */
-  uint32_t numbers;
+  uint32_t last_number;
   bool in_burst;
 };
 
@@ -68,7 +68,7 @@
   double tokens = median * exp (DOCUMENT_SIGMA * rng_normal (&generator->rng));
 
   if (rng_unit (&generator->rng) < TAIL_SHARE)
-    tokens = TAIL_START * median * pow (1 - rng_unit (&generator->rng), -1 / TAIL_ALPHA);
+    tokens = TAIL_START_FACTOR * median * pow (1 - rng_unit (&generator->rng), -1 / TAIL_ALPHA);
   return clamp_tokens (tokens, DOCUMENT_TOKENS_MIN, DOCUMENT_TOKENS_MAX);
 }
 
@@ -85,7 +85,7 @@
   if (known == 0 || rng_unit (&generator->rng) < fresh)
     {
       document = &generator->documents[group][(*made)++ % DOCUMENTS_KNOWN];
-      document->number = ++generator->numbers;
+      document->number = ++generator->last_number;
       document->tokens =
           document_tokens (generator, generator->site->pipelines[pipeline].document_median);
       return document;
@@ -113,7 +113,7 @@
   double at = rng_unit (&generator->rng);
   uint32_t i = 0;
 
-  if (generator->in_burst && rng_unit (&generator->rng) < LARGE_SHARE_BURST)
+  if (generator->in_burst && rng_unit (&generator->rng) < LARGEST_SHARE_BURST)
     return generator->site->organisations[0].name;
   while (i + 1 < SITE_ORGANISATIONS && at >= generator->site->organisations[i].share)
     at -= generator->site->organisations[i++].share;
@@ -125,7 +125,7 @@
 {
   uint32_t index = pick_pipeline (generator);
   const struct site_pipeline *pipeline = &generator->site->pipelines[index];
-  double question = QUESTION_MEDIAN * exp (QUESTION_SIGMA * rng_normal (&generator->rng));
+  double question = QUESTION_MEDIAN_TOKENS * exp (QUESTION_SIGMA * rng_normal (&generator->rng));
 
   text_copy_truncated (request->organisation, sizeof request->organisation,
                        pick_organisation (generator));
@@ -134,7 +134,7 @@
   request->repeatable = pipeline->repeatable;
   request->priority = pipeline->priority;
   request->deadline = pipeline->deadline;
-  request->input_tokens = clamp_tokens (question, 16, QUESTION_MAX);
+  request->input_tokens = clamp_tokens (question, 16, QUESTION_MAX_TOKENS);
   if (pipeline->output_max > 0)
     request->output_tokens =
         pipeline->output_min
--- a/tests/unit_bench.cc
+++ b/tests/unit_bench.cc
@@ -158,15 +158,15 @@
   struct service_load alone = { .running = 1, .slowdown = 1 };
   struct service_load batch = { .running = 16, .slowdown = 1 };
   struct service_load slow = { .running = 1, .slowdown = 5 };
-  int64_t cold = service_time_first (STAGE_GENERATE, 4000, 0, &alone);
-
-  EXPECT_LT (cold, service_time_first (STAGE_GENERATE, 8000, 0, &alone));
-  EXPECT_LT (cold, service_time_first (STAGE_GENERATE, 4000, 0, &batch));
-  EXPECT_EQ (5 * cold, service_time_first (STAGE_GENERATE, 4000, 0, &slow));
-  EXPECT_GT (cold, service_time_first (STAGE_GENERATE, 4000, 3900, &alone));
-  EXPECT_EQ (service_time_first (STAGE_GENERATE, 4000, 4000, &alone),
-             service_time_first (STAGE_GENERATE, 4000, 9000, &alone));
-  EXPECT_LT (service_time_token (&alone), service_time_token (&batch));
+  int64_t cold = service_time_first_output (STAGE_GENERATE, 4000, 0, &alone);
+
+  EXPECT_LT (cold, service_time_first_output (STAGE_GENERATE, 8000, 0, &alone));
+  EXPECT_LT (cold, service_time_first_output (STAGE_GENERATE, 4000, 0, &batch));
+  EXPECT_EQ (5 * cold, service_time_first_output (STAGE_GENERATE, 4000, 0, &slow));
+  EXPECT_GT (cold, service_time_first_output (STAGE_GENERATE, 4000, 3900, &alone));
+  EXPECT_EQ (service_time_first_output (STAGE_GENERATE, 4000, 4000, &alone),
+             service_time_first_output (STAGE_GENERATE, 4000, 9000, &alone));
+  EXPECT_LT (service_time_per_token (&alone), service_time_per_token (&batch));
 }
 
 } // namespace
