--- a/bench/answer.c
+++ b/bench/answer.c
@@ -11,7 +11,7 @@
 #define DOCUMENT_PIECES 50
 /* One piece in this many holds a quote, a line break and a two-byte UTF-8 letter, to exercise JSON
  * escaping and SSE framing. */
-#define ODD_PIECES 16
+#define ESCAPE_PIECE_PERIOD 16
 #define SCORE_BITS 24
 
 void
@@ -20,7 +20,7 @@
   static const char letters[] = "abcdefghijklmnoprstuvwxyzABCDEF.";
   uint64_t hash = XXH3_64bits_withSeed (&index, sizeof index, prompt_hash);
 
-  if (hash % ODD_PIECES == 0)
+  if (hash % ESCAPE_PIECE_PERIOD == 0)
     {
       memcpy (out, "\xc3\xa9\n\"", ANSWER_BYTES_PER_TOKEN + 1);
       return;
@@ -53,11 +53,11 @@
 answer_input (const struct trace_request *request, struct bytes *out)
 {
   uint64_t document = XXH3_64bits (&request->document, sizeof request->document);
-  uint64_t own = XXH3_64bits (request->id, strlen (request->id));
+  uint64_t id_hash = XXH3_64bits (request->id, strlen (request->id));
 
   append_pieces (out, document, 0, request->prefix_tokens);
   bytes_append_format (out, " question %s:", request->id);
-  append_pieces (out, own, pieces_for (out->length), request->input_tokens);
+  append_pieces (out, id_hash, pieces_for (out->length), request->input_tokens);
 }
 
 void
@@ -153,7 +153,7 @@
 }
 
 /* State of a request passed from stage to stage. */
-struct walk
+struct run
 {
   struct bytes input;
   struct answer_embedding embedding;
@@ -163,57 +163,57 @@
 };
 
 static void
-walk_retrieve (struct walk *walk, uint32_t top)
+run_retrieve (struct run *run, uint32_t top)
 {
-  walk->n_documents = top < ANSWER_DOCUMENTS_MAX ? top : ANSWER_DOCUMENTS_MAX;
-  for (uint32_t i = 0; i < walk->n_documents; i++)
-    answer_retrieve (walk->input.data, walk->input.length, walk->embedded ? &walk->embedding : NULL,
-                     i, &walk->documents[i]);
+  run->n_documents = top < ANSWER_DOCUMENTS_MAX ? top : ANSWER_DOCUMENTS_MAX;
+  for (uint32_t i = 0; i < run->n_documents; i++)
+    answer_retrieve (run->input.data, run->input.length, run->embedded ? &run->embedding : NULL, i,
+                     &run->documents[i]);
 }
 
 static void
-walk_rerank (struct walk *walk, uint32_t top)
+run_rerank (struct run *run, uint32_t top)
 {
   struct answer_document kept[ANSWER_DOCUMENTS_MAX];
   struct answer_rank ranks[ANSWER_DOCUMENTS_MAX];
   const char *texts[ANSWER_DOCUMENTS_MAX];
 
-  for (uint32_t i = 0; i < walk->n_documents; i++)
-    texts[i] = walk->documents[i].text;
-  walk->n_documents =
-      answer_rerank (walk->input.data, walk->input.length, texts, walk->n_documents, top, ranks);
-  for (uint32_t i = 0; i < walk->n_documents; i++)
-    kept[i] = walk->documents[ranks[i].index];
-  memcpy (walk->documents, kept, walk->n_documents * sizeof *kept);
+  for (uint32_t i = 0; i < run->n_documents; i++)
+    texts[i] = run->documents[i].text;
+  run->n_documents =
+      answer_rerank (run->input.data, run->input.length, texts, run->n_documents, top, ranks);
+  for (uint32_t i = 0; i < run->n_documents; i++)
+    kept[i] = run->documents[ranks[i].index];
+  memcpy (run->documents, kept, run->n_documents * sizeof *kept);
 }
 
 static void
-walk_generate (struct walk *walk, uint32_t max_tokens)
+run_generate (struct run *run, uint32_t max_tokens)
 {
   uint64_t hash;
 
-  for (uint32_t i = 0; i < walk->n_documents; i++)
+  for (uint32_t i = 0; i < run->n_documents; i++)
     {
-      bytes_append (&walk->input, "\n", 1);
-      bytes_append_text (&walk->input, walk->documents[i].text);
+      bytes_append (&run->input, "\n", 1);
+      bytes_append_text (&run->input, run->documents[i].text);
     }
-  hash = answer_prompt_hash (walk->input.data, walk->input.length);
-  bytes_consume (&walk->input, walk->input.length);
-  append_pieces (&walk->input, hash, 0, max_tokens);
+  hash = answer_prompt_hash (run->input.data, run->input.length);
+  bytes_consume (&run->input, run->input.length);
+  append_pieces (&run->input, hash, 0, max_tokens);
 }
 
 static bool
-walk_call (const struct walk *walk, struct bytes *out)
+run_call (const struct run *run, struct bytes *out)
 {
   json_t *documents = json_array ();
   json_t *json;
   char *text;
   bool answered;
 
-  for (uint32_t i = 0; i < walk->n_documents; i++)
-    json_array_append_new (documents, json_pack ("{s:s, s:s}", "id", walk->documents[i].id, "text",
-                                                 walk->documents[i].text));
-  json = json_pack ("{s:s%, s:o}", "input", walk->input.data, walk->input.length, "documents",
+  for (uint32_t i = 0; i < run->n_documents; i++)
+    json_array_append_new (documents, json_pack ("{s:s, s:s}", "id", run->documents[i].id, "text",
+                                                 run->documents[i].text));
+  json = json_pack ("{s:s%, s:o}", "input", run->input.data, run->input.length, "documents",
                     documents);
   text = json_dumps (json, JSON_COMPACT);
   json_decref (json);
@@ -223,7 +223,7 @@
 }
 
 static uint32_t
-tokens_of (const struct stage_spec *stage, uint32_t max_tokens)
+effective_max_tokens (const struct stage_spec *stage, uint32_t max_tokens)
 {
   if (max_tokens == 0 || (stage->max_tokens > 0 && stage->max_tokens < max_tokens))
     return stage->max_tokens;
@@ -237,36 +237,36 @@
                  uint32_t max_tokens,
                  struct bytes *out)
 {
-  struct walk walk = { .embedded = false };
+  struct run run = { .embedded = false };
   bool answered = false;
 
   if (pipeline->service)
     return answer_call (input, length, out);
-  bytes_init (&walk.input, out->parent);
-  bytes_append (&walk.input, input, length);
+  bytes_init (&run.input, out->parent);
+  bytes_append (&run.input, input, length);
   for (uint32_t i = 0; i < pipeline->n_stages; i++)
     {
       const struct stage_spec *stage = &pipeline->stages[i];
 
       if (stage->kind == STAGE_ENCODE)
-        answer_embed (walk.input.data, walk.input.length, &walk.embedding);
-      walk.embedded = walk.embedded || stage->kind == STAGE_ENCODE;
+        answer_embed (run.input.data, run.input.length, &run.embedding);
+      run.embedded = run.embedded || stage->kind == STAGE_ENCODE;
       if (stage->kind == STAGE_RETRIEVE)
-        walk_retrieve (&walk, stage->top);
+        run_retrieve (&run, stage->top);
       if (stage->kind == STAGE_RERANK)
-        walk_rerank (&walk, stage->top);
+        run_rerank (&run, stage->top);
       if (stage->kind == STAGE_GENERATE)
-        walk_generate (&walk, tokens_of (stage, max_tokens));
+        run_generate (&run, effective_max_tokens (stage, max_tokens));
       if (i + 1 < pipeline->n_stages)
         continue;
       if (stage->kind == STAGE_CALL)
-        answered = walk_call (&walk, out);
+        answered = run_call (&run, out);
       if (stage->kind == STAGE_GENERATE)
         {
-          bytes_append (out, walk.input.data, walk.input.length);
+          bytes_append (out, run.input.data, run.input.length);
           answered = true;
         }
     }
-  bytes_clear (&walk.input);
+  bytes_clear (&run.input);
   return answered;
 }
--- a/bench/call.c
+++ b/bench/call.c
@@ -11,7 +11,7 @@
 #define CALLS_MAX 4096
 #define ANSWER_BYTES_MAX (64 * 1024 * 1024)
 #define CONNECT_TIMEOUT (2 * USEC_PER_SEC)
-#define LOOP_STEP (10 * USEC_PER_MSEC)
+#define LOOP_TIMEOUT (10 * USEC_PER_MSEC)
 
 struct caller
 {
@@ -19,7 +19,7 @@
   struct http_client *client;
 };
 
-struct waiting_call
+struct pending_call
 {
   struct http_call_sink sink; /* must be first: callbacks cast it back */
   struct call_answer *answer;
@@ -65,7 +65,7 @@
          size_t n_headers,
          int64_t now)
 {
-  struct call_answer *answer = ((struct waiting_call *) sink)->answer;
+  struct call_answer *answer = ((struct pending_call *) sink)->answer;
 
   (void) now;
   answer->code = code;
@@ -82,29 +82,29 @@
 on_data (struct http_call_sink *sink, const void *data, size_t length, int64_t now)
 {
   (void) now;
-  bytes_append (&((struct waiting_call *) sink)->answer->body, data, length);
+  bytes_append (&((struct pending_call *) sink)->answer->body, data, length);
 }
 
 static void
 on_end (struct http_call_sink *sink, int64_t now)
 {
-  struct waiting_call *waiting = (struct waiting_call *) sink;
+  struct pending_call *pending = (struct pending_call *) sink;
 
   (void) now;
-  waiting->answer->sent = true;
-  waiting->ended = true;
+  pending->answer->sent = true;
+  pending->ended = true;
 }
 
 static void
 on_failed (struct http_call_sink *sink, enum status why, bool sent, int64_t now)
 {
-  struct waiting_call *waiting = (struct waiting_call *) sink;
+  struct pending_call *pending = (struct pending_call *) sink;
 
   (void) why;
   (void) now;
-  waiting->answer->code = 0;
-  waiting->answer->sent = sent;
-  waiting->ended = true;
+  pending->answer->code = 0;
+  pending->answer->sent = sent;
+  pending->ended = true;
 }
 
 void
@@ -116,7 +116,7 @@
   static const struct http_call_sink_ops ops = {
     .head = on_head, .data = on_data, .end = on_end, .failed = on_failed
   };
-  struct waiting_call waiting = { .sink = { .ops = &ops }, .answer = out };
+  struct pending_call pending = { .sink = { .ops = &ops }, .answer = out };
   struct http_call_spec timed = *spec;
   int64_t now = loop_now (caller->loop);
   struct http_call *handle;
@@ -124,10 +124,10 @@
   *out = (struct call_answer){ .code = 0 };
   bytes_init (&out->body, caller);
   timed.deadline = now + timeout;
-  if (caller->client->ops->start (caller->client, &timed, &waiting.sink, now, &handle) != STATUS_OK)
+  if (caller->client->ops->start (caller->client, &timed, &pending.sink, now, &handle) != STATUS_OK)
     return;
-  while (!waiting.ended)
-    loop_run_once (caller->loop, LOOP_STEP);
+  while (!pending.ended)
+    loop_run_once (caller->loop, LOOP_TIMEOUT);
 }
 
 json_t *
--- a/bench/cmd_explore.c
+++ b/bench/cmd_explore.c
@@ -41,7 +41,7 @@
   if (hand_over)
     {
       consensus_voter_transfer (fake_group_consensus (group, (uint32_t) leader),
-                                fake_group_local (group, (uint32_t) leader));
+                                fake_group_local_time (group, (uint32_t) leader));
       while (fake_group_await_leader (group, 0) == leader
              && fake_group_now (group) - began < FAILOVER_MAX)
         fake_group_run (group, USEC_PER_MSEC / 10);
--- a/bench/cmd_fake-target.c
+++ b/bench/cmd_fake-target.c
@@ -270,7 +270,7 @@
   for (uint32_t i = 0; i < program->count; i++)
     if (!name || strcmp (name, program->targets[i]->name) == 0)
       {
-        status = fake_target_fault (program->targets[i], fault, now);
+        status = fake_target_set_fault (program->targets[i], fault, now);
         if (status != STATUS_OK)
           break;
       }
@@ -304,7 +304,8 @@
   bool idle = true;
 
   for (uint32_t i = 0; i < program->count; i++)
-    idle = idle && fake_target_idle (program->targets[i]) && fake_target_left (program->targets[i]);
+    idle = idle && fake_target_is_idle (program->targets[i])
+           && fake_target_has_left (program->targets[i]);
   if (idle || now >= program->quit_deadline)
     loop_stop (program->loop);
   else
--- a/bench/cmd_host-cost.c
+++ b/bench/cmd_host-cost.c
@@ -224,7 +224,7 @@
 
   make_ways (cost, &cost->held, &hosted, &direct);
   host_cost_result_init (&result, cost->launch, cost->n_held);
-  if (launch_fault (cost->launch, "held", json_pack ("{s:i}", "late_ms", HELD_FOR_MSEC))
+  if (launch_inject_fault (cost->launch, "held", json_pack ("{s:i}", "late_ms", HELD_FOR_MSEC))
       != STATUS_OK)
     return false;
   host_cost_run (cost->launch->caller, &hosted, cost->n_held, cost->n_held, &look, &result);
--- a/bench/cmd_in_force.c
+++ b/bench/cmd_in_force.c
@@ -75,7 +75,7 @@
   int64_t begin;
 
   launch_signal (&launch->hosts[host].process, SIGKILL);
-  if (!launch_wait_end (launch, &launch->hosts[host].process, EXIT_TIMEOUT))
+  if (!launch_wait_exit (launch, &launch->hosts[host].process, EXIT_TIMEOUT))
     return;
   begin = loop_now (loop);
   if (launch_start_host (launch, host) != STATUS_OK || launch_wait_healthy (launch) != STATUS_OK)
--- a/bench/disk_fake.c
+++ b/bench/disk_fake.c
@@ -8,7 +8,7 @@
 #define NAMES_MAX 256
 #define OPEN_MAX 64
 #define PENDING_MAX 256
-#define SECTOR 512u
+#define SECTOR_BYTES 512u
 
 struct node
 {
@@ -70,7 +70,7 @@
 }
 
 static struct name *
-find (struct folder *folder, const char *name)
+find_entry (struct folder *folder, const char *name)
 {
   for (uint32_t i = 0; i < folder->n; i++)
     if (strcmp (folder->names[i].name, name) == 0)
@@ -79,18 +79,18 @@
 }
 
 static void
-forget (struct folder *folder, const char *name)
+remove_entry (struct folder *folder, const char *name)
 {
-  struct name *entry = find (folder, name);
+  struct name *entry = find_entry (folder, name);
 
   if (entry != NULL)
     *entry = folder->names[--folder->n];
 }
 
 static void
-put (struct folder *folder, const char *name, struct node *node)
+put_entry (struct folder *folder, const char *name, struct node *node)
 {
-  forget (folder, name);
+  remove_entry (folder, name);
   INVARIANT (folder->n < NAMES_MAX);
   text_copy_truncated (folder->names[folder->n].name, DISK_NAME_SIZE, name);
   folder->names[folder->n++].node = node;
@@ -102,14 +102,14 @@
   switch (change->kind)
     {
     case CHANGE_CREATE:
-      put (folder, change->name, change->node);
+      put_entry (folder, change->name, change->node);
       break;
     case CHANGE_RENAME:
-      forget (folder, change->name);
-      put (folder, change->to, change->node);
+      remove_entry (folder, change->name);
+      put_entry (folder, change->to, change->node);
       break;
     case CHANGE_REMOVE:
-      forget (folder, change->name);
+      remove_entry (folder, change->name);
       break;
     }
 }
@@ -133,7 +133,7 @@
 
 /* Count a change.  False if the disk has stopped. */
 static bool
-may_change (struct disk_fake *self)
+count_change (struct disk_fake *self)
 {
   if (!self->stopped)
     self->changes++;
@@ -162,10 +162,10 @@
 fake_open (struct disk *disk, const char *name, int *file)
 {
   struct disk_fake *self = disk_fake_of (disk);
-  struct name *entry = find (&self->now, name);
+  struct name *entry = find_entry (&self->now, name);
   struct node *node;
 
-  if (entry == NULL && !may_change (self))
+  if (entry == NULL && !count_change (self))
     return stopped ();
   if (self->stopped)
     return stopped ();
@@ -204,7 +204,7 @@
 
   if (self->stopped)
     return stopped ();
-  if (!may_change (self))
+  if (!count_change (self))
     {
       bytes_append (&node->now, data, rng_below (&self->rng, length + 1));
       return stopped ();
@@ -233,7 +233,7 @@
   struct disk_fake *self = disk_fake_of (disk);
   struct node *node = self->open[file];
 
-  if (!may_change (self))
+  if (!count_change (self))
     return stopped ();
   set_length (&node->now, length);
   if (node->common > length)
@@ -254,7 +254,7 @@
 {
   struct disk_fake *self = disk_fake_of (disk);
 
-  if (!may_change (self))
+  if (!count_change (self))
     return stopped ();
   if (self->fail_sync)
     {
@@ -271,7 +271,7 @@
 fake_read (struct disk *disk, const char *name, uint64_t offset, size_t length, struct bytes *out)
 {
   struct disk_fake *self = disk_fake_of (disk);
-  const struct name *entry = find (&self->now, name);
+  const struct name *entry = find_entry (&self->now, name);
   uint64_t left;
 
   if (entry == NULL)
@@ -286,7 +286,7 @@
 static enum status
 fake_size (struct disk *disk, const char *name, uint64_t *out)
 {
-  const struct name *entry = find (&disk_fake_of (disk)->now, name);
+  const struct name *entry = find_entry (&disk_fake_of (disk)->now, name);
 
   if (entry == NULL)
     return status_fail (STATUS_NOT_FOUND, "no file %s", name);
@@ -298,9 +298,9 @@
 fake_rename (struct disk *disk, const char *from, const char *to)
 {
   struct disk_fake *self = disk_fake_of (disk);
-  const struct name *entry = find (&self->now, from);
+  const struct name *entry = find_entry (&self->now, from);
 
-  if (!may_change (self))
+  if (!count_change (self))
     return stopped ();
   if (entry == NULL)
     return status_fail (STATUS_NOT_FOUND, "no file %s", from);
@@ -313,9 +313,9 @@
 {
   struct disk_fake *self = disk_fake_of (disk);
 
-  if (find (&self->now, name) == NULL)
+  if (find_entry (&self->now, name) == NULL)
     return status_fail (STATUS_NOT_FOUND, "no file %s", name);
-  if (!may_change (self))
+  if (!count_change (self))
     return stopped ();
   add_change (self, CHANGE_REMOVE, name, "", NULL);
   return STATUS_OK;
@@ -326,7 +326,7 @@
 {
   struct disk_fake *self = disk_fake_of (disk);
 
-  if (!may_change (self))
+  if (!count_change (self))
     return stopped ();
   self->durable = self->now;
   self->n_pending = 0;
@@ -403,7 +403,7 @@
       if (keep > 0 && rng_below (&self->rng, 2) == 0)
         {
           size_t at = start + rng_below (&self->rng, keep);
-          size_t n = node->now.length - at < SECTOR ? node->now.length - at : SECTOR;
+          size_t n = node->now.length - at < SECTOR_BYTES ? node->now.length - at : SECTOR_BYTES;
 
           memset (node->now.data + at, 0, n);
         }
@@ -443,7 +443,7 @@
 }
 
 bool
-disk_fake_stopped (const struct disk_fake *self)
+disk_fake_is_stopped (const struct disk_fake *self)
 {
   return self->stopped;
 }
@@ -467,9 +467,9 @@
 }
 
 void
-disk_fake_flip (struct disk_fake *self, const char *name, uint64_t offset)
+disk_fake_flip_bit (struct disk_fake *self, const char *name, uint64_t offset)
 {
-  struct name *entry = find (&self->now, name);
+  struct name *entry = find_entry (&self->now, name);
 
   INVARIANT (entry != NULL && offset < entry->node->now.length);
   entry->node->now.data[offset] ^= 0x10;
@@ -478,9 +478,9 @@
 }
 
 void
-disk_fake_cut (struct disk_fake *self, const char *name, uint64_t length)
+disk_fake_truncate (struct disk_fake *self, const char *name, uint64_t length)
 {
-  struct name *entry = find (&self->now, name);
+  struct name *entry = find_entry (&self->now, name);
 
   INVARIANT (entry != NULL);
   set_length (&entry->node->now, length);
@@ -505,7 +505,7 @@
       bytes_append (&node->now, content->data, content->length);
       bytes_append (&node->durable, content->data, content->length);
       node->common = content->length;
-      put (&self->now, from->durable.names[i].name, node);
+      put_entry (&self->now, from->durable.names[i].name, node);
     }
   self->durable = self->now;
   return disk;
--- a/bench/disk_fake.h
+++ b/bench/disk_fake.h
@@ -25,7 +25,7 @@
 /* Stop before the `n`th change from now (an append may be done in part): that change and every
  * later operation fails until disk_fake_crash().  0: never. */
 void disk_fake_stop_after (struct disk_fake *disk, uint64_t n);
-bool disk_fake_stopped (const struct disk_fake *disk);
+bool disk_fake_is_stopped (const struct disk_fake *disk);
 
 /* Fail the next sync once; its data does not become durable. */
 void disk_fake_fail_sync (struct disk_fake *disk);
@@ -41,10 +41,10 @@
 void disk_fake_set_reported (struct disk_fake *disk, uint64_t bytes);
 
 /* Flip one bit of a file, in its durable content as well. */
-void disk_fake_flip (struct disk_fake *disk, const char *name, uint64_t offset);
+void disk_fake_flip_bit (struct disk_fake *disk, const char *name, uint64_t offset);
 
 /* Truncate a file, its durable content as well. */
-void disk_fake_cut (struct disk_fake *disk, const char *name, uint64_t length);
+void disk_fake_truncate (struct disk_fake *disk, const char *name, uint64_t length);
 
 /* A new disk with a copy of the durable content of this one. */
 struct disk *disk_fake_copy (void *parent, struct disk_fake *disk);
--- a/bench/experiment.c
+++ b/bench/experiment.c
@@ -77,7 +77,7 @@
 
   snprintf (name, sizeof name, "%s-%u", pool, index + 1);
   json_object_set_new (fault, "target", json_string (name));
-  launch_fault (run->launch, pool, fault);
+  launch_inject_fault (run->launch, pool, fault);
 }
 
 /* Fail the last domain silently: its targets accept work and never answer, its hosts are stopped,
@@ -104,7 +104,7 @@
   switch (run->setup->experiment)
     {
     case EXPERIMENT_SLOW_STAGE:
-      launch_fault (run->launch, "rerankers", json_pack ("{s:f}", "slow", SLOW_FACTOR));
+      launch_inject_fault (run->launch, "rerankers", json_pack ("{s:f}", "slow", SLOW_FACTOR));
       break;
     case EXPERIMENT_DOMAIN_LOST:
       fail_domain (run);
@@ -119,7 +119,7 @@
       launch_signal (&run->launch->hosts[run->launch->n_hosts - 1].process, SIGKILL);
       break;
     case EXPERIMENT_COLD:
-      launch_fault (run->launch, runners, json_pack ("{s:b}", "cold", 1));
+      launch_inject_fault (run->launch, runners, json_pack ("{s:b}", "cold", 1));
       break;
     default:
       break;
--- a/bench/explore.c
+++ b/bench/explore.c
@@ -118,7 +118,7 @@
   /* The disk may stop or be full during the start; any other error is a defect. */
   if (status != STATUS_OK && status != STATUS_IO && !(walk->bad_disks && status == STATUS_DISK_FULL)
       && breach[0] == '\0')
-    snprintf (breach, GROUP_BREACH_SIZE, "v%u cannot start: %s", host, status_message ());
+    snprintf (breach, GROUP_VIOLATION_SIZE, "v%u cannot start: %s", host, status_message ());
 }
 
 /* Loses at most one disk at a time: the group is not designed to survive more. */
@@ -127,7 +127,7 @@
 {
   uint32_t host = any_host (walk);
 
-  if (walk->disk_missing || !fake_group_whole (walk->group))
+  if (walk->disk_missing || !fake_group_is_fully_replicated (walk->group))
     return;
   fake_group_stop (walk->group, host, true);
   fake_group_set_disk (walk->group, host, NULL);
@@ -156,7 +156,7 @@
 {
   if (is_up (walk, host))
     consensus_voter_transfer (fake_group_consensus (walk->group, host),
-                              fake_group_local (walk->group, host));
+                              fake_group_local_time (walk->group, host));
 }
 
 static void
@@ -320,7 +320,7 @@
   fake_group_run (walk->group, (int64_t) rng_below (&walk->rng, STEP_MAX));
   if (rng_below (&walk->rng, 3) != 0)
     start (walk, any_host (walk), breach);
-  if (walk->disk_missing && fake_group_whole (walk->group))
+  if (walk->disk_missing && fake_group_is_fully_replicated (walk->group))
     walk->disk_missing = false;
 }
 
@@ -372,8 +372,9 @@
       restart_stopped (walk, i);
       start (walk, i, breach);
     }
-  while (fake_group_now (walk->group) < until && fake_group_breach (walk->group)[0] == '\0'
-         && !(fake_group_whole (walk->group) && fake_group_await_equal (walk->group, 0)))
+  while (fake_group_now (walk->group) < until && fake_group_violation (walk->group)[0] == '\0'
+         && !(fake_group_is_fully_replicated (walk->group)
+              && fake_group_await_convergence (walk->group, 0)))
     {
       fake_group_run (walk->group, USEC_PER_SEC);
       /* An injected sync failure may take effect only now. */
@@ -383,9 +384,11 @@
           start (walk, i, breach);
         }
     }
-  if (breach[0] == '\0' && fake_group_breach (walk->group)[0] == '\0'
-      && !(fake_group_whole (walk->group) && fake_group_await_equal (walk->group, 0)))
-    snprintf (breach, GROUP_BREACH_SIZE, "the group did not recover after all faults were removed");
+  if (breach[0] == '\0' && fake_group_violation (walk->group)[0] == '\0'
+      && !(fake_group_is_fully_replicated (walk->group)
+           && fake_group_await_convergence (walk->group, 0)))
+    snprintf (breach, GROUP_VIOLATION_SIZE,
+              "the group did not recover after all faults were removed");
 }
 
 void
@@ -399,8 +402,8 @@
   for (uint32_t i = 0; i < config->steps && out->breach[0] == '\0'; i++)
     step (&walk, out->breach);
   finish (&walk, out->breach);
-  if (fake_group_breach (walk.group)[0] != '\0')
-    snprintf (out->breach, sizeof out->breach, "%s", fake_group_breach (walk.group));
+  if (fake_group_violation (walk.group)[0] != '\0')
+    snprintf (out->breach, sizeof out->breach, "%s", fake_group_violation (walk.group));
   out->events = fake_group_events (walk.group);
   fake_group_counts (walk.group, &out->count);
   talloc_free (walk.group);
--- a/bench/explore.h
+++ b/bench/explore.h
@@ -21,7 +21,7 @@
 
 struct explore_result
 {
-  char breach[GROUP_BREACH_SIZE]; /* "" if no invariant was violated */
+  char breach[GROUP_VIOLATION_SIZE]; /* "" if no invariant was violated */
   uint64_t events;
   struct fake_group_count count;
 };
--- a/bench/fake.h
+++ b/bench/fake.h
@@ -108,16 +108,16 @@
                                      const char *listen);
 
 /* Apply a fault given as JSON.  STATUS_INVALID with a message on unknown fields. */
-enum status fake_target_fault (struct fake_target *target, const json_t *fault, int64_t now);
+enum status fake_target_set_fault (struct fake_target *target, const json_t *fault, int64_t now);
 
 /* Announce the leave to the host; calls in flight continue. */
 void fake_target_leave (struct fake_target *target, int64_t now);
 
 /* True if a host acknowledged the leave or there is no host to notify. */
-bool fake_target_left (const struct fake_target *target);
+bool fake_target_has_left (const struct fake_target *target);
 
 /* True if no call is in flight. */
-bool fake_target_idle (const struct fake_target *target);
+bool fake_target_is_idle (const struct fake_target *target);
 
 /* Counters and executions; a new reference. */
 json_t *fake_target_describe (const struct fake_target *target);
@@ -130,22 +130,22 @@
 void fake_reply_json (struct http_exchange *exchange, int code, json_t *body);
 
 /* Accept a call of the target's kind (fake_task.c). */
-void fake_task_take (struct fake_target *target, struct http_exchange *exchange, int64_t now);
+void fake_task_accept (struct fake_target *target, struct http_exchange *exchange, int64_t now);
 void fake_task_cancel (struct fake_target *target,
                        const char *id,
                        const char *attempt,
                        int64_t now);
 /* Release the calls that a fault made hang. */
-void fake_task_release (struct fake_target *target, int64_t now);
+void fake_task_release_hung (struct fake_target *target, int64_t now);
 
 /* The JSON of an answer that is not streamed (fake_reply.c).  False if the body is invalid. */
-bool fake_reply_whole (enum stage_kind kind, const char *body, size_t length, struct bytes *out);
+bool fake_reply_body (enum stage_kind kind, const char *body, size_t length, struct bytes *out);
 
 /* Announce, renew, report, leave (fake_register.c). */
 struct fake_register *fake_register_new (struct fake_target *target, int64_t now);
 void fake_register_leave (struct fake_register *registration, int64_t now);
-bool fake_register_announced (const struct fake_register *registration);
-bool fake_register_left (const struct fake_register *registration);
+bool fake_register_is_announced (const struct fake_register *registration);
+bool fake_register_has_left (const struct fake_register *registration);
 
 END_DECLS
 
--- a/bench/fake_answer.c
+++ b/bench/fake_answer.c
@@ -19,7 +19,7 @@
 static void
 deliver_whole (struct fake_task *task, int64_t now)
 {
-  struct http_exchange *exchange = fake_task_give_up (task);
+  struct http_exchange *exchange = fake_task_detach_exchange (task);
   struct http_field fields[3];
   size_t n = answer_fields (task, "application/json", fields);
 
@@ -120,7 +120,7 @@
 finish_stream (struct fake_task *task, int64_t now)
 {
   static const char done[] = "data: [DONE]\n\n";
-  struct http_exchange *exchange = fake_task_give_up (task);
+  struct http_exchange *exchange = fake_task_detach_exchange (task);
 
   exchange->ops->write (exchange, done, sizeof done - 1);
   exchange->ops->finish (exchange);
@@ -140,7 +140,7 @@
       last = task->piece + 1 >= piece_count (task);
       if (task->fault.die && task->piece >= piece_count (task) / 2)
         {
-          exchange = fake_task_give_up (task);
+          exchange = fake_task_detach_exchange (task);
           exchange->ops->abort (exchange);
           fake_task_end (task, false, now);
           return;
--- a/bench/fake_cache.c
+++ b/bench/fake_cache.c
@@ -77,7 +77,7 @@
 }
 
 static void
-drop (struct fake_cache *cache, struct cache_block *block)
+evict (struct fake_cache *cache, struct cache_block *block)
 {
   INVARIANT (cache->by_hash);
   publish (cache, block->hash, false);
@@ -88,7 +88,7 @@
 }
 
 static void
-use (struct fake_cache *cache, struct cache_block *block)
+touch (struct fake_cache *cache, struct cache_block *block)
 {
   DL_DELETE (cache->by_use, block);
   DL_APPEND (cache->by_use, block);
@@ -103,11 +103,11 @@
     return;
   if (block)
     {
-      use (cache, block);
+      touch (cache, block);
       return;
     }
   if (cache->by_use && cache->count == cache->blocks_max)
-    drop (cache, cache->by_use);
+    evict (cache, cache->by_use);
   block = talloc_zero (cache, struct cache_block);
   block->hash = hash;
   HASH_ADD (hh, cache->by_hash, hash, sizeof block->hash, block);
@@ -132,7 +132,7 @@
       block = find (cache, hash);
       if (!block)
         break;
-      use (cache, block);
+      touch (cache, block);
       matched++;
     }
   return matched * FAKE_BLOCK_TOKENS;
@@ -151,7 +151,7 @@
 }
 
 bool
-fake_cache_holds (const struct fake_cache *cache, uint64_t block)
+fake_cache_contains (const struct fake_cache *cache, uint64_t block)
 {
   return find (cache, block) != NULL;
 }
@@ -166,7 +166,7 @@
 fake_cache_clear (struct fake_cache *cache)
 {
   while (cache->by_use)
-    drop (cache, cache->by_use);
+    evict (cache, cache->by_use);
 }
 
 json_t *
--- a/bench/fake_cache.h
+++ b/bench/fake_cache.h
@@ -27,7 +27,7 @@
 /* Insert KV blocks imported from another engine, by their hashes. */
 void fake_cache_store_block (struct fake_cache *cache, uint64_t block);
 
-bool fake_cache_holds (const struct fake_cache *cache, uint64_t block);
+bool fake_cache_contains (const struct fake_cache *cache, uint64_t block);
 double fake_cache_used (const struct fake_cache *cache);
 void fake_cache_clear (struct fake_cache *cache);
 
--- a/bench/fake_group.c
+++ b/bench/fake_group.c
@@ -6,20 +6,20 @@
 #include <talloc.h>
 
 void
-group_breach_at (struct fake_group *group, const char *format, ...)
+group_report_violation (struct fake_group *group, const char *format, ...)
 {
   va_list args;
 
-  if (group->breach[0] != '\0')
+  if (group->violation[0] != '\0')
     return;
   va_start (args, format);
-  vsnprintf (group->breach, sizeof group->breach, format, args);
+  vsnprintf (group->violation, sizeof group->violation, format, args);
   va_end (args);
 }
 
 /* Convert global time to the host's clock. */
 int64_t
-group_local (const struct host *host, int64_t now)
+group_local_time (const struct host *host, int64_t now)
 {
   int64_t since = now - START_OF_TIME;
 
@@ -29,13 +29,13 @@
 
 /* Global time at which the host's clock shows at least `at`.  May be slightly late, never early. */
 static int64_t
-global (const struct host *host, int64_t at)
+global_time (const struct host *host, int64_t at)
 {
   int64_t since = at - host->clock_offset - START_OF_TIME;
   int64_t now = START_OF_TIME + since - since / (1000000 + host->clock_ppm) * host->clock_ppm;
 
-  while (group_local (host, now) < at)
-    now += at - group_local (host, now);
+  while (group_local_time (host, now) < at)
+    now += at - group_local_time (host, now);
   return now;
 }
 
@@ -83,7 +83,8 @@
   due = timer_service_next_due (host->timers);
   if (due == USEC_NEVER)
     return INT64_MAX;
-  at = due <= group_local (host, host->group->now) ? host->group->now : global (host, due);
+  at =
+      due <= group_local_time (host, host->group->now) ? host->group->now : global_time (host, due);
   return at > host->busy_until ? at : host->busy_until;
 }
 
@@ -120,36 +121,36 @@
   if (host->consensus != NULL && listener != NULL && !group->cut[message.from][message.to])
     {
       listener->ops->received (listener, group->hosts[message.from].name, message.data,
-                               message.length, group_local (host, group->now));
+                               message.length, group_local_time (host, group->now));
       group_check_host (group, host);
     }
   talloc_free (message.data);
 }
 
 static void
-fire (struct fake_group *group, struct host *host, int64_t at)
+fire_timers (struct fake_group *group, struct host *host, int64_t at)
 {
   if (at > group->now)
     group->now = at;
-  timer_service_run (host->timers, group_local (host, group->now));
+  timer_service_run (host->timers, group_local_time (host, group->now));
   group_check_host (group, host);
 }
 
 /* Process the next event up to `until`.  False if there is none or a rule is broken. */
 static bool
-one_event (struct fake_group *group, int64_t until)
+process_event (struct fake_group *group, int64_t until)
 {
   int64_t timer_at;
   struct host *host = earliest_timer (group, &timer_at);
   int64_t message_at = group->n_messages > 0 ? group->messages[1].due : INT64_MAX;
 
-  if (group->breach[0] != '\0' || (timer_at > until && message_at > until))
+  if (group->violation[0] != '\0' || (timer_at > until && message_at > until))
     return false;
   group->events++;
   if (message_at <= timer_at)
     deliver (group);
   else
-    fire (group, host, timer_at);
+    fire_timers (group, host, timer_at);
   return true;
 }
 
@@ -158,9 +159,9 @@
 {
   int64_t until = group->now + span;
 
-  while (one_event (group, until))
+  while (process_event (group, until))
     ;
-  if (group->breach[0] == '\0')
+  if (group->violation[0] == '\0')
     group->now = until;
 }
 
@@ -186,13 +187,13 @@
 {
   int64_t until = group->now + span;
 
-  while (working_leader (group) < 0 && one_event (group, until))
+  while (working_leader (group) < 0 && process_event (group, until))
     ;
   return working_leader (group);
 }
 
 static bool
-equal (const struct fake_group *group)
+has_converged (const struct fake_group *group)
 {
   for (uint32_t i = 0; i < group->n; i++)
     if (group->hosts[i].consensus != NULL && group->hosts[i].machine.index != group->most_applied)
@@ -201,19 +202,19 @@
 }
 
 bool
-fake_group_await_equal (struct fake_group *group, int64_t span)
+fake_group_await_convergence (struct fake_group *group, int64_t span)
 {
   int64_t until = group->now + span;
 
-  while (!equal (group) && one_event (group, until))
+  while (!has_converged (group) && process_event (group, until))
     ;
-  return equal (group);
+  return has_converged (group);
 }
 
 const char *
-fake_group_breach (const struct fake_group *group)
+fake_group_violation (const struct fake_group *group)
 {
-  return group->breach;
+  return group->violation;
 }
 
 int64_t
@@ -223,9 +224,9 @@
 }
 
 int64_t
-fake_group_local (const struct fake_group *group, uint32_t host)
+fake_group_local_time (const struct fake_group *group, uint32_t host)
 {
-  return group_local (&group->hosts[host], group->now);
+  return group_local_time (&group->hosts[host], group->now);
 }
 
 uint64_t
@@ -309,9 +310,9 @@
 }
 
 static bool
-holds_everything (struct fake_group *group,
-                  const struct raft *leader,
-                  const struct raft_member *member)
+has_all_entries (struct fake_group *group,
+                 const struct raft *leader,
+                 const struct raft_member *member)
 {
   struct raft_progress progress;
 
@@ -329,7 +330,7 @@
 }
 
 bool
-fake_group_whole (struct fake_group *group)
+fake_group_is_fully_replicated (struct fake_group *group)
 {
   int number = working_leader (group);
   const struct raft_members *members;
@@ -342,7 +343,7 @@
   if (raft_members_voters (members) != group->config.voters)
     return false;
   for (uint32_t i = 0; i < members->n; i++)
-    if (members->members[i].voter && !holds_everything (group, raft, &members->members[i]))
+    if (members->members[i].voter && !has_all_entries (group, raft, &members->members[i]))
       return false;
   return true;
 }
--- a/bench/fake_group.h
+++ b/bench/fake_group.h
@@ -14,7 +14,7 @@
 BEGIN_DECLS
 
 #define GROUP_MAX 12
-#define GROUP_BREACH_SIZE 256
+#define GROUP_VIOLATION_SIZE 256
 
 struct fake_group;
 
@@ -44,13 +44,14 @@
 int fake_group_await_leader (struct fake_group *group, int64_t span);
 
 /* Run until every running host has applied as much as any host, for at most `span`. */
-bool fake_group_await_equal (struct fake_group *group, int64_t span);
+bool fake_group_await_convergence (struct fake_group *group, int64_t span);
 
 /* The first invariant violation, "" if none. */
-const char *fake_group_breach (const struct fake_group *group);
+const char *fake_group_violation (const struct fake_group *group);
 
 int64_t fake_group_now (const struct fake_group *group);
-int64_t fake_group_local (const struct fake_group *group, uint32_t host); /* by its own clock */
+int64_t fake_group_local_time (const struct fake_group *group,
+                               uint32_t host); /* by its own clock */
 uint64_t fake_group_events (const struct fake_group *group);
 struct consensus *fake_group_consensus (struct fake_group *group, uint32_t host); /* NULL: down */
 struct disk_fake *fake_group_disk (struct fake_group *group, uint32_t host);
@@ -106,7 +107,7 @@
 
 /* True if the configured number of voters run under their current identities and hold all committed
  * entries. */
-bool fake_group_whole (struct fake_group *group);
+bool fake_group_is_fully_replicated (struct fake_group *group);
 
 END_DECLS
 
--- a/bench/fake_group_host.c
+++ b/bench/fake_group_host.c
@@ -19,7 +19,8 @@
   if (*known == 0)
     *known = machine->chain;
   else if (*known != machine->chain)
-    group_breach_at (group, "%s differs at entry %" PRIu64, machine->host->name, machine->index);
+    group_report_violation (group, "%s differs at entry %" PRIu64, machine->host->name,
+                            machine->index);
   if (machine->index > group->most_applied)
     group->most_applied = machine->index;
 }
@@ -32,8 +33,8 @@
   uint64_t words[2] = { index, machine->chain };
 
   if (index <= machine->index)
-    group_breach_at (machine->host->group, "%s applied %" PRIu64 " again", machine->host->name,
-                     index);
+    group_report_violation (machine->host->group, "%s applied %" PRIu64 " again",
+                            machine->host->name, index);
   machine->index = index;
   machine->chain = XXH3_64bits_withSeed (entry, length, XXH3_64bits (words, sizeof words)) | 1;
   check_chain (machine);
@@ -74,7 +75,7 @@
 };
 
 static void
-note_leader (struct fake_group *group, const struct host *host)
+record_leader (struct fake_group *group, const struct host *host)
 {
   const struct raft *raft = consensus_voter_raft (host->consensus);
   uint64_t term = raft_term (raft);
@@ -85,11 +86,11 @@
       group->leaders[term] = raft_id (raft);
       group->count.elections++;
       if (term > group->highest_term && raft_last (raft) < group->most_applied)
-        group_breach_at (group, "%s leads term %" PRIu64 " without all committed entries",
-                         host->name, term);
+        group_report_violation (group, "%s leads term %" PRIu64 " without all committed entries",
+                                host->name, term);
     }
   else if (group->leaders[term] != raft_id (raft))
-    group_breach_at (group, "two leaders in term %" PRIu64, term);
+    group_report_violation (group, "two leaders in term %" PRIu64, term);
   if (term > group->highest_term)
     group->highest_term = term;
 }
@@ -102,11 +103,11 @@
   group_count_syncs (host);
   if (raft_role (consensus_voter_raft (host->consensus)) == RAFT_LEADER
       && consensus_voter_health (host->consensus) == STATUS_OK)
-    note_leader (group, host);
+    record_leader (group, host);
   for (uint32_t i = 0; i < host->n_lost_ids; i++)
     if (raft_id (consensus_voter_raft (host->consensus)) == host->lost_ids[i])
-      group_breach_at (group, "%s takes part under an identity that was lost", host->name);
-  if (disk_fake_stopped (disk_fake_of (host->disk)))
+      group_report_violation (group, "%s takes part under an identity that was lost", host->name);
+  if (disk_fake_is_stopped (disk_fake_of (host->disk)))
     fake_group_stop (group, host->number, true);
 }
 
@@ -133,8 +134,8 @@
 
       group->count.reads_ok++;
       if (seen < call->applied_before)
-        group_breach_at (group, "a read on %s saw %" PRIu64 " of %" PRIu64 " applied before",
-                         host->name, seen, call->applied_before);
+        group_report_violation (group, "a read on %s saw %" PRIu64 " of %" PRIu64 " applied before",
+                                host->name, seen, call->applied_before);
     }
   talloc_free (call);
 }
@@ -145,7 +146,7 @@
 make_call (struct fake_group *group, uint32_t number, bool read, int64_t timeout)
 {
   struct host *host = &group->hosts[number];
-  int64_t now = group_local (host, group->now);
+  int64_t now = group_local_time (host, group->now);
   char entry[4096] = { 0 };
   uint32_t length = group->config.entry_bytes > 0 ? group->config.entry_bytes : ENTRY_BYTES;
   struct call *call;
@@ -218,11 +219,12 @@
   config.timers = host->timers;
   if (group->config.clock_ppm > 0)
     config.timing.drift_ppm = group->config.clock_ppm * 2;
-  host->consensus = consensus_voter_new (group, &config, &status, group_local (host, group->now));
+  host->consensus =
+      consensus_voter_new (group, &config, &status, group_local_time (host, group->now));
   if (host->consensus == NULL)
     {
       talloc_free (host->timers);
-      if (disk_fake_stopped (disk_fake_of (host->disk)))
+      if (disk_fake_is_stopped (disk_fake_of (host->disk)))
         disk_fake_crash (disk_fake_of (host->disk));
     }
   return status;
@@ -240,7 +242,7 @@
       host->consensus = NULL;
       group->count.crashes++;
     }
-  if (power || disk_fake_stopped (disk_fake_of (host->disk)))
+  if (power || disk_fake_is_stopped (disk_fake_of (host->disk)))
     disk_fake_crash (disk_fake_of (host->disk));
 }
 
--- a/bench/fake_group_net.c
+++ b/bench/fake_group_net.c
@@ -106,7 +106,7 @@
   struct host *host = ((struct fake_port *) port)->host;
   struct fake_group *group = host->group;
 
-  if (disk_fake_stopped (disk_fake_of (host->disk)))
+  if (disk_fake_is_stopped (disk_fake_of (host->disk)))
     return STATUS_OK;
   group_count_syncs (host);
   group->count.messages++;
--- a/bench/fake_group_private.h
+++ b/bench/fake_group_private.h
@@ -91,13 +91,13 @@
   uint64_t proposals;
   struct fake_group_count count;
   enum status last_status;
-  char breach[GROUP_BREACH_SIZE];
+  char violation[GROUP_VIOLATION_SIZE];
 };
 
 /* fake_group.c */
-void group_breach_at (struct fake_group *group, const char *format, ...)
+void group_report_violation (struct fake_group *group, const char *format, ...)
     __attribute__ ((format (printf, 2, 3)));
-int64_t group_local (const struct host *host, int64_t now); /* the host's own clock */
+int64_t group_local_time (const struct host *host, int64_t now); /* the host's own clock */
 
 /* fake_group_net.c */
 extern const struct peer_port_ops group_port_ops;
--- a/bench/fake_register.c
+++ b/bench/fake_register.c
@@ -9,7 +9,7 @@
 #include <string.h>
 #include <talloc.h>
 
-#define MESSAGE_SPAN (600 * USEC_PER_MSEC) /* two attempts fit well within a lease of 3 s */
+#define MESSAGE_TIMEOUT (600 * USEC_PER_MSEC) /* two attempts fit well within a lease of 3 s */
 #define RETRY_FIRST (50 * USEC_PER_MSEC)
 #define RETRY_MAX (500 * USEC_PER_MSEC)
 #define RENEW_DEFAULT USEC_PER_SEC
@@ -72,7 +72,7 @@
   uint32_t n_reports;
 };
 
-static void speak (struct fake_register *registration, int64_t now);
+static void send_next_message (struct fake_register *registration, int64_t now);
 
 static void
 add_address (struct fake_register *registration, const char *address)
@@ -105,7 +105,7 @@
 }
 
 static void
-take_answer (struct message *message, int64_t now)
+handle_answer (struct message *message, int64_t now)
 {
   struct fake_register *registration = message->registration;
   json_t *body = json_loadb (message->answer.data ? message->answer.data : "",
@@ -141,12 +141,12 @@
     }
   if (registration->leaving)
     {
-      speak (registration, now);
+      send_next_message (registration, now);
       return;
     }
   if (message->code == 200)
     {
-      take_answer (message, now);
+      handle_answer (message, now);
       return;
     }
   if (message->code == 404 || message->code == 409)
@@ -224,7 +224,7 @@
     .n_headers = 1,
     .body = text,
     .body_length = strlen (text),
-    .deadline = now + MESSAGE_SPAN,
+    .deadline = now + MESSAGE_TIMEOUT,
     .max_body_bytes = ANSWER_BYTES_MAX,
   };
   enum status status;
@@ -241,7 +241,7 @@
 }
 
 static json_t *
-words (const struct fake_register *registration)
+message_base (const struct fake_register *registration)
 {
   const struct fake_target *target = registration->target;
 
@@ -260,7 +260,7 @@
   };
   const struct fake_target *target = registration->target;
   const struct fake_options *options = target->options;
-  json_t *body = words (registration);
+  json_t *body = message_base (registration);
 
   json_object_update_new (
       body, json_pack ("{s:s, s:s, s:s, s:s, s:[s], s:[], s:s, s:b, s:b, s:I}", "pool",
@@ -273,7 +273,7 @@
 
 /* Send the next registration message: leave, announce or renew. */
 static void
-speak (struct fake_register *registration, int64_t now)
+send_next_message (struct fake_register *registration, int64_t now)
 {
   enum message_kind kind = registration->announced ? MESSAGE_RENEW : MESSAGE_ANNOUNCE;
   json_t *body;
@@ -284,7 +284,7 @@
     kind = MESSAGE_LEAVE;
   if (kind != MESSAGE_RENEW)
     registration->sequence++;
-  body = kind == MESSAGE_ANNOUNCE ? announcement (registration) : words (registration);
+  body = kind == MESSAGE_ANNOUNCE ? announcement (registration) : message_base (registration);
   registration->in_call = send_message (registration, kind, body, now);
   if (!registration->in_call)
     try_next_host (registration, now);
@@ -301,11 +301,11 @@
       arm_renew (registration, now + RENEW_DEFAULT);
       return;
     }
-  speak (registration, now);
+  send_next_message (registration, now);
 }
 
 static void
-measure (struct fake_register *registration, int64_t now)
+queue_report (struct fake_register *registration, int64_t now)
 {
   struct fake_target *target = registration->target;
   struct report *report;
@@ -362,7 +362,7 @@
       (struct fake_register *) ((char *) timer - offsetof (struct fake_register, report_timer));
   const struct fake_options *options = registration->target->options;
 
-  measure (registration, now);
+  queue_report (registration, now);
   while (registration->n_reports > 0)
     {
       struct report *report = &registration->reports[registration->report_first];
@@ -405,17 +405,17 @@
   if (registration->leaving || registration->n_addresses == 0)
     return;
   registration->leaving = true;
-  speak (registration, now);
+  send_next_message (registration, now);
 }
 
 bool
-fake_register_announced (const struct fake_register *registration)
+fake_register_is_announced (const struct fake_register *registration)
 {
   return registration->announced;
 }
 
 bool
-fake_register_left (const struct fake_register *registration)
+fake_register_has_left (const struct fake_register *registration)
 {
   return registration->left || registration->n_addresses == 0;
 }
--- a/bench/fake_reply.c
+++ b/bench/fake_reply.c
@@ -5,7 +5,7 @@
 #include <string.h>
 
 static bool
-take_json (json_t *json, struct bytes *out)
+append_json (json_t *json, struct bytes *out)
 {
   char *text = json ? json_dumps (json, JSON_COMPACT) : NULL;
 
@@ -30,10 +30,10 @@
   numbers = json_array ();
   for (int i = 0; i < ANSWER_EMBEDDING_SIZE; i++)
     json_array_append_new (numbers, json_integer (embedding.numbers[i]));
-  return take_json (json_pack ("{s:[{s:o}], s:{s:I}}", "data", "embedding", numbers, "usage",
-                               "prompt_tokens",
-                               (json_int_t) (json_string_length (input) / ANSWER_BYTES_PER_TOKEN)),
-                    out);
+  return append_json (
+      json_pack ("{s:[{s:o}], s:{s:I}}", "data", "embedding", numbers, "usage", "prompt_tokens",
+                 (json_int_t) (json_string_length (input) / ANSWER_BYTES_PER_TOKEN)),
+      out);
 }
 
 /* False if the body's embedding is not an array of ANSWER_EMBEDDING_SIZE numbers. */
@@ -74,7 +74,7 @@
       json_array_append_new (documents,
                              json_pack ("{s:s, s:s}", "id", document.id, "text", document.text));
     }
-  return take_json (json_pack ("{s:o}", "documents", documents), out);
+  return append_json (json_pack ("{s:o}", "documents", documents), out);
 }
 
 static bool
@@ -103,11 +103,11 @@
   for (uint32_t i = 0; i < count; i++)
     json_array_append_new (results, json_pack ("{s:I, s:f}", "index", (json_int_t) ranks[i].index,
                                                "relevance_score", ranks[i].score / 16777216.0));
-  return take_json (json_pack ("{s:o}", "results", results), out);
+  return append_json (json_pack ("{s:o}", "results", results), out);
 }
 
 bool
-fake_reply_whole (enum stage_kind kind, const char *body, size_t length, struct bytes *out)
+fake_reply_body (enum stage_kind kind, const char *body, size_t length, struct bytes *out)
 {
   json_t *json;
   bool made = false;
--- a/bench/fake_target.c
+++ b/bench/fake_target.c
@@ -79,7 +79,7 @@
     {
       uint64_t block;
 
-      if (read_block (text, &block) && fake_cache_holds (target->cache, block))
+      if (read_block (text, &block) && fake_cache_contains (target->cache, block))
         json_array_append (held, text);
     }
   fake_reply_json (exchange, 200, json_pack ("{s:o}", "blocks", held));
@@ -135,7 +135,7 @@
 static void
 on_fault (struct fake_target *target, struct http_exchange *exchange, json_t *body, int64_t now)
 {
-  if (fake_target_fault (target, body, now) != STATUS_OK)
+  if (fake_target_set_fault (target, body, now) != STATUS_OK)
     http_reply_error (exchange, 400, NULL, status_message ());
   else
     fake_reply_json (exchange, 200, json_object ());
@@ -173,7 +173,7 @@
 
   if (strcmp (exchange->path, call_paths[target->options->kind]) == 0)
     {
-      fake_task_take (target, exchange, now);
+      fake_task_accept (target, exchange, now);
       return;
     }
   for (size_t i = 0; i < sizeof side_calls / sizeof side_calls[0]; i++)
@@ -221,7 +221,7 @@
 }
 
 enum status
-fake_target_fault (struct fake_target *target, const json_t *fault, int64_t now)
+fake_target_set_fault (struct fake_target *target, const json_t *fault, int64_t now)
 {
   struct fake_fault set = target->fault;
   bool leave = json_is_true (json_object_get (fault, "leave"));
@@ -247,7 +247,7 @@
   if (leave)
     fake_target_leave (target, now);
   if (recover)
-    fake_task_release (target, now);
+    fake_task_release_hung (target, now);
   return STATUS_OK;
 }
 
@@ -261,13 +261,13 @@
 }
 
 bool
-fake_target_left (const struct fake_target *target)
+fake_target_has_left (const struct fake_target *target)
 {
-  return fake_register_left (target->registration);
+  return fake_register_has_left (target->registration);
 }
 
 bool
-fake_target_idle (const struct fake_target *target)
+fake_target_is_idle (const struct fake_target *target)
 {
   return target->n_running == 0 && target->n_waiting == 0;
 }
@@ -281,7 +281,7 @@
   json = json_pack (
       "{s:s, s:s, s:s, s:b, s:I, s:I, s:I, s:I, s:I, s:I, s:I, s:I, s:I, s:I, s:I, s:I}", "name",
       target->name, "pool", target->options->pool, "address", target->address, "announced",
-      fake_register_announced (target->registration), "calls", (json_int_t) counts->calls,
+      fake_register_is_announced (target->registration), "calls", (json_int_t) counts->calls,
       "refused", (json_int_t) counts->refused, "answered", (json_int_t) counts->answered,
       "cancelled", (json_int_t) counts->cancelled, "faults", (json_int_t) counts->faults, "busy_us",
       (json_int_t) counts->busy, "wasted_us", (json_int_t) counts->wasted, "after_leave",
--- a/bench/fake_task.c
+++ b/bench/fake_task.c
@@ -64,7 +64,7 @@
 }
 
 struct http_exchange *
-fake_task_give_up (struct fake_task *task)
+fake_task_detach_exchange (struct fake_task *task)
 {
   struct http_exchange *exchange = task->exchange;
 
@@ -166,7 +166,7 @@
     return read_generation (task, exchange);
   task->input_tokens = (uint32_t) (exchange->body_length / ANSWER_BYTES_PER_TOKEN);
   bytes_init (&task->answer, task);
-  return fake_reply_whole (kind, exchange->body, exchange->body_length, &task->answer);
+  return fake_reply_body (kind, exchange->body, exchange->body_length, &task->answer);
 }
 
 /* Answer 503 with x-not-run: the call was not executed. */
@@ -185,13 +185,13 @@
 }
 
 static struct fake_fault
-take_fault (struct fake_target *target)
+consume_fault (struct fake_target *target)
 {
   struct fake_fault fault = target->fault;
-  bool spoils =
+  bool affects_answer =
       fault.refuse || fault.hang || fault.die || fault.twice || fault.other || fault.late > 0;
 
-  if (!spoils)
+  if (!affects_answer)
     return fault;
   target->counts.faults++;
   if (target->fault.times > 0 && --target->fault.times == 0)
@@ -217,14 +217,14 @@
 }
 
 void
-fake_task_take (struct fake_target *target, struct http_exchange *exchange, int64_t now)
+fake_task_accept (struct fake_target *target, struct http_exchange *exchange, int64_t now)
 {
   static const struct http_watcher_ops watcher_ops = { .closed = on_closed };
   static const struct timer_ops timer_ops = { .fire = on_timer };
   const char *id = http_header (exchange, "x-request-id");
   const char *attempt = http_header (exchange, "x-attempt");
   const char *priority = http_header (exchange, "x-priority");
-  struct fake_fault fault = take_fault (target);
+  struct fake_fault fault = consume_fault (target);
   struct fake_task *task;
 
   if (target->left_at > 0)
@@ -274,7 +274,7 @@
     {
       if (strcmp (task->id, id) != 0 || strcmp (task->attempt, attempt) != 0)
         continue;
-      exchange = fake_task_give_up (task);
+      exchange = fake_task_detach_exchange (task);
       exchange->ops->abort (exchange);
       fake_task_end (task, false, now);
       return true;
@@ -290,7 +290,7 @@
 }
 
 void
-fake_task_release (struct fake_target *target, int64_t now)
+fake_task_release_hung (struct fake_target *target, int64_t now)
 {
   struct fake_task *task;
   struct fake_task *next;
@@ -301,7 +301,7 @@
 
       if (task->state != TASK_HUNG)
         continue;
-      exchange = fake_task_give_up (task);
+      exchange = fake_task_detach_exchange (task);
       exchange->ops->abort (exchange);
       fake_task_end (task, false, now);
     }
--- a/bench/fake_task_private.h
+++ b/bench/fake_task_private.h
@@ -51,7 +51,7 @@
 void fake_task_end (struct fake_task *task, bool answered, int64_t now);
 
 /* Detach and return the task's exchange; it is no longer watched. */
-struct http_exchange *fake_task_give_up (struct fake_task *task);
+struct http_exchange *fake_task_detach_exchange (struct fake_task *task);
 
 /* A duration multiplied by time_scale, and the load that determines service times. */
 int64_t fake_task_scaled (const struct fake_target *target, int64_t span);
--- a/bench/launch.c
+++ b/bench/launch.c
@@ -17,8 +17,8 @@
 #include <unistd.h>
 
 #define ARGUMENTS_MAX 64
-#define FOLDER_DEPTH 16
-#define WAIT_STEP (10 * USEC_PER_MSEC)
+#define NFTW_FDS_MAX 16
+#define EXIT_POLL_INTERVAL (10 * USEC_PER_MSEC)
 
 static const char *const port_names[] = {
 #define X(name, text) [LAUNCH_##name] = text,
@@ -55,7 +55,7 @@
   if (getenv ("CHERRYARCH_KEEP"))
     fprintf (stderr, "kept %s\n", launch->folder);
   else
-    nftw (launch->folder, remove_entry, FOLDER_DEPTH, FTW_DEPTH | FTW_PHYS);
+    nftw (launch->folder, remove_entry, NFTW_FDS_MAX, FTW_DEPTH | FTW_PHYS);
   return 0;
 }
 
@@ -105,13 +105,13 @@
 
 /* Write "name@address, ..." of the hosts below `end`, except `but`. */
 static void
-write_peers (const struct launch *launch, FILE *file, const char *key, uint32_t end, uint32_t but)
+write_peers (const struct launch *launch, FILE *file, const char *key, uint32_t end, uint32_t skip)
 {
   const char *comma = "";
 
   fprintf (file, "%s = ", key);
   for (uint32_t i = 0; i < end; i++)
-    if (i != but)
+    if (i != skip)
       {
         fprintf (file, "%s%s@%s%s%s", comma, launch->hosts[i].process.name,
                  launch->hosts[i].addresses[LAUNCH_PEERS], launch->keys ? "/" : "",
@@ -153,7 +153,7 @@
 }
 
 /* In the child: request SIGKILL on the parent's death, redirect output to a file and exec. */
-static void __attribute__ ((noreturn)) become (pid_t parent, const char *output, char **argv)
+static void __attribute__ ((noreturn)) exec_child (pid_t parent, const char *output, char **argv)
 {
   int fd = open (output, O_WRONLY | O_CREAT | O_APPEND, 0600);
 
@@ -176,7 +176,7 @@
   snprintf (output, sizeof output, "%s/%s.out", launch->folder, process->name);
   pid = fork ();
   if (pid == 0)
-    become (parent, output, argv);
+    exec_child (parent, output, argv);
   if (pid < 0)
     return status_fail (STATUS_IO, "fork: %s", strerror (errno));
   process->pid = pid;
@@ -351,7 +351,7 @@
 }
 
 bool
-launch_wait_end (struct launch *launch, struct launch_process *process, int64_t timeout)
+launch_wait_exit (struct launch *launch, struct launch_process *process, int64_t timeout)
 {
   struct loop *loop = caller_loop (launch->caller);
   int64_t until = loop_now (loop) + timeout;
@@ -361,7 +361,7 @@
       if (waitpid (process->pid, &process->exit_status, WNOHANG) == process->pid)
         process->pid = 0;
       else
-        loop_run_once (loop, WAIT_STEP);
+        loop_run_once (loop, EXIT_POLL_INTERVAL);
     }
   return process->pid == 0;
 }
--- a/bench/launch.h
+++ b/bench/launch.h
@@ -124,11 +124,11 @@
 void launch_signal (struct launch_process *process, int signo);
 
 /* Wait at most `timeout` us for the process to end.  False if it still runs. */
-bool launch_wait_end (struct launch *launch, struct launch_process *process, int64_t timeout);
+bool launch_wait_exit (struct launch *launch, struct launch_process *process, int64_t timeout);
 
 /* Inject a fault (see docs/INTERFACES.md) into a process of fakes.  Takes the reference to `fault`.
  */
-enum status launch_fault (struct launch *launch, const char *pool, json_t *fault);
+enum status launch_inject_fault (struct launch *launch, const char *pool, json_t *fault);
 
 /* Counters of all fakes: a new reference to an array of targets. */
 json_t *launch_counts (struct launch *launch);
@@ -137,7 +137,7 @@
 uint32_t launch_executions (struct launch *launch, const char *pool, const char *request_id);
 
 /* Number of targets a host may send new work to: ready and leased by it. */
-uint32_t launch_known_targets (struct launch *launch, uint32_t host);
+uint32_t launch_usable_targets (struct launch *launch, uint32_t host);
 
 /* Start the fakes of all the site's pools; `more` as in struct launch_fakes. */
 enum status launch_start_site (struct launch *launch,
--- a/bench/launch_control.c
+++ b/bench/launch_control.c
@@ -7,46 +7,46 @@
 
 /* Timeouts are long, so that a busy machine does not cause a failure; readiness is polled far more
  * often. */
-#define READY_BOUND (60 * USEC_PER_SEC)
-#define CALL_BOUND (5 * USEC_PER_SEC)
-#define LOOK_STEP (20 * USEC_PER_MSEC)
+#define READY_TIMEOUT (60 * USEC_PER_SEC)
+#define CALL_TIMEOUT (5 * USEC_PER_SEC)
+#define POLL_INTERVAL (20 * USEC_PER_MSEC)
 
-typedef bool look_function (struct launch *launch, void *about);
+typedef bool condition_function (struct launch *launch, void *arg);
 
 static enum status
-wait_until (struct launch *launch, look_function *look, void *about, const char *what)
+wait_until (struct launch *launch, condition_function *condition, void *arg, const char *what)
 {
   struct loop *loop = caller_loop (launch->caller);
-  int64_t until = loop_now (loop) + READY_BOUND;
+  int64_t until = loop_now (loop) + READY_TIMEOUT;
 
-  while (!look (launch, about))
+  while (!condition (launch, arg))
     {
       if (loop_now (loop) >= until)
         return status_fail (STATUS_TIMEOUT, "timed out waiting until %s (logs in %s)", what,
                             launch->folder);
-      loop_run_once (loop, LOOK_STEP);
+      loop_run_once (loop, POLL_INTERVAL);
     }
   return STATUS_OK;
 }
 
 static json_t *
-ask_host (struct launch *launch, uint32_t host, const char *path, int *code)
+get_from_host (struct launch *launch, uint32_t host, const char *path, int *code)
 {
   return call_json (launch->caller, launch->hosts[host].addresses[LAUNCH_OPERATORS], "GET", path,
-                    NULL, CALL_BOUND, code);
+                    NULL, CALL_TIMEOUT, code);
 }
 
 static bool
-all_healthy (struct launch *launch, void *about)
+all_healthy (struct launch *launch, void *arg)
 {
-  (void) about;
+  (void) arg;
   for (uint32_t i = 0; i < launch->n_hosts; i++)
     {
       int code = 0;
 
       if (launch->hosts[i].process.pid == 0)
         continue;
-      json_decref (ask_host (launch, i, "/v1/health", &code));
+      json_decref (get_from_host (launch, i, "/v1/health", &code));
       if (code != 200)
         return false;
     }
@@ -60,9 +60,9 @@
 }
 
 uint32_t
-launch_known_targets (struct launch *launch, uint32_t host)
+launch_usable_targets (struct launch *launch, uint32_t host)
 {
-  json_t *dump = ask_host (launch, host, "/v1/dump", NULL);
+  json_t *dump = get_from_host (launch, host, "/v1/dump", NULL);
   json_t *targets = json_object_get (json_object_get (dump, "board"), "targets");
   json_t *target;
   uint32_t usable = 0;
@@ -81,12 +81,12 @@
 }
 
 static bool
-targets_known (struct launch *launch, void *about)
+targets_known (struct launch *launch, void *arg)
 {
-  const uint32_t *targets = about;
+  const uint32_t *targets = arg;
 
   for (uint32_t i = 0; i < launch->n_hosts; i++)
-    if (launch->hosts[i].process.pid != 0 && launch_known_targets (launch, i) != *targets)
+    if (launch->hosts[i].process.pid != 0 && launch_usable_targets (launch, i) != *targets)
       return false;
   return true;
 }
@@ -99,11 +99,11 @@
 
 /* True if every running host is reachable and reports the same revision. */
 static bool
-revision_everywhere (struct launch *launch, void *about)
+revisions_agree (struct launch *launch, void *arg)
 {
   json_int_t wanted = -1;
 
-  (void) about;
+  (void) arg;
   for (uint32_t i = 0; i < launch->n_hosts; i++)
     {
       int code = 0;
@@ -112,7 +112,7 @@
 
       if (launch->hosts[i].process.pid == 0)
         continue;
-      answer = ask_host (launch, i, "/v1/revision", &code);
+      answer = get_from_host (launch, i, "/v1/revision", &code);
       revision = json_integer_value (json_object_get (answer, "revision"));
       json_decref (answer);
       if (code != 200 || (wanted >= 0 && revision != wanted))
@@ -125,7 +125,7 @@
 enum status
 launch_wait_revision (struct launch *launch)
 {
-  return wait_until (launch, revision_everywhere, NULL, "every host has the newest revision");
+  return wait_until (launch, revisions_agree, NULL, "every host has the newest revision");
 }
 
 struct put
@@ -138,9 +138,9 @@
 
 /* Put through the first host that answers; a permanent rejection also ends the wait. */
 static bool
-put_anywhere (struct launch *launch, void *about)
+put_on_any_host (struct launch *launch, void *arg)
 {
-  struct put *put = about;
+  struct put *put = arg;
 
   for (uint32_t i = 0; i < launch->n_hosts; i++)
     {
@@ -150,7 +150,7 @@
       if (launch->hosts[i].process.pid == 0)
         continue;
       answer = call_json (launch->caller, launch->hosts[i].addresses[LAUNCH_OPERATORS], "PUT",
-                          put->path, json_incref (put->body), CALL_BOUND, &put->code);
+                          put->path, json_incref (put->body), CALL_TIMEOUT, &put->code);
       message = json_string_value (json_object_get (json_object_get (answer, "error"), "message"));
       text_copy_truncated (put->error, sizeof put->error, message ? message : "");
       json_decref (answer);
@@ -175,7 +175,7 @@
   snprintf (path, sizeof path, "/v1/%s/%s", plurals[kind], name);
   put.body = json_pack ("{s:s, s:{s:s}, s:o}", "kind", plurals[kind], "metadata", "name", name,
                         "spec", spec);
-  status = wait_until (launch, put_anywhere, &put, "a host accepts the resource");
+  status = wait_until (launch, put_on_any_host, &put, "a host accepts the resource");
   json_decref (put.body);
   if (status == STATUS_OK && put.code >= 300)
     return status_fail (STATUS_INVALID, "PUT %s: %d: %s", path, put.code, put.error);
@@ -306,7 +306,7 @@
 }
 
 enum status
-launch_fault (struct launch *launch, const char *pool, json_t *fault)
+launch_inject_fault (struct launch *launch, const char *pool, json_t *fault)
 {
   enum status status = status_fail (STATUS_NOT_FOUND, "no such pool: %s", pool);
 
@@ -317,7 +317,7 @@
       if (strcmp (launch->pools[i].spec.name, pool) != 0)
         continue;
       json_decref (call_json (launch->caller, launch->pools[i].control, "POST", "/v1/fault",
-                              json_incref (fault), CALL_BOUND, &code));
+                              json_incref (fault), CALL_TIMEOUT, &code));
       status = code == 200 ? STATUS_OK
                            : status_fail (STATUS_INVALID, "fault at %s: code %d", pool, code);
     }
@@ -333,7 +333,7 @@
   for (uint32_t i = 0; i < launch->n_pools; i++)
     {
       json_t *answer = call_json (launch->caller, launch->pools[i].control, "GET",
-                                  "/v1/fake/counts", NULL, CALL_BOUND, NULL);
+                                  "/v1/fake/counts", NULL, CALL_TIMEOUT, NULL);
 
       json_array_extend (all, json_object_get (answer, "targets"));
       json_decref (answer);
--- a/bench/slopes_run.c
+++ b/bench/slopes_run.c
@@ -171,7 +171,7 @@
 slopes_print_known (struct slopes_run *run)
 {
   printf ("  targets the first host may use: %u; at home at each host:",
-          launch_known_targets (run->launch, 0));
+          launch_usable_targets (run->launch, 0));
   for (uint32_t i = 0; i < run->launch->n_hosts; i++)
     {
       json_t *dump =
--- a/tests/group_harness.h
+++ b/tests/group_harness.h
@@ -32,7 +32,7 @@
   void
   TearDown () override
   {
-    EXPECT_STREQ (fake_group_breach (group), "");
+    EXPECT_STREQ (fake_group_violation (group), "");
     talloc_free (group);
   }
 
--- a/tests/unit_bench_answer.cc
+++ b/tests/unit_bench_answer.cc
@@ -71,18 +71,18 @@
   struct answer_embedding wrong;
   struct answer_document first;
   struct answer_document second;
-  struct answer_document misled;
-  struct answer_document bare;
+  struct answer_document mismatched;
+  struct answer_document unembedded;
 
   answer_embed ("query", 5, &embedding);
   answer_embed ("quer", 4, &wrong);
   answer_retrieve ("query", 5, &embedding, 0, &first);
   answer_retrieve ("query", 5, &embedding, 1, &second);
-  answer_retrieve ("query", 5, &wrong, 0, &misled);
-  answer_retrieve ("query", 5, nullptr, 0, &bare);
+  answer_retrieve ("query", 5, &wrong, 0, &mismatched);
+  answer_retrieve ("query", 5, nullptr, 0, &unembedded);
   EXPECT_STRNE (first.id, second.id);
-  EXPECT_STRNE (first.text, misled.text);
-  EXPECT_STRNE (first.text, bare.text);
+  EXPECT_STRNE (first.text, mismatched.text);
+  EXPECT_STRNE (first.text, unembedded.text);
 }
 
 TEST_F (Answer, RanksAreBestFirstAndCutToTop)
--- a/tests/unit_bench_replay.cc
+++ b/tests/unit_bench_replay.cc
@@ -13,7 +13,7 @@
 namespace
 {
 
-enum class Lie
+enum class Fault
 {
   none,
   body,      // one byte differs
@@ -80,11 +80,11 @@
   }
 
   const struct replay_result *
-  run (Lie lie)
+  run (Fault fault)
   {
     struct replay_options options = {};
 
-    lie_ = lie;
+    fault_ = fault;
     options.caller = caller_;
     options.trace = services_trace ();
     options.site = site_demo ();
@@ -98,18 +98,18 @@
   answer (struct http_exchange *exchange)
   {
     const char *id = http_header (exchange, "x-request-id");
-    bool refuse = lie_ == Lie::no_window || (lie_ == Lie::not_run && ++asked_ == 1);
-    struct http_field fields[] = { { "x-request-id", lie_ == Lie::id ? "another" : id },
+    bool refuse = fault_ == Fault::no_window || (fault_ == Fault::not_run && ++calls_ == 1);
+    struct http_field fields[] = { { "x-request-id", fault_ == Fault::id ? "another" : id },
                                    { "x-outcome", refuse ? "not-run" : "whole" } };
     struct bytes body;
 
     bytes_init (&body, caller_);
     answer_call (exchange->body, exchange->body_length, &body);
-    if (lie_ == Lie::body)
+    if (fault_ == Fault::body)
       body.data[body.length - 3] ^= 1;
     if (refuse)
-      exchange->ops->reply (exchange, lie_ == Lie::no_window ? 410 : 503, fields, 2, "{}", 2);
-    else if (lie_ == Lie::cut)
+      exchange->ops->reply (exchange, fault_ == Fault::no_window ? 410 : 503, fields, 2, "{}", 2);
+    else if (fault_ == Fault::cut)
       {
         exchange->ops->begin (exchange, 200, fields, 2);
         exchange->ops->write (exchange, body.data, body.length);
@@ -143,29 +143,29 @@
   struct http_server *server_ = nullptr;
   struct test_route route_ = {};
   std::string address_;
-  Lie lie_ = Lie::none;
-  int asked_ = 0;
+  Fault fault_ = Fault::none;
+  int calls_ = 0;
 };
 
 TEST_F (ReplayCheck, CorrectAnswerIsAttained)
 {
-  EXPECT_EQ (run (Lie::none)->outcomes[REPLAY_ATTAINED], 2u);
+  EXPECT_EQ (run (Fault::none)->outcomes[REPLAY_ATTAINED], 2u);
 }
 
 TEST_F (ReplayCheck, OneWrongByteIsDetected)
 {
-  EXPECT_EQ (run (Lie::body)->outcomes[REPLAY_WRONG], 2u);
+  EXPECT_EQ (run (Fault::body)->outcomes[REPLAY_WRONG], 2u);
 }
 
 TEST_F (ReplayCheck, WrongRequestIdIsDetected)
 {
-  EXPECT_EQ (run (Lie::id)->outcomes[REPLAY_WRONG], 2u);
+  EXPECT_EQ (run (Fault::id)->outcomes[REPLAY_WRONG], 2u);
 }
 
 // All bytes arrive but the connection closes before the end of the answer.
 TEST_F (ReplayCheck, TruncatedAnswerIsNotComplete)
 {
-  const struct replay_result *result = run (Lie::cut);
+  const struct replay_result *result = run (Fault::cut);
 
   EXPECT_EQ (result->outcomes[REPLAY_NO_ANSWER], 2u);
   EXPECT_GT (result->cuts, 2u);
@@ -174,7 +174,7 @@
 
 TEST_F (ReplayCheck, RequestNotRunIsResent)
 {
-  const struct replay_result *result = run (Lie::not_run);
+  const struct replay_result *result = run (Fault::not_run);
 
   EXPECT_EQ (result->outcomes[REPLAY_ATTAINED], 2u);
   EXPECT_EQ (result->resends, 1u);
@@ -182,7 +182,7 @@
 
 TEST_F (ReplayCheck, ExecutionOfRejectedRequestIsAViolation)
 {
-  const struct replay_result *result = run (Lie::no_window);
+  const struct replay_result *result = run (Fault::no_window);
 
   EXPECT_EQ (result->outcomes[REPLAY_REJECTED], 2u);
   EXPECT_EQ (broken (result, json_pack ("[{s:s, s:{s:i, s:i}}]", "pool", "counter", "executions",
@@ -192,7 +192,7 @@
 
 TEST_F (ReplayCheck, SecondExecutionOfUnrepeatableCallIsAViolation)
 {
-  const struct replay_result *result = run (Lie::none);
+  const struct replay_result *result = run (Fault::none);
 
   EXPECT_EQ (broken (result, json_pack ("[{s:s, s:{s:i, s:i}}, {s:s, s:{s:i}}]", "pool", "counter",
                                         "executions", "check-000001", 2, "check-000003", 1, "pool",
--- a/tests/unit_consensus.cc
+++ b/tests/unit_consensus.cc
@@ -15,7 +15,7 @@
   start (voters (3));
   for (uint32_t i = 0; i < 3; i++)
     EXPECT_EQ (propose (i, 10), 10u);
-  EXPECT_TRUE (fake_group_await_equal (group, second));
+  EXPECT_TRUE (fake_group_await_convergence (group, second));
 }
 
 // A partition isolates the leader for an hour.  Requests on its side must time out, requests on the
@@ -32,7 +32,7 @@
   fake_group_run (group, 3600 * second);
   uint64_t before = fake_group_most_applied (group);
   fake_group_heal (group);
-  EXPECT_TRUE (fake_group_await_equal (group, 5 * second));
+  EXPECT_TRUE (fake_group_await_convergence (group, 5 * second));
   EXPECT_EQ (fake_group_most_applied (group), before);
   EXPECT_EQ (propose (old, 5), 5u);
 }
@@ -50,7 +50,7 @@
   fake_group_run (group, 3600 * second);
   fake_group_counts (group, &before);
   fake_group_heal (group);
-  EXPECT_TRUE (fake_group_await_equal (group, 5 * second));
+  EXPECT_TRUE (fake_group_await_convergence (group, 5 * second));
   EXPECT_EQ (propose (cut, 5), 5u);
   fake_group_counts (group, &after);
   EXPECT_EQ (after.elections, before.elections);
@@ -67,7 +67,7 @@
   fake_group_run (group, 8 * second);
   EXPECT_EQ (propose (other (deaf), 5), 5u);
   fake_group_heal (group);
-  EXPECT_TRUE (fake_group_await_equal (group, 5 * second));
+  EXPECT_TRUE (fake_group_await_convergence (group, 5 * second));
 }
 
 // A host returns with an empty disk and is repaired; right after that a second host is lost for
@@ -80,9 +80,9 @@
   fake_group_stop (group, first, true);
   fake_group_set_disk (group, first, nullptr);
   ASSERT_EQ (fake_group_start (group, first), STATUS_OK);
-  for (int i = 0; i < 60 && !fake_group_whole (group); i++)
+  for (int i = 0; i < 60 && !fake_group_is_fully_replicated (group); i++)
     fake_group_run (group, second);
-  ASSERT_TRUE (fake_group_whole (group));
+  ASSERT_TRUE (fake_group_is_fully_replicated (group));
   uint64_t before = fake_group_most_applied (group);
   fake_group_stop (group, static_cast<uint32_t> (leader), true);
   EXPECT_GE (fake_group_await_leader (group, 10 * second), 0);
@@ -103,9 +103,9 @@
   EXPECT_EQ (propose (static_cast<uint32_t> (leader), 20), 20u);
   fake_group_stop (group, gone, true);
   fake_group_run (group, 50 * second);
-  EXPECT_FALSE (fake_group_whole (group));
+  EXPECT_FALSE (fake_group_is_fully_replicated (group));
   fake_group_run (group, 30 * second);
-  EXPECT_TRUE (fake_group_whole (group));
+  EXPECT_TRUE (fake_group_is_fully_replicated (group));
   fake_group_stop (group, static_cast<uint32_t> (leader), true);
   EXPECT_EQ (propose (3, 5), 5u);
 }
@@ -126,7 +126,7 @@
       EXPECT_EQ (fake_group_applied (group, spare), fake_group_most_applied (group));
       EXPECT_EQ (propose (spare, 5), 5u);
     }
-  EXPECT_TRUE (fake_group_whole (group));
+  EXPECT_TRUE (fake_group_is_fully_replicated (group));
 }
 
 // One spare host restarts with its folder, another one with an empty folder.  Both must follow the
@@ -147,7 +147,7 @@
   fake_group_run (group, 5 * second);
   for (uint32_t spare : { 3u, 4u })
     EXPECT_EQ (fake_group_applied (group, spare), fake_group_most_applied (group));
-  EXPECT_TRUE (fake_group_whole (group));
+  EXPECT_TRUE (fake_group_is_fully_replicated (group));
 }
 
 // All hosts lose power and restart.  No request is served until a leader is elected.  A voter that
@@ -188,7 +188,7 @@
   fake_group_stop (group, down, false);
   EXPECT_EQ (propose (static_cast<uint32_t> (leader), 500), 500u);
   ASSERT_EQ (fake_group_start (group, down), STATUS_OK);
-  EXPECT_TRUE (fake_group_await_equal (group, 3 * second));
+  EXPECT_TRUE (fake_group_await_convergence (group, 3 * second));
 }
 
 // All hosts lose power at once while entries are proposed.  Everything that was acknowledged must
@@ -204,7 +204,7 @@
   for (uint32_t i = 0; i < 3; i++)
     ASSERT_EQ (fake_group_start (group, i), STATUS_OK);
   EXPECT_GE (fake_group_await_leader (group, 10 * second), 0);
-  EXPECT_TRUE (fake_group_await_equal (group, 5 * second));
+  EXPECT_TRUE (fake_group_await_convergence (group, 5 * second));
   EXPECT_GE (fake_group_applied (group, 0), before);
 }
 
@@ -214,9 +214,9 @@
 {
   start (voters (3));
   uint32_t old = static_cast<uint32_t> (leader);
-  ASSERT_EQ (
-      consensus_voter_transfer (fake_group_consensus (group, old), fake_group_local (group, old)),
-      STATUS_OK);
+  ASSERT_EQ (consensus_voter_transfer (fake_group_consensus (group, old),
+                                       fake_group_local_time (group, old)),
+             STATUS_OK);
   fake_group_run (group, second / 10);
   EXPECT_FALSE (
       fake_group_consensus (group, old)->ops->is_leader (fake_group_consensus (group, old)));
@@ -245,7 +245,7 @@
       // The next leader has never heard from it and does not know its match index.
       ASSERT_EQ (
           consensus_voter_transfer (fake_group_consensus (group, static_cast<uint32_t> (leader)),
-                                    fake_group_local (group, static_cast<uint32_t> (leader))),
+                                    fake_group_local_time (group, static_cast<uint32_t> (leader))),
           STATUS_OK);
       fake_group_run (group, second);
       leader = fake_group_await_leader (group, second);
@@ -257,7 +257,7 @@
       fake_group_counts (group, &after);
       EXPECT_LT ((after.bytes - before.bytes) / 100, 2000u);
       ASSERT_EQ (fake_group_start (group, dead), STATUS_OK);
-      EXPECT_TRUE (fake_group_await_equal (group, 5 * second));
+      EXPECT_TRUE (fake_group_await_convergence (group, 5 * second));
     }
 }
 
--- a/tests/unit_consensus_disk.cc
+++ b/tests/unit_consensus_disk.cc
@@ -44,7 +44,7 @@
   EXPECT_EQ (propose (other (full), 5), 5u);
   disk_fake_set_capacity (fake_group_disk (group, full), UINT64_MAX);
   disk_fake_set_reported (fake_group_disk (group, full), UINT64_MAX);
-  EXPECT_TRUE (fake_group_await_equal (group, 5 * second));
+  EXPECT_TRUE (fake_group_await_convergence (group, 5 * second));
 }
 
 // The leader's disk filled up during a change: it lost leadership, could not store its vote either
@@ -67,7 +67,7 @@
   ASSERT_LT (held, fake_group_most_applied (group));
   fake_group_read (group, full, second);
   fake_group_run (group, 2 * second);
-  EXPECT_STREQ (fake_group_breach (group), "");
+  EXPECT_STREQ (fake_group_violation (group), "");
   EXPECT_EQ (fake_group_applied (group, full), held);
   EXPECT_NE (fake_group_last_status (group), STATUS_OK);
 }
@@ -88,7 +88,7 @@
   EXPECT_EQ (propose (full, 5), 5u); // accepted here, stored by the others
   disk_fake_set_capacity (fake_group_disk (group, full), UINT64_MAX);
   disk_fake_set_reported (fake_group_disk (group, full), UINT64_MAX);
-  EXPECT_TRUE (fake_group_await_equal (group, 5 * second));
+  EXPECT_TRUE (fake_group_await_convergence (group, 5 * second));
   EXPECT_EQ (consensus_voter_health (fake_group_consensus (group, full)), STATUS_OK);
   fake_group_stop (group, other (full), true);
   EXPECT_EQ (propose (full, 5), 5u);
@@ -141,7 +141,7 @@
   EXPECT_EQ (propose (other (bad), 5), 5u);
   fake_group_stop (group, bad, true);
   ASSERT_EQ (fake_group_start (group, bad), STATUS_OK);
-  EXPECT_TRUE (fake_group_await_equal (group, 5 * second));
+  EXPECT_TRUE (fake_group_await_convergence (group, 5 * second));
 }
 
 // A voter's data folder is restored from an older backup.  Its entries and its vote are older than
@@ -202,7 +202,7 @@
       ASSERT_EQ (fake_group_start (group, 0), STATUS_OK) << status_message ();
       ASSERT_GE (fake_group_await_leader (group, 10 * second), 0);
       ASSERT_GE (fake_group_applied (group, 0), before);
-      ASSERT_STREQ (fake_group_breach (group), "");
+      ASSERT_STREQ (fake_group_violation (group), "");
     }
 }
 
@@ -226,7 +226,7 @@
           ASSERT_EQ (fake_group_start (group, host), STATUS_OK) << status_message ();
         }
       disk_fake_stop_after (fake_group_disk (group, host), 0);
-      ASSERT_TRUE (fake_group_await_equal (group, 10 * second)) << stop;
+      ASSERT_TRUE (fake_group_await_convergence (group, 10 * second)) << stop;
     }
 }
 
--- a/tests/unit_journal.cc
+++ b/tests/unit_journal.cc
@@ -105,7 +105,7 @@
   for (uint64_t length = good; length < full; length++)
     {
       disk = disk_fake_copy (parent, original);
-      disk_fake_cut (disk_fake_of (disk), first_segment, length);
+      disk_fake_truncate (disk_fake_of (disk), first_segment, length);
       ASSERT_EQ (open (), STATUS_OK) << length;
       EXPECT_EQ (raft_log_last (&found.log), 5u);
       EXPECT_EQ (found.torn_bytes, length - good);
@@ -128,7 +128,7 @@
   for (uint64_t offset = 0; offset < good; offset++)
     {
       disk = disk_fake_copy (parent, original);
-      disk_fake_flip (disk_fake_of (disk), first_segment, offset);
+      disk_fake_flip_bit (disk_fake_of (disk), first_segment, offset);
       enum status status = open ();
       // A flip in the version field reads as a newer format.
       EXPECT_TRUE (status == STATUS_CORRUPT
@@ -147,7 +147,7 @@
   ASSERT_GT (journal_segments (journal), 1u);
   uint64_t size;
   ASSERT_EQ (disk->ops->size (disk, first_segment, &size), STATUS_OK);
-  disk_fake_flip (disk_fake_of (disk), first_segment, size - 20);
+  disk_fake_flip_bit (disk_fake_of (disk), first_segment, size - 20);
   EXPECT_EQ (open (), STATUS_CORRUPT);
 }
 
@@ -164,7 +164,7 @@
       journal_add_entry (journal, &entry);
     }
   ASSERT_EQ (journal_commit (journal), STATUS_OK);
-  disk_fake_flip (disk_fake_of (disk), first_segment, good + 2);
+  disk_fake_flip_bit (disk_fake_of (disk), first_segment, good + 2);
   ASSERT_EQ (open (), STATUS_OK);
   EXPECT_EQ (raft_log_last (&found.log), 1u);
 }
@@ -258,7 +258,7 @@
     {
       struct disk *copy = disk_fake_copy (parent, original);
 
-      disk_fake_flip (disk_fake_of (copy), name, offset);
+      disk_fake_flip_bit (disk_fake_of (copy), name, offset);
       bytes_clear (&read);
       enum status status = snapshot_load (copy, &back, &read);
       EXPECT_TRUE (status == STATUS_CORRUPT || status == STATUS_UNSUPPORTED) << offset;
@@ -274,7 +274,7 @@
   ASSERT_EQ (journal_identity_write (disk, &identity), STATUS_OK);
   ASSERT_EQ (journal_identity_read (disk, &back), STATUS_OK);
   EXPECT_EQ (back.starts, 7u);
-  disk_fake_flip (disk_fake_of (disk), "identity", 4);
+  disk_fake_flip_bit (disk_fake_of (disk), "identity", 4);
   EXPECT_EQ (journal_identity_read (disk, &back), STATUS_CORRUPT);
 }
 
--- a/tests/whole_hosts.cc
+++ b/tests/whole_hosts.cc
@@ -42,7 +42,7 @@
       {
         killed = true;
         launch_signal (process, SIGKILL);
-        EXPECT_TRUE (launch_wait_end (launch_, process, 30 * USEC_PER_SEC));
+        EXPECT_TRUE (launch_wait_exit (launch_, process, 30 * USEC_PER_SEC));
       }
     if (!restarted && ended >= 300)
       {
@@ -69,8 +69,8 @@
   launch_signal (&launch_->hosts[2].process, SIGSTOP);
   EXPECT_TRUE (wait_until ([&] { return !is_listed (0, 2) && !is_listed (1, 2); }));
   EXPECT_TRUE (wait_until ([&] {
-    return launch_known_targets (launch_, 0) == all_targets
-           && launch_known_targets (launch_, 1) == all_targets;
+    return launch_usable_targets (launch_, 0) == all_targets
+           && launch_usable_targets (launch_, 1) == all_targets;
   }));
   pid_t stopped = launch_->hosts[2].process.pid;
   launch_->hosts[2].process.pid = 0; /* not asked for the list */
@@ -101,7 +101,7 @@
 
         ended_at_start[next] = ended;
         launch_signal (process, SIGTERM);
-        EXPECT_TRUE (launch_wait_end (launch_, process, 60 * USEC_PER_SEC));
+        EXPECT_TRUE (launch_wait_exit (launch_, process, 60 * USEC_PER_SEC));
         EXPECT_EQ (process->exit_status, 0);
         check (launch_start_host (launch_, next++));
         check (launch_wait_healthy (launch_));
@@ -127,7 +127,7 @@
   for (uint32_t i = 0; i < launch_->n_hosts; i++)
     launch_signal (&launch_->hosts[i].process, SIGKILL);
   for (uint32_t i = 0; i < launch_->n_hosts; i++)
-    ASSERT_TRUE (launch_wait_end (launch_, &launch_->hosts[i].process, 30 * USEC_PER_SEC));
+    ASSERT_TRUE (launch_wait_exit (launch_, &launch_->hosts[i].process, 30 * USEC_PER_SEC));
   check (launch_start_hosts (launch_));
   check (launch_wait_healthy (launch_));
   check (launch_wait_revision (launch_));
--- a/tests/whole_store.cc
+++ b/tests/whole_store.cc
@@ -92,7 +92,7 @@
   kill_and_wait (uint32_t host)
   {
     launch_signal (&launch_->hosts[host].process, SIGKILL);
-    ASSERT_TRUE (launch_wait_end (launch_, &launch_->hosts[host].process, 30 * USEC_PER_SEC));
+    ASSERT_TRUE (launch_wait_exit (launch_, &launch_->hosts[host].process, 30 * USEC_PER_SEC));
   }
 };
 
--- a/tests/whole_targets.cc
+++ b/tests/whole_targets.cc
@@ -39,7 +39,7 @@
           json_t *json = json_loads (fault, 0, nullptr);
 
           json_object_set_new (json, "target", json_string ("runners-1"));
-          check (launch_fault (launch_, "runners", json));
+          check (launch_inject_fault (launch_, "runners", json));
         });
 
     ASSERT_TRUE (injected);
@@ -60,8 +60,8 @@
         if (left || ended < 50)
           return;
         left = true;
-        check (launch_fault (launch_, "runners",
-                             json_pack ("{s:s, s:b}", "target", "runners-1", "leave", 1)));
+        check (launch_inject_fault (launch_, "runners",
+                                    json_pack ("{s:s, s:b}", "target", "runners-1", "leave", 1)));
       });
 
   ASSERT_TRUE (left);
