--- a/bench/cmd_demo.c
+++ b/bench/cmd_demo.c
@@ -80,7 +80,7 @@
   counts = launch_counts (launch);
   replay_cost_of (options.site, counts, options.time_scale, &cost);
   print_report (result, &options, &cost);
-  broken = replay_broken_promises (result, &options, counts, stdout);
+  broken = replay_count_violations (result, &options, counts, stdout);
   json_decref (counts);
   printf ("broken promises: %u\n", broken);
   return result->outcomes[REPLAY_ATTAINED] == DEMO_REQUESTS && broken == 0 ? 0 : 1;
--- a/bench/cmd_policy.c
+++ b/bench/cmd_policy.c
@@ -269,7 +269,7 @@
               struct policy_result one;
 
               options->config.seed = seed;
-              one = policy_play (&options->config);
+              one = policy_simulate (&options->config);
               add (&sum, &one);
             }
           print_row (options, site_name ((int) site), experiment_name (experiment), arm_name (arm),
--- a/bench/cmd_spread.c
+++ b/bench/cmd_spread.c
@@ -21,10 +21,10 @@
   uint64_t seed;
 };
 
-static const struct spread_way *const ways[] = {
-  &spread_way_heartbeat,
-  &spread_way_probe,
-  &spread_way_tree,
+static const struct spread_protocol *const ways[] = {
+  &spread_protocol_heartbeat,
+  &spread_protocol_probe,
+  &spread_protocol_tree,
 };
 
 static const struct
--- a/bench/engine_model.c
+++ b/bench/engine_model.c
@@ -17,7 +17,7 @@
 #define RATE 60.0 /* tokens a millisecond */
 #define FIRST_TIME (4 * USEC_PER_MSEC)
 #define ANSWER_TIME (500 * USEC_PER_MSEC)
-#define WAY_TIME (1 * USEC_PER_MSEC)
+#define NETWORK_DELAY (1 * USEC_PER_MSEC)
 
 struct model;
 
@@ -32,23 +32,23 @@
 struct model_host
 {
   struct balance balance;
-  struct engine_load *picture;
+  struct engine_load *estimates;
   void *memory; /* parent of its load estimates and its balancer */
   char domain[8];
 };
 
-enum model_news
+enum update_kind
 {
-  NEWS_START,
-  NEWS_BEGIN,
-  NEWS_END
+  UPDATE_START,
+  UPDATE_FIRST_OUTPUT,
+  UPDATE_END
 };
 
 /* One request; `timer` fires at each of its steps. */
 struct model_request
 {
   struct timer timer;
-  struct timer news;
+  struct timer update_timer;
   struct model *model;
   uint64_t number;
   uint32_t host;
@@ -58,7 +58,7 @@
   int64_t begins;
   bool began;
   bool ended;
-  enum model_news news_of;
+  enum update_kind pending_update;
 };
 
 struct model
@@ -117,9 +117,9 @@
 
   talloc_free (host->memory);
   host->memory = talloc_new (model);
-  host->picture = engine_load_new (host->memory);
+  host->estimates = engine_load_new (host->memory);
   snprintf (host->domain, sizeof host->domain, "d%u", number % DOMAINS);
-  balance_init (&host->balance, host->domain, host->picture, model->options.seed + number);
+  balance_init (&host->balance, host->domain, host->estimates, model->options.seed + number);
   for (uint32_t i = 0; i < model->options.engines; i++)
     {
       model->engines[i].record.user = NULL;
@@ -136,7 +136,7 @@
 }
 
 static void
-tell (struct model *model, const struct model_request *request)
+deliver_update (struct model *model, const struct model_request *request)
 {
   char id[16];
 
@@ -151,20 +151,20 @@
       target = balance_find (&host->balance, id);
       if (target == NULL)
         continue;
-      if (request->news_of == NEWS_START)
-        engine_load_started (host->picture, target->id_hash, request->number, &request->prompt,
+      if (request->pending_update == UPDATE_START)
+        engine_load_started (host->estimates, target->id_hash, request->number, &request->prompt,
                              model->options.told, model->now);
-      else if (request->news_of == NEWS_BEGIN)
-        engine_load_began (host->picture, target->id_hash, request->number, model->now);
+      else if (request->pending_update == UPDATE_FIRST_OUTPUT)
+        engine_load_began (host->estimates, target->id_hash, request->number, model->now);
       else
-        engine_load_ended (host->picture, target->id_hash, request->number, model->now);
+        engine_load_ended (host->estimates, target->id_hash, request->number, model->now);
     }
 }
 
 /* ---- engines ---- */
 
 static bool
-is_held (const struct model *model, uint64_t part)
+is_cached_anywhere (const struct model *model, uint64_t part)
 {
   for (uint32_t i = 0; i < model->options.engines; i++)
     if (!model->engines[i].lost && model->engines[i].holds[part])
@@ -173,7 +173,7 @@
 }
 
 static double
-rate_of (const struct model *model, uint32_t engine)
+prefill_rate (const struct model *model, uint32_t engine)
 {
   bool slow = model->options.pattern == ENGINE_PATTERN_SLOW && model->changed && !model->restored
               && engine % 10 == 0;
@@ -187,52 +187,52 @@
   struct model_engine *engine = &model->engines[request->engine];
   uint64_t part = request->prompt.parts[0] - 1;
   uint32_t tokens = request->prompt.own_tokens;
-  int64_t from = model->now + WAY_TIME;
+  int64_t from = model->now + NETWORK_DELAY;
 
   if (!engine->holds[part])
     {
       tokens += request->prompt.part_tokens[0];
-      if (is_held (model, part))
+      if (is_cached_anywhere (model, part))
         model->result->tokens_again += request->prompt.part_tokens[0];
     }
   engine->holds[part] = true;
   model->result->tokens_read += tokens;
   if (engine->free_at > from)
     from = engine->free_at;
-  engine->free_at =
-      from + FIRST_TIME + (int64_t) (tokens / rate_of (model, request->engine) * USEC_PER_MSEC);
+  engine->free_at = from + FIRST_TIME
+                    + (int64_t) (tokens / prefill_rate (model, request->engine) * USEC_PER_MSEC);
   request->begins = engine->free_at;
 }
 
 /* ---- requests ---- */
 
 static void
-news_fired (struct timer *timer, int64_t now)
+update_fired (struct timer *timer, int64_t now)
 {
-  struct model_request *request = CONTAINER_OF (timer, struct model_request, news);
+  struct model_request *request = CONTAINER_OF (timer, struct model_request, update_timer);
   struct model *model = request->model;
 
   (void) now;
-  tell (model, request);
+  deliver_update (model, request);
   if (request->ended)
     talloc_free (request);
 }
 
-static const struct timer_ops news_ops = { .fire = news_fired };
+static const struct timer_ops update_ops = { .fire = update_fired };
 
 static void
-send_news (struct model_request *request, enum model_news kind)
+schedule_update (struct model_request *request, enum update_kind kind)
 {
   struct model *model = request->model;
 
   /* A pending earlier message is delivered first, if this step came within the delay. */
-  if (timer_is_armed (&request->news))
+  if (timer_is_armed (&request->update_timer))
     {
-      timer_disarm (model->timers, &request->news);
-      tell (model, request);
+      timer_disarm (model->timers, &request->update_timer);
+      deliver_update (model, request);
     }
-  request->news_of = kind;
-  timer_arm (model->timers, &request->news, model->now + model->options.news_delay);
+  request->pending_update = kind;
+  timer_arm (model->timers, &request->update_timer, model->now + model->options.news_delay);
 }
 
 static void
@@ -250,19 +250,19 @@
   if (!request->began)
     {
       if (target != NULL)
-        engine_load_began (host->picture, target->id_hash, request->number, model->now);
+        engine_load_began (host->estimates, target->id_hash, request->number, model->now);
       request->began = true;
       timer_arm (model->timers, timer, model->now + ANSWER_TIME);
       if (model->options.told)
-        send_news (request, NEWS_BEGIN);
+        schedule_update (request, UPDATE_FIRST_OUTPUT);
       return;
     }
   if (target != NULL)
-    engine_load_ended (host->picture, target->id_hash, request->number, model->now);
+    engine_load_ended (host->estimates, target->id_hash, request->number, model->now);
   request->ended = true;
   if (model->options.told)
-    send_news (request, NEWS_END);
-  else if (!timer_is_armed (&request->news))
+    schedule_update (request, UPDATE_END);
+  else if (!timer_is_armed (&request->update_timer))
     talloc_free (request);
 }
 
@@ -300,7 +300,7 @@
 
   request->model = model;
   request->timer.ops = &step_ops;
-  request->news.ops = &news_ops;
+  request->update_timer.ops = &update_ops;
   request->number = ++model->last_number;
   request->host = (uint32_t) rng_below (&model->rng, model->options.hosts);
   request->arrived = model->now;
@@ -314,15 +314,15 @@
   target = balance_choose (&host->balance, POOL, &prompt, NULL, 0, model->now);
   INVARIANT (target != NULL);
   request->engine = engine_number (target);
-  engine_load_cost (host->picture, target->id_hash, &prompt.prompt, model->now, &cost);
-  engine_load_started (host->picture, target->id_hash, request->number, &prompt.prompt, true,
+  engine_load_cost (host->estimates, target->id_hash, &prompt.prompt, model->now, &cost);
+  engine_load_started (host->estimates, target->id_hash, request->number, &prompt.prompt, true,
                        model->now);
   model->expected += (double) cost.wait;
   read_prompt (model, request);
   note_wait (model, request->begins - request->arrived);
-  timer_arm (model->timers, &request->timer, request->begins + WAY_TIME);
-  request->news_of = NEWS_START;
-  timer_arm (model->timers, &request->news, model->now + model->options.news_delay);
+  timer_arm (model->timers, &request->timer, request->begins + NETWORK_DELAY);
+  request->pending_update = UPDATE_START;
+  timer_arm (model->timers, &request->update_timer, model->now + model->options.news_delay);
 }
 
 /* ---- load and fault patterns ---- */
@@ -348,7 +348,7 @@
 }
 
 static void
-follow_pattern (struct model *model)
+apply_pattern (struct model *model)
 {
   const struct engine_model_options *options = &model->options;
 
@@ -400,7 +400,7 @@
   struct model *model = CONTAINER_OF (timer, struct model, arrival);
   double gap = -log (1 - rng_unit (&model->rng)) / arrival_rate (model);
 
-  follow_pattern (model);
+  apply_pattern (model);
   send_request (model);
   if (now + (int64_t) gap < model->options.span)
     timer_arm (model->timers, timer, now + (int64_t) gap);
@@ -418,7 +418,7 @@
 }
 
 static void
-sum_up (struct model *model)
+compute_result (struct model *model)
 {
   struct engine_model_result *result = model->result;
   double sum = 0;
@@ -472,6 +472,6 @@
       model->now = next;
       timer_service_run (model->timers, next);
     }
-  sum_up (model);
+  compute_result (model);
   talloc_free (model);
 }
--- a/bench/experiment.c
+++ b/bench/experiment.c
@@ -217,7 +217,7 @@
   counts = launch_counts (run.launch);
   replay_cost_of (run.site, counts, setup->time_scale, &out->cost);
   out->worst = replay_worst_organisation (out->result, &options, &out->worst_organisation);
-  out->broken = replay_broken_promises (out->result, &options, counts, stderr);
+  out->broken = replay_count_violations (out->result, &options, counts, stderr);
   replay_print (out->result, options.trace, stderr);
   json_decref (counts);
   talloc_free (run.launch);
--- a/bench/policy.h
+++ b/bench/policy.h
@@ -23,7 +23,7 @@
 #define POLICY_LEAVE_BOUND (3 * USEC_PER_SEC) /* after its leave notice, no new work */
 #define POLICY_LEAVE_KNOWN (500 * USEC_PER_MSEC)
 #define POLICY_MIDDLE_SETTLE (5 * USEC_PER_SEC)
-#define POLICY_HOP (500) /* one-way delay between host and target, in microseconds */
+#define POLICY_HOP_USEC (500) /* one-way delay between host and target, in microseconds */
 
 /* name, text */
 #define POLICY_ARM_LIST(X)                                                                         \
@@ -224,11 +224,13 @@
 };
 
 /* policy_target.c */
-void policy_target_take (struct policy_target *target, struct policy_attempt *attempt, int64_t now);
-void policy_target_drop (struct policy_target *target, struct policy_attempt *attempt, int64_t now);
+void policy_target_send (struct policy_target *target, struct policy_attempt *attempt, int64_t now);
+void policy_target_release (struct policy_target *target,
+                            struct policy_attempt *attempt,
+                            int64_t now);
 void policy_target_sample (struct policy_target *target, int64_t now);
 void policy_target_clear_cache (struct policy_target *target, int64_t now);
-uint64_t policy_block (uint32_t document, uint32_t request, uint32_t index);
+uint64_t policy_block_hash (uint32_t document, uint32_t request, uint32_t index);
 
 /* policy_flow.c: requests through their stages */
 void policy_request_start (struct policy_request *request, int64_t now);
@@ -244,7 +246,7 @@
 extern const struct timer_ops policy_fault_ops;
 
 /* policy_run.c */
-struct policy_result policy_play (const struct policy_config *config);
+struct policy_result policy_simulate (const struct policy_config *config);
 
 /* Nominal generation work per second of the site's generation pool at saturation. */
 double policy_capacity (enum trace_site site, uint32_t scale, uint64_t seed);
--- a/bench/policy_choose.c
+++ b/bench/policy_choose.c
@@ -17,7 +17,7 @@
 }
 
 static bool
-usable (const struct policy_request *request, const struct policy_target *target, int64_t now)
+is_usable (const struct policy_request *request, const struct policy_target *target, int64_t now)
 {
   const struct board_target *entry = table_get (request->host->board->targets, target->handle);
 
@@ -26,7 +26,7 @@
 }
 
 static uint32_t
-reported (const struct policy_request *request, const struct policy_target *target)
+reported_load (const struct policy_request *request, const struct policy_target *target)
 {
   const struct board_target *entry = table_get (request->host->board->targets, target->handle);
 
@@ -63,9 +63,9 @@
     {
       struct policy_target *target = &run->targets[first + (start + i) % count];
 
-      if (!usable (request, target, now))
+      if (!is_usable (request, target, now))
         continue;
-      if (best == NULL || reported (request, target) < reported (request, best))
+      if (best == NULL || reported_load (request, target) < reported_load (request, best))
         best = target;
       if (run->config.arm != POLICY_LEAST_LOAD)
         break;
--- a/bench/policy_flow.c
+++ b/bench/policy_flow.c
@@ -69,8 +69,9 @@
   if (blocks > DECIDE_PREFIX_BLOCKS)
     blocks = DECIDE_PREFIX_BLOCKS;
   for (i = 0; i < blocks; i++)
-    request->decide.prefix[i] = i < shared ? policy_block (trace->document, 0, i)
-                                           : policy_block (trace->document, request->number + 1, i);
+    request->decide.prefix[i] = i < shared
+                                    ? policy_block_hash (trace->document, 0, i)
+                                    : policy_block_hash (trace->document, request->number + 1, i);
   request->decide.n_prefix = blocks;
 }
 
@@ -93,7 +94,7 @@
   timer_disarm (run->timers, &attempt->give_up);
   timer_disarm (run->timers, &attempt->hedge);
   if (attempt->state != ATTEMPT_OVER)
-    policy_target_drop (attempt->target, attempt, now);
+    policy_target_release (attempt->target, attempt, now);
   for (i = 0; i < 2; i++)
     if (request->live[i] == attempt)
       request->live[i] = NULL;
@@ -226,7 +227,7 @@
     timer_arm (run->timers, &attempt->hedge, choice->hedge_at);
   if (is_ours (request))
     decide_attempt_started (request->host->decide, &request->decide, choice, now);
-  policy_target_take (attempt->target, attempt, now);
+  policy_target_send (attempt->target, attempt, now);
 }
 
 static bool
--- a/bench/policy_run.c
+++ b/bench/policy_run.c
@@ -400,7 +400,7 @@
 }
 
 struct policy_result
-policy_play (const struct policy_config *config)
+policy_simulate (const struct policy_config *config)
 {
   struct policy_run *run = run_new (config);
   struct policy_result result;
--- a/bench/policy_target.c
+++ b/bench/policy_target.c
@@ -20,13 +20,13 @@
 }
 
 static bool
-silent (const struct policy_target *target, int64_t now)
+is_unresponsive (const struct policy_target *target, int64_t now)
 {
   return target->hangs || target->lost_at <= now;
 }
 
 uint64_t
-policy_block (uint32_t document, uint32_t request, uint32_t index)
+policy_block_hash (uint32_t document, uint32_t request, uint32_t index)
 {
   uint32_t key[3] = { document, request, index };
 
@@ -50,7 +50,7 @@
   for (h = 0; h < run->config.hosts; h++)
     for (i = 0; i < blocks; i++)
       decide_cache_event (run->hosts[h].decide, target->handle,
-                          policy_block (cached->document, 0, i), stored, now);
+                          policy_block_hash (cached->document, 0, i), stored, now);
 }
 
 static void
@@ -139,7 +139,7 @@
 static void
 begin_waiting (struct policy_target *target, int64_t now)
 {
-  while (target->queue != NULL && target->running < target->slots && !silent (target, now))
+  while (target->queue != NULL && target->running < target->slots && !is_unresponsive (target, now))
     {
       struct policy_attempt *attempt = target->queue;
 
@@ -183,7 +183,7 @@
 
 /* Releases the slot or the place in the queue. */
 void
-policy_target_drop (struct policy_target *target, struct policy_attempt *attempt, int64_t now)
+policy_target_release (struct policy_target *target, struct policy_attempt *attempt, int64_t now)
 {
   timer_disarm (target->run->timers, &attempt->done);
   if (attempt->state == ATTEMPT_WAITING)
@@ -203,9 +203,9 @@
 static void
 answer (struct policy_attempt *attempt, int64_t now)
 {
-  policy_target_drop (attempt->target, attempt, now);
+  policy_target_release (attempt->target, attempt, now);
   attempt->state = ATTEMPT_ANSWERED;
-  arm (attempt, now + POLICY_HOP);
+  arm (attempt, now + POLICY_HOP_USEC);
 }
 
 static void
@@ -235,7 +235,7 @@
 
   /* An unresponsive target keeps its attempts; only the host's timers end them.  An answer already
    * in transit still arrives. */
-  if (silent (target, now) && attempt->state != ATTEMPT_ANSWERED)
+  if (is_unresponsive (target, now) && attempt->state != ATTEMPT_ANSWERED)
     {
       if (attempt->state == ATTEMPT_ON_ITS_WAY)
         enqueue (target, attempt, now);
@@ -261,7 +261,7 @@
 }
 
 void
-policy_target_take (struct policy_target *target, struct policy_attempt *attempt, int64_t now)
+policy_target_send (struct policy_target *target, struct policy_attempt *attempt, int64_t now)
 {
   struct policy_run *run = target->run;
 
@@ -270,7 +270,7 @@
   if (now > target->lost_at && now - target->lost_at > POLICY_LEASE)
     run->result.to_unusable++;
   attempt->state = ATTEMPT_ON_ITS_WAY;
-  arm (attempt, now + POLICY_HOP);
+  arm (attempt, now + POLICY_HOP_USEC);
 }
 
 void
--- a/bench/replay.c
+++ b/bench/replay.c
@@ -420,7 +420,7 @@
 lists_idle (const struct replay *replay)
 {
   for (uint32_t i = 0; i < replay->n_lists; i++)
-    if (!replay_list_idle (replay->lists[i]))
+    if (!replay_list_is_idle (replay->lists[i]))
       return false;
   return true;
 }
--- a/bench/replay.h
+++ b/bench/replay.h
@@ -110,10 +110,10 @@
 /* Counts violations of the system's guarantees after the run: a wrong answer, an unrepeatable call
  * executed more than once, work done for a request whose answers were all "not run".  `counts` is
  * the result of launch_counts(). */
-uint32_t replay_broken_promises (const struct replay_result *result,
-                                 const struct replay_options *options,
-                                 const json_t *counts,
-                                 FILE *explain);
+uint32_t replay_count_violations (const struct replay_result *result,
+                                  const struct replay_options *options,
+                                  const json_t *counts,
+                                  FILE *explain);
 
 struct replay_cost
 {
@@ -144,7 +144,7 @@
 const char *replay_list_current (struct replay_list *list, int64_t now);
 /* After `address` refused or was unreachable: moves to the next host and requests a new list. */
 void replay_list_skip (struct replay_list *list, const char *address, int64_t now);
-bool replay_list_idle (const struct replay_list *list);
+bool replay_list_is_idle (const struct replay_list *list);
 uint32_t replay_list_hosts (const struct replay_list *list); /* at least 1 */
 
 /* Result of one try (replay_try.c). */
--- a/bench/replay_entries.c
+++ b/bench/replay_entries.c
@@ -27,7 +27,7 @@
 };
 
 static void
-know (struct replay_list *list, const char *address)
+add_known_host (struct replay_list *list, const char *address)
 {
   for (uint32_t i = 0; i < list->n_known; i++)
     if (strcmp (list->known[i], address) == 0)
@@ -37,7 +37,7 @@
 }
 
 static void
-take_list (struct replay_list *list, int64_t now)
+apply_list (struct replay_list *list, int64_t now)
 {
   json_t *json =
       json_loadb (list->answer.data ? list->answer.data : "", list->answer.length, 0, NULL);
@@ -59,7 +59,7 @@
       if (!address || list->n_list == REPLAY_ENTRIES_MAX)
         continue;
       text_copy_truncated (list->list[list->n_list++], RESOURCE_ADDRESS_SIZE, address);
-      know (list, address);
+      add_known_host (list, address);
     }
   json_decref (json);
 }
@@ -91,7 +91,7 @@
 
   list->asking = false;
   if (list->code == 200)
-    take_list (list, now);
+    apply_list (list, now);
   else
     list->ask_at++;
 }
@@ -109,7 +109,7 @@
 }
 
 static void
-ask (struct replay_list *list, int64_t now)
+request_list (struct replay_list *list, int64_t now)
 {
   const struct http_call_spec spec = {
     .address = list->known[list->ask_at % list->n_known],
@@ -143,8 +143,8 @@
   list->ask_at = caller;
   bytes_init (&list->answer, list);
   for (uint32_t i = 0; i < options->n_entries; i++)
-    know (list, options->entries[i]);
-  ask (list, loop_now (caller_loop (options->caller)));
+    add_known_host (list, options->entries[i]);
+  request_list (list, loop_now (caller_loop (options->caller)));
   return list;
 }
 
@@ -152,7 +152,7 @@
 replay_list_current (struct replay_list *list, int64_t now)
 {
   if (now >= list->keep_until)
-    ask (list, now);
+    request_list (list, now);
   if (list->n_list == 0)
     return list->known[list->ask_at % list->n_known];
   return list->list[list->current % list->n_list];
@@ -164,11 +164,11 @@
   if (list->n_list > 0 && strcmp (list->list[list->current % list->n_list], address) == 0)
     list->current++;
   list->ask_at++;
-  ask (list, now);
+  request_list (list, now);
 }
 
 bool
-replay_list_idle (const struct replay_list *list)
+replay_list_is_idle (const struct replay_list *list)
 {
   return !list->asking;
 }
--- a/bench/replay_report.c
+++ b/bench/replay_report.c
@@ -121,10 +121,10 @@
 }
 
 uint32_t
-replay_broken_promises (const struct replay_result *result,
-                        const struct replay_options *options,
-                        const json_t *counts,
-                        FILE *explain)
+replay_count_violations (const struct replay_result *result,
+                         const struct replay_options *options,
+                         const json_t *counts,
+                         FILE *explain)
 {
   uint32_t broken = 0;
 
--- a/bench/spread_directory.c
+++ b/bench/spread_directory.c
@@ -24,7 +24,7 @@
   struct directory *directory;
 };
 
-struct bed
+struct testbed
 {
   void *memory;
   struct spread_net *net;
@@ -66,9 +66,9 @@
 static const struct spread_node_ops node_ops = { .receive = receive, .tick = tick };
 
 static void
-start_host (struct bed *bed, uint32_t index, uint64_t seed)
+start_host (struct testbed *testbed, uint32_t index, uint64_t seed)
 {
-  struct follower *self = talloc_zero (bed, struct follower);
+  struct follower *self = talloc_zero (testbed, struct follower);
   struct directory_config config = { 0 };
   char name[RESOURCE_NAME_SIZE];
 
@@ -76,7 +76,7 @@
   self->node.ops = &node_ops;
   self->wire.ops = &wire_ops;
   self->board = board_new (self);
-  for (uint32_t i = 0; i < bed->n_hosts; i++)
+  for (uint32_t i = 0; i < testbed->n_hosts; i++)
     {
       struct handle handle;
       struct board_host *host = table_add (self->board->hosts, &handle);
@@ -88,25 +88,25 @@
     }
   snprintf (name, sizeof name, "h%u", index);
   config.board = self->board;
-  config.counters = bed->counters;
+  config.counters = testbed->counters;
   config.wire = &self->wire;
   config.self = name;
   config.incarnation = 1700000000000;
   config.seed = seed + index;
   self->directory = directory_new (self, &config);
   INVARIANT (self->directory != NULL);
-  bed->hosts[index] = self;
-  spread_net_put (bed->net, index, &self->node);
+  testbed->hosts[index] = self;
+  spread_net_add_node (testbed->net, index, &self->node);
 }
 
 static void
-announce_all (struct bed *bed, struct rng *rng)
+announce_all (struct testbed *testbed, struct rng *rng)
 {
-  int64_t now = spread_net_now (bed->net);
+  int64_t now = spread_net_now (testbed->net);
 
-  for (uint32_t i = 0; i < bed->n_targets; i++)
+  for (uint32_t i = 0; i < testbed->n_targets; i++)
     {
-      struct directory_record *t = &bed->targets[i];
+      struct directory_record *t = &testbed->targets[i];
 
       snprintf (t->name, sizeof t->name, "runner-%04u", i);
       snprintf (t->pool, sizeof t->pool, "pool-%02u", i % 20);
@@ -119,77 +119,78 @@
       t->slots = 16;
       t->incarnation = 1700000000000;
       t->sequence = 1;
-      INVARIANT (directory_announce (bed->hosts[i % bed->n_homes]->directory, t, now) == STATUS_OK);
-      bed->renew_at[i] = now + (int64_t) rng_below (rng, DIRECTORY_RENEW_INTERVAL);
+      INVARIANT (directory_announce (testbed->hosts[i % testbed->n_homes]->directory, t, now)
+                 == STATUS_OK);
+      testbed->renew_at[i] = now + (int64_t) rng_below (rng, DIRECTORY_RENEW_INTERVAL);
     }
 }
 
-static struct bed *
-start_bed (uint32_t n_hosts, uint32_t n_homes, uint32_t n_targets, uint64_t seed)
+static struct testbed *
+start_testbed (uint32_t n_hosts, uint32_t n_homes, uint32_t n_targets, uint64_t seed)
 {
-  struct bed *bed = talloc_zero (NULL, struct bed);
+  struct testbed *testbed = talloc_zero (NULL, struct testbed);
   struct rng rng;
 
-  INVARIANT (bed != NULL);
+  INVARIANT (testbed != NULL);
   rng_init (&rng, seed);
-  bed->net = spread_net_new (bed, seed, DELAY);
-  bed->counters = counters_new (bed);
-  bed->n_hosts = n_hosts;
-  bed->n_homes = n_homes;
-  bed->n_targets = n_targets;
-  bed->targets = talloc_zero_array (bed, struct directory_record, n_targets);
-  bed->renew_at = talloc_zero_array (bed, int64_t, n_targets);
-  INVARIANT (bed->targets != NULL && bed->renew_at != NULL);
+  testbed->net = spread_net_new (testbed, seed, DELAY);
+  testbed->counters = counters_new (testbed);
+  testbed->n_hosts = n_hosts;
+  testbed->n_homes = n_homes;
+  testbed->n_targets = n_targets;
+  testbed->targets = talloc_zero_array (testbed, struct directory_record, n_targets);
+  testbed->renew_at = talloc_zero_array (testbed, int64_t, n_targets);
+  INVARIANT (testbed->targets != NULL && testbed->renew_at != NULL);
   for (uint32_t i = 0; i < n_hosts; i++)
-    start_host (bed, i, seed);
-  announce_all (bed, &rng);
-  return bed;
+    start_host (testbed, i, seed);
+  announce_all (testbed, &rng);
+  return testbed;
 }
 
 static void
-run_bed (struct bed *bed, int64_t span)
+run_testbed (struct testbed *testbed, int64_t span)
 {
-  int64_t end = spread_net_now (bed->net) + span;
+  int64_t end = spread_net_now (testbed->net) + span;
 
-  while (spread_net_now (bed->net) < end)
+  while (spread_net_now (testbed->net) < end)
     {
-      int64_t now = spread_net_now (bed->net);
+      int64_t now = spread_net_now (testbed->net);
 
-      for (uint32_t i = 0; i < bed->n_targets; i++)
+      for (uint32_t i = 0; i < testbed->n_targets; i++)
         {
-          const struct directory_record *t = &bed->targets[i];
+          const struct directory_record *t = &testbed->targets[i];
           struct directory_key key = { t->name, t->incarnation, t->sequence };
 
-          if (now < bed->renew_at[i])
+          if (now < testbed->renew_at[i])
             continue;
-          (void) directory_renew (bed->hosts[i % bed->n_homes]->directory, &key, now);
-          bed->renew_at[i] += DIRECTORY_RENEW_INTERVAL;
+          (void) directory_renew (testbed->hosts[i % testbed->n_homes]->directory, &key, now);
+          testbed->renew_at[i] += DIRECTORY_RENEW_INTERVAL;
         }
-      spread_net_run (bed->net, POLL);
+      spread_net_run (testbed->net, POLL);
     }
 }
 
 static uint32_t
-count_usable (const struct bed *bed, uint32_t host)
+count_usable (const struct testbed *testbed, uint32_t host)
 {
   const struct board_target *target;
   uint32_t cursor = 0;
   uint32_t count = 0;
 
-  while ((target = table_next (bed->hosts[host]->board->targets, &cursor, NULL)) != NULL)
-    count += board_target_is_usable (target, spread_net_now (bed->net)) ? 1 : 0;
+  while ((target = table_next (testbed->hosts[host]->board->targets, &cursor, NULL)) != NULL)
+    count += board_target_is_usable (target, spread_net_now (testbed->net)) ? 1 : 0;
   return count;
 }
 
 /* Size of one renewal forwarded on its own: name, incarnation, sequence. */
 static size_t
-renewal_bytes (const struct bed *bed)
+renewal_bytes (const struct testbed *testbed)
 {
-  const struct directory_record *t = &bed->targets[0];
+  const struct directory_record *t = &testbed->targets[0];
   struct bytes out;
   size_t length;
 
-  bytes_init (&out, bed->counters);
+  bytes_init (&out, testbed->counters);
   pack_text (&out, t->name);
   pack_uint (&out, t->incarnation);
   pack_uint (&out, t->sequence);
@@ -202,21 +203,21 @@
 spread_measure_directory (
     uint32_t n_hosts, uint32_t n_homes, uint32_t n_targets, int64_t span, uint64_t seed)
 {
-  struct bed *bed = start_bed (n_hosts, n_homes, n_targets, seed);
+  struct testbed *testbed = start_testbed (n_hosts, n_homes, n_targets, seed);
   double seconds = (double) span / USEC_PER_SEC;
   struct spread_traffic home[3];
   struct spread_traffic other[3];
   uint32_t usable;
 
-  home[0] = spread_net_traffic (bed->net, HOME);
-  other[0] = spread_net_traffic (bed->net, n_hosts - 1);
-  run_bed (bed, 30 * USEC_PER_SEC);
-  home[1] = spread_net_traffic (bed->net, HOME);
-  other[1] = spread_net_traffic (bed->net, n_hosts - 1);
-  run_bed (bed, span);
-  home[2] = spread_net_traffic (bed->net, HOME);
-  other[2] = spread_net_traffic (bed->net, n_hosts - 1);
-  usable = count_usable (bed, n_hosts - 1);
+  home[0] = spread_net_traffic (testbed->net, HOME);
+  other[0] = spread_net_traffic (testbed->net, n_hosts - 1);
+  run_testbed (testbed, 30 * USEC_PER_SEC);
+  home[1] = spread_net_traffic (testbed->net, HOME);
+  other[1] = spread_net_traffic (testbed->net, n_hosts - 1);
+  run_testbed (testbed, span);
+  home[2] = spread_net_traffic (testbed->net, HOME);
+  other[2] = spread_net_traffic (testbed->net, n_hosts - 1);
+  usable = count_usable (testbed, n_hosts - 1);
   printf ("directory hosts=%u homes=%u targets=%u start_bytes_home=%llu home_bytes_s=%.0f "
           "home_messages_s=%.2f "
           "host_bytes_s=%.0f host_messages_s=%.2f usable=%u each_renewal_passed_on_bytes_s=%.0f\n",
@@ -225,8 +226,8 @@
           (double) (home[2].messages - home[1].messages) / seconds,
           (double) (other[2].bytes - other[1].bytes) / seconds,
           (double) (other[2].messages - other[1].messages) / seconds, usable,
-          (double) n_targets * (n_hosts - 1) * (double) renewal_bytes (bed));
-  talloc_free (bed);
+          (double) n_targets * (n_hosts - 1) * (double) renewal_bytes (testbed));
+  talloc_free (testbed);
 }
 
 /* ---- time until no new work is sent ---- */
@@ -245,39 +246,40 @@
 static double
 trial_ending (enum ending ending, uint32_t n_hosts, double loss, uint64_t seed)
 {
-  struct bed *bed = start_bed (n_hosts, 1, 18, seed);
-  const struct directory_record *t = &bed->targets[7];
+  struct testbed *testbed = start_testbed (n_hosts, 1, 18, seed);
+  const struct directory_record *t = &testbed->targets[7];
   struct directory_key key = { t->name, t->incarnation, t->sequence + 1 };
   int64_t last = 0;
   int64_t from;
 
-  spread_net_set_loss (bed->net, loss);
-  run_bed (bed, 5 * USEC_PER_SEC + (int64_t) (seed % 100) * POLL);
-  from = spread_net_now (bed->net);
+  spread_net_set_loss (testbed->net, loss);
+  run_testbed (testbed, 5 * USEC_PER_SEC + (int64_t) (seed % 100) * POLL);
+  from = spread_net_now (testbed->net);
   if (ending == LEAVES_UNTOLD)
-    spread_net_cut (bed->net, HOME, 1 + (uint32_t) (seed % (n_hosts - 1)), true);
+    spread_net_cut (testbed->net, HOME, 1 + (uint32_t) (seed % (n_hosts - 1)), true);
   if (ending == DIES)
-    from = bed->renew_at[7] - DIRECTORY_RENEW_INTERVAL; /* its last renewal */
+    from = testbed->renew_at[7] - DIRECTORY_RENEW_INTERVAL; /* its last renewal */
   else
-    INVARIANT (directory_leave (bed->hosts[HOME]->directory, &key, from) == STATUS_OK);
-  bed->renew_at[7] = USEC_NEVER;
+    INVARIANT (directory_leave (testbed->hosts[HOME]->directory, &key, from) == STATUS_OK);
+  testbed->renew_at[7] = USEC_NEVER;
   for (int step = 0; step < 500; step++)
     {
       for (uint32_t i = 0; i < n_hosts; i++)
         {
-          const struct board_target *seen = board_find_target (bed->hosts[i]->board, t->name, NULL);
+          const struct board_target *seen =
+              board_find_target (testbed->hosts[i]->board, t->name, NULL);
 
-          if (seen != NULL && board_target_is_usable (seen, spread_net_now (bed->net)))
-            last = spread_net_now (bed->net) - from;
+          if (seen != NULL && board_target_is_usable (seen, spread_net_now (testbed->net)))
+            last = spread_net_now (testbed->net) - from;
         }
-      run_bed (bed, POLL);
+      run_testbed (testbed, POLL);
     }
-  talloc_free (bed);
+  talloc_free (testbed);
   return (double) last / USEC_PER_SEC;
 }
 
 static int
-by_value (const void *a, const void *b)
+compare_doubles (const void *a, const void *b)
 {
   double left = *(const double *) a;
   double right = *(const double *) b;
@@ -295,7 +297,7 @@
       INVARIANT (values != NULL);
       for (uint32_t trial = 0; trial < trials; trial++)
         values[trial] = trial_ending ((enum ending) ending, n_hosts, loss, seed + trial);
-      qsort (values, trials, sizeof values[0], by_value);
+      qsort (values, trials, sizeof values[0], compare_doubles);
       printf (
           "target %s hosts=%u trials=%u loss=%.3f until_no_new_work_s p50=%.2f p99=%.2f max=%.2f\n",
           endings[ending], n_hosts, trials, loss, values[trials / 2],
--- a/bench/spread_heartbeat.c
+++ b/bench/spread_heartbeat.c
@@ -2,7 +2,7 @@
 #include "bytes.h"
 #include "pack.h"
 #include "rng.h"
-#include "spread_way.h"
+#include "spread_protocol.h"
 #include "status.h"
 #include <talloc.h>
 
@@ -74,12 +74,12 @@
   self->n_hosts = n_hosts;
   self->incarnation = UINT64_C (1700000000000) + incarnation;
   rng_init (&self->rng, index + incarnation * 1000);
-  spread_net_put (net, index, &self->node);
+  spread_net_add_node (net, index, &self->node);
   return &self->node;
 }
 
 static bool
-holds_dead (const struct spread_node *node, uint32_t about)
+considers_dead (const struct spread_node *node, uint32_t about)
 {
   const struct heartbeat *self = (const struct heartbeat *) node;
 
@@ -91,7 +91,7 @@
 {
   const struct heartbeat *self = (const struct heartbeat *) node;
 
-  return !holds_dead (node, about) && !self->left[about];
+  return !considers_dead (node, about) && !self->left[about];
 }
 
 static void
@@ -104,10 +104,10 @@
   beat_all (self);
 }
 
-const struct spread_way spread_way_heartbeat = {
+const struct spread_protocol spread_protocol_heartbeat = {
   .name = "heartbeat",
   .start = start,
   .sees = sees,
-  .holds_dead = holds_dead,
+  .considers_dead = considers_dead,
   .leave = leave,
 };
--- a/bench/spread_measure.c
+++ b/bench/spread_measure.c
@@ -17,7 +17,7 @@
 {
   void *memory;
   struct spread_net *net;
-  const struct spread_way *way;
+  const struct spread_protocol *way;
   struct spread_node *nodes[SPREAD_HOSTS_MAX];
   uint32_t n;
 };
@@ -64,9 +64,9 @@
   rng_init (&rng, seed);
   for (int64_t done = 0; done < span; done += USEC_PER_SEC)
     {
-      for (uint32_t i = 0; i < group->n && group->way->stir != NULL; i++)
-        group->way->stir (group->nodes[i], rng_unit (&rng),
-                          100 + (uint64_t) (done / USEC_PER_SEC / 20));
+      for (uint32_t i = 0; i < group->n && group->way->change_load != NULL; i++)
+        group->way->change_load (group->nodes[i], rng_unit (&rng),
+                                 100 + (uint64_t) (done / USEC_PER_SEC / 20));
       spread_net_run (group->net, USEC_PER_SEC);
     }
 }
@@ -133,7 +133,7 @@
 }
 
 static int
-by_value (const void *a, const void *b)
+compare_doubles (const void *a, const void *b)
 {
   double left = *(const double *) a;
   double right = *(const double *) b;
@@ -153,7 +153,7 @@
 print_samples (const char *what, struct samples *samples)
 {
   if (samples->count > 0)
-    qsort (samples->values, samples->count, sizeof samples->values[0], by_value);
+    qsort (samples->values, samples->count, sizeof samples->values[0], compare_doubles);
   printf (" %s_p50=%.2f %s_p99=%.2f %s_max=%.2f never=%u", what, quantile (samples, 0.5), what,
           quantile (samples, 0.99), what, quantile (samples, 1), samples->never);
   talloc_free (samples->values);
@@ -162,13 +162,13 @@
 /* Samples the time since `from` for each host at which `look` first returns `wanted` for `about`.
  */
 static void
-watch (struct group *group,
-       uint32_t about,
-       bool (*look) (const struct spread_node *node, uint32_t about),
-       bool wanted,
-       int64_t from,
-       bool done[SPREAD_HOSTS_MAX],
-       struct samples *samples)
+sample_detections (struct group *group,
+                   uint32_t about,
+                   bool (*look) (const struct spread_node *node, uint32_t about),
+                   bool wanted,
+                   int64_t from,
+                   bool done[SPREAD_HOSTS_MAX],
+                   struct samples *samples)
 {
   for (uint32_t i = 0; i < group->n; i++)
     {
@@ -179,7 +179,7 @@
     }
 }
 
-struct notice
+struct detection
 {
   struct samples unnamed; /* no longer listed to callers */
   struct samples dead;
@@ -196,7 +196,10 @@
 }
 
 static void
-watch_notice (struct group *group, uint32_t about, bool until_dead, struct notice *notice)
+wait_for_detection (struct group *group,
+                    uint32_t about,
+                    bool until_dead,
+                    struct detection *detection)
 {
   bool unnamed[SPREAD_HOSTS_MAX] = { false };
   bool dead[SPREAD_HOSTS_MAX] = { false };
@@ -206,17 +209,18 @@
          && count_done (group, until_dead ? dead : unnamed) < group->n - 1)
     {
       spread_net_run (group->net, POLL);
-      watch (group, about, group->way->sees, false, from, unnamed, &notice->unnamed);
-      watch (group, about, group->way->holds_dead, true, from, dead, &notice->dead);
+      sample_detections (group, about, group->way->sees, false, from, unnamed, &detection->unnamed);
+      sample_detections (group, about, group->way->considers_dead, true, from, dead,
+                         &detection->dead);
     }
-  notice->unnamed.never += group->n - 1 - count_done (group, unnamed);
-  notice->dead.never += until_dead ? group->n - 1 - count_done (group, dead) : 0;
+  detection->unnamed.never += group->n - 1 - count_done (group, unnamed);
+  detection->dead.never += until_dead ? group->n - 1 - count_done (group, dead) : 0;
 }
 
 static void
-measure_notice (const struct spread_case *c, bool silent)
+measure_detection (const struct spread_case *c, bool silent)
 {
-  struct notice notice = { 0 };
+  struct detection detection = { 0 };
 
   for (uint32_t trial = 0; trial < c->trials; trial++)
     {
@@ -233,26 +237,26 @@
           }
       else
         spread_net_stop (group->net, victim, false);
-      watch_notice (group, victim, true, &notice);
+      wait_for_detection (group, victim, true, &detection);
       talloc_free (group);
     }
   printf ("%s way=%s hosts=%u trials=%u loss=%.3f", silent ? "silent" : "dead", c->way->name,
           c->n_hosts, c->trials, c->loss);
-  print_samples ("unnamed_s", &notice.unnamed);
-  print_samples ("dead_s", &notice.dead);
+  print_samples ("unnamed_s", &detection.unnamed);
+  print_samples ("dead_s", &detection.dead);
   printf ("\n");
 }
 
 void
 spread_measure_dead (const struct spread_case *c)
 {
-  measure_notice (c, false);
+  measure_detection (c, false);
 }
 
 void
 spread_measure_silent (const struct spread_case *c)
 {
-  measure_notice (c, true);
+  measure_detection (c, true);
 }
 
 static uint64_t
@@ -275,7 +279,7 @@
 void
 spread_measure_leave (const struct spread_case *c)
 {
-  struct notice notice = { 0 };
+  struct detection detection = { 0 };
   double extra_bytes = 0;
   double extra_messages = 0;
 
@@ -292,7 +296,7 @@
       bytes[1] = total_bytes (group, &messages[1]);
       from = spread_net_now (group->net);
       c->way->leave (group->nodes[trial % c->n_hosts], from);
-      watch_notice (group, trial % c->n_hosts, false, &notice);
+      wait_for_detection (group, trial % c->n_hosts, false, &detection);
       spread_net_run (group->net, from + window - spread_net_now (group->net));
       bytes[2] = total_bytes (group, &messages[2]);
       extra_bytes += (double) (bytes[2] - bytes[1]) - (double) (bytes[1] - bytes[0]);
@@ -303,7 +307,7 @@
           "extra_messages_per_host=%.2f",
           c->way->name, c->n_hosts, c->trials, c->loss, extra_bytes / c->trials / c->n_hosts,
           extra_messages / c->trials / c->n_hosts);
-  print_samples ("unnamed_s", &notice.unnamed);
+  print_samples ("unnamed_s", &detection.unnamed);
   printf ("\n");
 }
 
@@ -329,7 +333,7 @@
           uint32_t i = pair / c->n_hosts;
           uint32_t j = pair % c->n_hosts;
           bool now_named = i == j || group->way->sees (group->nodes[i], j);
-          bool now_dead = i != j && group->way->holds_dead (group->nodes[i], j);
+          bool now_dead = i != j && group->way->considers_dead (group->nodes[i], j);
 
           unnamed_count += named[pair] && !now_named ? 1 : 0;
           dead_count += !dead[pair] && now_dead ? 1 : 0;
--- a/bench/spread_measure.h
+++ b/bench/spread_measure.h
@@ -3,13 +3,13 @@
 #define SPREAD_MEASURE_H
 
 #include "decls.h"
-#include "spread_way.h"
+#include "spread_protocol.h"
 
 BEGIN_DECLS
 
 struct spread_case
 {
-  const struct spread_way *way;
+  const struct spread_protocol *way;
   uint32_t n_hosts;
   uint32_t trials;
   int64_t span;
--- a/bench/spread_member.c
+++ b/bench/spread_member.c
@@ -121,12 +121,12 @@
   self->node.index = index;
   self->member = member_new (self, &config);
   INVARIANT (self->member != NULL);
-  spread_net_put (net, index, &self->node);
+  spread_net_add_node (net, index, &self->node);
   return self;
 }
 
 enum host_state
-spread_member_sees (struct spread_member *self, uint32_t about)
+spread_member_host_state (struct spread_member *self, uint32_t about)
 {
   const struct board_host *host = table_get (self->board->hosts, self->seen[about]);
   char name[RESOURCE_NAME_SIZE];
@@ -149,13 +149,13 @@
 static bool
 sees (const struct spread_node *node, uint32_t about)
 {
-  return spread_member_sees ((struct spread_member *) node, about) == HOST_ALIVE;
+  return spread_member_host_state ((struct spread_member *) node, about) == HOST_ALIVE;
 }
 
 static bool
-holds_dead (const struct spread_node *node, uint32_t about)
+considers_dead (const struct spread_node *node, uint32_t about)
 {
-  return spread_member_sees ((struct spread_member *) node, about) == HOST_DEAD;
+  return spread_member_host_state ((struct spread_member *) node, about) == HOST_DEAD;
 }
 
 static void
@@ -165,7 +165,7 @@
 }
 
 static void
-stir (struct spread_node *node, double load, uint64_t revision)
+change_load (struct spread_node *node, double load, uint64_t revision)
 {
   struct spread_member *self = (struct spread_member *) node;
 
@@ -173,11 +173,11 @@
   self->board->revision = revision;
 }
 
-const struct spread_way spread_way_probe = {
+const struct spread_protocol spread_protocol_probe = {
   .name = "probe",
   .start = start,
   .sees = sees,
-  .holds_dead = holds_dead,
+  .considers_dead = considers_dead,
   .leave = leave,
-  .stir = stir,
+  .change_load = change_load,
 };
--- a/bench/spread_member.h
+++ b/bench/spread_member.h
@@ -6,7 +6,7 @@
 #include "decls.h"
 #include "member.h"
 #include "spread_net.h"
-#include "spread_way.h"
+#include "spread_protocol.h"
 
 BEGIN_DECLS
 
@@ -27,7 +27,7 @@
                                          uint64_t incarnation);
 
 /* State of host `about` in this instance's view; HOST_STATE_COUNT if unknown. */
-enum host_state spread_member_sees (struct spread_member *self, uint32_t about);
+enum host_state spread_member_host_state (struct spread_member *self, uint32_t about);
 
 END_DECLS
 
--- a/bench/spread_net.c
+++ b/bench/spread_net.c
@@ -11,15 +11,15 @@
   uint64_t order; /* events due at the same time run in order of creation */
   uint32_t to;
   uint32_t from;
-  uint32_t life; /* of the instance that the tick is for */
-  char *data;    /* NULL for a tick */
+  uint32_t generation; /* of the instance that the tick is for */
+  char *data;          /* NULL for a tick */
   size_t length;
 };
 
-struct place
+struct slot
 {
   struct spread_node *node;
-  uint32_t life; /* incremented by each put and each stop */
+  uint32_t generation; /* incremented by each put and each stop */
   bool stopped;
   bool keep;
   struct spread_traffic traffic;
@@ -35,7 +35,7 @@
   struct event *heap; /* from index 1 */
   uint32_t count;
   uint32_t capacity;
-  struct place places[SPREAD_HOSTS_MAX];
+  struct slot slots[SPREAD_HOSTS_MAX];
   bool cut[SPREAD_HOSTS_MAX][SPREAD_HOSTS_MAX];
 };
 
@@ -102,18 +102,19 @@
 static void
 add_tick (struct spread_net *net, uint32_t index, int64_t at)
 {
-  add_event (net, (struct event){ .at = at, .to = index, .life = net->places[index].life });
+  add_event (net,
+             (struct event){ .at = at, .to = index, .generation = net->slots[index].generation });
 }
 
 void
-spread_net_put (struct spread_net *net, uint32_t index, struct spread_node *node)
+spread_net_add_node (struct spread_net *net, uint32_t index, struct spread_node *node)
 {
-  struct place *place = &net->places[index];
+  struct slot *slot = &net->slots[index];
 
   INVARIANT (index < SPREAD_HOSTS_MAX);
-  place->node = node;
-  place->life++;
-  place->stopped = false;
+  slot->node = node;
+  slot->generation++;
+  slot->stopped = false;
   node->net = net;
   node->index = index;
   add_tick (net, index, net->now);
@@ -131,8 +132,8 @@
 {
   struct event event = { .to = to, .from = from, .length = length };
 
-  net->places[from].traffic.messages++;
-  net->places[from].traffic.bytes += length;
+  net->slots[from].traffic.messages++;
+  net->slots[from].traffic.bytes += length;
   if (is_lost (net, from, to))
     return;
   event.at = net->now + net->delay / 2 + (int64_t) rng_below (&net->rng, (uint64_t) net->delay + 1);
@@ -156,15 +157,15 @@
 void
 spread_net_stop (struct spread_net *net, uint32_t index, bool keep)
 {
-  net->places[index].stopped = true;
-  net->places[index].keep = keep;
-  net->places[index].life++;
+  net->slots[index].stopped = true;
+  net->slots[index].keep = keep;
+  net->slots[index].generation++;
 }
 
 void
-spread_net_go_on (struct spread_net *net, uint32_t index)
+spread_net_resume (struct spread_net *net, uint32_t index)
 {
-  net->places[index].stopped = false;
+  net->slots[index].stopped = false;
   add_tick (net, index, net->now);
 }
 
@@ -177,28 +178,28 @@
 static void
 deliver (struct spread_net *net, struct event *event)
 {
-  struct place *place = &net->places[event->to];
+  struct slot *slot = &net->slots[event->to];
 
-  if (place->stopped && place->keep)
+  if (slot->stopped && slot->keep)
     {
       event->at = net->now + 10 * USEC_PER_MSEC;
       add_event (net, *event);
       return;
     }
-  if (!place->stopped && place->node != NULL)
-    place->node->ops->receive (place->node, event->from, event->data, event->length, net->now);
+  if (!slot->stopped && slot->node != NULL)
+    slot->node->ops->receive (slot->node, event->from, event->data, event->length, net->now);
   talloc_free (event->data);
 }
 
 static void
 run_event (struct spread_net *net, struct event *event)
 {
-  struct place *place = &net->places[event->to];
+  struct slot *slot = &net->slots[event->to];
 
   if (event->data != NULL)
     deliver (net, event);
-  else if (!place->stopped && event->life == place->life)
-    add_tick (net, event->to, place->node->ops->tick (place->node, net->now));
+  else if (!slot->stopped && event->generation == slot->generation)
+    add_tick (net, event->to, slot->node->ops->tick (slot->node, net->now));
 }
 
 void
@@ -219,5 +220,5 @@
 struct spread_traffic
 spread_net_traffic (const struct spread_net *net, uint32_t index)
 {
-  return net->places[index].traffic;
+  return net->slots[index].traffic;
 }
--- a/bench/spread_net.h
+++ b/bench/spread_net.h
@@ -43,7 +43,7 @@
 struct spread_net *spread_net_new (void *parent, uint64_t seed, int64_t delay);
 
 /* Starts the instance now.  One that replaces another takes over its links. */
-void spread_net_put (struct spread_net *net, uint32_t index, struct spread_node *node);
+void spread_net_add_node (struct spread_net *net, uint32_t index, struct spread_node *node);
 
 void spread_net_send (
     struct spread_net *net, uint32_t from, uint32_t to, const void *data, size_t length);
@@ -57,7 +57,7 @@
 /* A stopped instance neither ticks nor receives.  Messages to it are lost or, with `keep`,
  * delivered after it resumes. */
 void spread_net_stop (struct spread_net *net, uint32_t index, bool keep);
-void spread_net_go_on (struct spread_net *net, uint32_t index);
+void spread_net_resume (struct spread_net *net, uint32_t index);
 
 int64_t spread_net_now (const struct spread_net *net);
 void spread_net_run (struct spread_net *net, int64_t span);
--- a/bench/spread_way.h
+++ b/bench/spread_protocol.h
@@ -1,14 +1,14 @@
 /* Interface of the compared membership protocols: instances on the simulated network and their
  * views of each other. */
-#ifndef SPREAD_WAY_H
-#define SPREAD_WAY_H
+#ifndef SPREAD_PROTOCOL_H
+#define SPREAD_PROTOCOL_H
 
 #include "decls.h"
 #include "spread_net.h"
 
 BEGIN_DECLS
 
-struct spread_way
+struct spread_protocol
 {
   const char *name;
   struct spread_node *(*start) (
@@ -18,21 +18,21 @@
   bool (*sees) (const struct spread_node *node, uint32_t about);
 
   /* Whether the instance considers it dead, not only suspected. */
-  bool (*holds_dead) (const struct spread_node *node, uint32_t about);
+  bool (*considers_dead) (const struct spread_node *node, uint32_t about);
   void (*leave) (struct spread_node *node, int64_t now);
 
   /* Changes the instance's load and configuration revision; NULL if that adds no traffic. */
-  void (*stir) (struct spread_node *node, double load, uint64_t revision);
+  void (*change_load) (struct spread_node *node, double load, uint64_t revision);
 };
 
 /* The product's protocol: probes, suspicion, updates piggybacked on probes (member.h). */
-extern const struct spread_way spread_way_probe;
+extern const struct spread_protocol spread_protocol_probe;
 
 /* All-to-all: one heartbeat per second, dead after three missed ones. */
-extern const struct spread_way spread_way_heartbeat;
+extern const struct spread_protocol spread_protocol_heartbeat;
 
 /* Bounded neighbours and a broadcast tree (spread_tree.c). */
-extern const struct spread_way spread_way_tree;
+extern const struct spread_protocol spread_protocol_tree;
 
 END_DECLS
 
--- a/bench/spread_tree.c
+++ b/bench/spread_tree.c
@@ -7,7 +7,7 @@
 #include "bytes.h"
 #include "pack.h"
 #include "rng.h"
-#include "spread_way.h"
+#include "spread_protocol.h"
 #include "status.h"
 #include <string.h>
 #include <talloc.h>
@@ -36,7 +36,7 @@
 };
 
 /* What is broadcast: a host's state, ordered by sequence. */
-struct word
+struct update
 {
   uint32_t about;
   uint64_t sequence;
@@ -68,7 +68,7 @@
   uint64_t state[SPREAD_HOSTS_MAX];
   struct neighbor active[ACTIVE_MAX];
   uint32_t n_active;
-  struct word seen[SEEN_MAX]; /* by id; 0 in `about` plus one for none */
+  struct update seen[SEEN_MAX]; /* by id; 0 in `about` plus one for none */
   uint64_t seen_id[SEEN_MAX];
   uint32_t seen_at;
   struct missing missing[SEEN_MAX];
@@ -77,16 +77,16 @@
 };
 
 static uint64_t
-id_of (const struct word *word)
+id_of (const struct update *update)
 {
-  return (uint64_t) word->about << 48 | word->sequence << 2 | word->state;
+  return (uint64_t) update->about << 48 | update->sequence << 2 | update->state;
 }
 
 /* ---- messages ---- */
 
 static void
-send_words (
-    struct tree *self, uint32_t to, enum kind kind, const struct word *words, uint32_t count)
+send_updates (
+    struct tree *self, uint32_t to, enum kind kind, const struct update *updates, uint32_t count)
 {
   struct bytes out;
 
@@ -98,9 +98,9 @@
   pack_array (&out, count);
   for (uint32_t i = 0; i < count; i++)
     {
-      pack_uint (&out, words[i].about);
-      pack_uint (&out, words[i].sequence);
-      pack_uint (&out, words[i].state);
+      pack_uint (&out, updates[i].about);
+      pack_uint (&out, updates[i].sequence);
+      pack_uint (&out, updates[i].state);
       if (kind == IHAVE || kind == GRAFT)
         continue;
       /* The product's state updates also carry the name and the incarnation. */
@@ -114,21 +114,21 @@
 static void
 send_plain (struct tree *self, uint32_t to, enum kind kind)
 {
-  send_words (self, to, kind, NULL, 0);
+  send_updates (self, to, kind, NULL, 0);
 }
 
-static struct word
-word_of (const struct tree *self, uint32_t about)
+static struct update
+update_of (const struct tree *self, uint32_t about)
 {
-  return (struct word){ .about = about,
-                        .sequence = self->sequence[about],
-                        .state = self->state[about] };
+  return (struct update){ .about = about,
+                          .sequence = self->sequence[about],
+                          .state = self->state[about] };
 }
 
 static void
 send_view (struct tree *self, uint32_t to, uint32_t most)
 {
-  struct word words[SPREAD_HOSTS_MAX];
+  struct update updates[SPREAD_HOSTS_MAX];
   uint32_t start = (uint32_t) rng_below (&self->rng, self->n_hosts);
   uint32_t count = 0;
 
@@ -137,9 +137,9 @@
       uint32_t about = (start + i) % self->n_hosts;
 
       if (self->known[about])
-        words[count++] = word_of (self, about);
+        updates[count++] = update_of (self, about);
     }
-  send_words (self, to, VIEW, words, count);
+  send_updates (self, to, VIEW, updates, count);
 }
 
 /* ---- neighbours ---- */
@@ -202,57 +202,57 @@
 }
 
 static void
-pass_on (struct tree *self, const struct word *word, uint32_t from)
+forward_update (struct tree *self, const struct update *update, uint32_t from)
 {
-  self->seen_id[self->seen_at] = id_of (word);
-  self->seen[self->seen_at] = *word;
+  self->seen_id[self->seen_at] = id_of (update);
+  self->seen[self->seen_at] = *update;
   self->seen_at = (self->seen_at + 1) % SEEN_MAX;
   for (uint32_t i = 0; i < self->n_active; i++)
     if (self->active[i].index != from)
-      send_words (self, self->active[i].index, self->active[i].eager ? EAGER : IHAVE, word, 1);
+      send_updates (self, self->active[i].index, self->active[i].eager ? EAGER : IHAVE, update, 1);
 }
 
 static void
-say (struct tree *self, uint32_t about, uint64_t state)
+broadcast_state (struct tree *self, uint32_t about, uint64_t state)
 {
-  struct word word;
+  struct update update;
 
   self->state[about] = state;
-  word = word_of (self, about);
-  pass_on (self, &word, self->node.index);
+  update = update_of (self, about);
+  forward_update (self, &update, self->node.index);
 }
 
 /* The higher sequence wins; at equal sequence, the higher state.  A host refutes updates about
  * itself. */
 static bool
-apply (struct tree *self, const struct word *word)
+apply (struct tree *self, const struct update *update)
 {
-  uint32_t about = word->about;
-  bool newer = !self->known[about] || word->sequence > self->sequence[about]
-               || (word->sequence == self->sequence[about] && word->state > self->state[about]);
+  uint32_t about = update->about;
+  bool newer = !self->known[about] || update->sequence > self->sequence[about]
+               || (update->sequence == self->sequence[about] && update->state > self->state[about]);
 
   if (!newer)
     return false;
   if (about == self->node.index)
     {
-      self->sequence[about] = word->sequence + 1;
-      say (self, about, self->state[about]);
+      self->sequence[about] = update->sequence + 1;
+      broadcast_state (self, about, self->state[about]);
       return false;
     }
   self->known[about] = true;
-  self->sequence[about] = word->sequence;
-  self->state[about] = word->state;
-  if (word->state == 1)
+  self->sequence[about] = update->sequence;
+  self->state[about] = update->state;
+  if (update->state == 1)
     drop_neighbor (self, about);
   return true;
 }
 
 static void
-take_event (struct tree *self, uint32_t from, const struct word *word)
+handle_event (struct tree *self, uint32_t from, const struct update *update)
 {
   struct neighbor *neighbor = find_neighbor (self, from);
 
-  if (has_seen (self, id_of (word)))
+  if (has_seen (self, id_of (update)))
     {
       send_plain (self, from, PRUNE);
       if (neighbor != NULL)
@@ -262,80 +262,81 @@
   if (neighbor != NULL)
     neighbor->eager = true;
   for (uint32_t i = 0; i < SEEN_MAX; i++)
-    if (self->missing[i].due != 0 && self->missing[i].id == id_of (word))
+    if (self->missing[i].due != 0 && self->missing[i].id == id_of (update))
       self->missing[i].due = 0;
-  apply (self, word);
-  pass_on (self, word, from);
+  apply (self, update);
+  forward_update (self, update, from);
 }
 
 static void
-take_ihave (struct tree *self, uint32_t from, const struct word *word, int64_t now)
+handle_ihave (struct tree *self, uint32_t from, const struct update *update, int64_t now)
 {
-  if (has_seen (self, id_of (word)))
+  if (has_seen (self, id_of (update)))
     return;
   for (uint32_t i = 0; i < SEEN_MAX; i++)
     if (self->missing[i].due == 0)
       {
         self->missing[i] =
-            (struct missing){ .id = id_of (word), .from = from, .due = now + GRAFT_AFTER };
+            (struct missing){ .id = id_of (update), .from = from, .due = now + GRAFT_AFTER };
         return;
       }
 }
 
 static void
-take_graft (struct tree *self, uint32_t from, const struct word *word)
+handle_graft (struct tree *self, uint32_t from, const struct update *update)
 {
   struct neighbor *neighbor = find_neighbor (self, from);
 
   if (neighbor != NULL)
     neighbor->eager = true;
   for (uint32_t i = 0; i < SEEN_MAX; i++)
-    if (self->seen_id[i] == id_of (word))
-      send_words (self, from, EAGER, &self->seen[i], 1);
+    if (self->seen_id[i] == id_of (update))
+      send_updates (self, from, EAGER, &self->seen[i], 1);
 }
 
 static void
-graft_due (struct tree *self, int64_t now)
+send_due_grafts (struct tree *self, int64_t now)
 {
   for (uint32_t i = 0; i < SEEN_MAX; i++)
     {
       struct missing *missing = &self->missing[i];
-      struct word word;
+      struct update update;
 
       if (missing->due == 0 || now < missing->due)
         continue;
       missing->due = 0;
-      word = (struct word){ .about = (uint32_t) (missing->id >> 48),
-                            .sequence = missing->id << 16 >> 18,
-                            .state = missing->id & 3 };
+      update = (struct update){ .about = (uint32_t) (missing->id >> 48),
+                                .sequence = missing->id << 16 >> 18,
+                                .state = missing->id & 3 };
       if (!has_seen (self, missing->id))
-        send_words (self, missing->from, GRAFT, &word, 1);
+        send_updates (self, missing->from, GRAFT, &update, 1);
     }
 }
 
 /* ---- the instance ---- */
 
 static void
-take_word (struct tree *self, uint32_t from, enum kind kind, const struct word *word, int64_t now)
+handle_update (
+    struct tree *self, uint32_t from, enum kind kind, const struct update *update, int64_t now)
 {
   switch (kind)
     {
     case EAGER:
-      take_event (self, from, word);
+      handle_event (self, from, update);
       break;
     case IHAVE:
-      take_ihave (self, from, word, now);
+      handle_ihave (self, from, update, now);
       break;
     case GRAFT:
-      take_graft (self, from, word);
+      handle_graft (self, from, update);
       break;
     case JOIN:
-      if (apply (self, word))
-        pass_on (self, word, from);
+      if (apply (self, update))
+        forward_update (self, update, from);
       send_view (self, from, SPREAD_HOSTS_MAX);
       break;
     case VIEW:
-      apply (self, word);
+      apply (self, update);
       break;
     case HEARTBEAT:
     case NEIGHBOR:
@@ -370,16 +371,16 @@
   for (uint32_t i = 0; i < count; i++)
     {
       char name[16];
-      struct word word = { .about = (uint32_t) pack_read_uint (&reader, SPREAD_HOSTS_MAX - 1) };
+      struct update update = { .about = (uint32_t) pack_read_uint (&reader, SPREAD_HOSTS_MAX - 1) };
 
-      word.sequence = pack_read_uint (&reader, UINT64_MAX);
-      word.state = pack_read_uint (&reader, 2);
+      update.sequence = pack_read_uint (&reader, UINT64_MAX);
+      update.state = pack_read_uint (&reader, 2);
       if (kind != IHAVE && kind != GRAFT)
         {
           pack_read_text (&reader, name, sizeof name);
           pack_read_uint (&reader, UINT64_MAX);
         }
-      take_word (self, from, kind, &word, now);
+      handle_update (self, from, kind, &update, now);
     }
   INVARIANT (pack_read_is_complete (&reader));
   if (kind == NEIGHBOR)
@@ -406,7 +407,7 @@
       told = self->active[i].heard && self->state[index] == 0;
       drop_neighbor (self, index);
       if (told)
-        say (self, index, 1);
+        broadcast_state (self, index, 1);
     }
 }
 
@@ -420,9 +421,9 @@
   for (uint32_t seed = 0; seed < 3 && self->n_active == 0; seed++)
     if (seed != self->node.index)
       {
-        struct word word = word_of (self, self->node.index);
+        struct update update = update_of (self, self->node.index);
 
-        send_words (self, seed, JOIN, &word, 1);
+        send_updates (self, seed, JOIN, &update, 1);
       }
 }
 
@@ -435,7 +436,7 @@
     beat (self, now);
   check_neighbors (self, now);
   fill_active (self, now);
-  graft_due (self, now);
+  send_due_grafts (self, now);
   if (now >= self->next_shuffle && self->n_active > 0)
     {
       uint32_t to = self->active[rng_below (&self->rng, self->n_active)].index;
@@ -460,7 +461,7 @@
   self->known[index] = true;
   self->sequence[index] = incarnation * 1000;
   memset (self->seen_id, 0xff, sizeof self->seen_id);
-  spread_net_put (net, index, &self->node);
+  spread_net_add_node (net, index, &self->node);
   return &self->node;
 }
 
@@ -473,7 +474,7 @@
 }
 
 static bool
-holds_dead (const struct spread_node *node, uint32_t about)
+considers_dead (const struct spread_node *node, uint32_t about)
 {
   const struct tree *self = (const struct tree *) node;
 
@@ -487,13 +488,13 @@
 
   (void) now;
   self->sequence[node->index]++;
-  say (self, node->index, 2);
+  broadcast_state (self, node->index, 2);
 }
 
-const struct spread_way spread_way_tree = {
+const struct spread_protocol spread_protocol_tree = {
   .name = "tree",
   .start = start,
   .sees = sees,
-  .holds_dead = holds_dead,
+  .considers_dead = considers_dead,
   .leave = leave,
 };
--- a/tests/unit_bench_replay.cc
+++ b/tests/unit_bench_replay.cc
@@ -74,7 +74,7 @@
 
     options.trace = services_trace ();
     options.site = site_demo ();
-    count = replay_broken_promises (result, &options, counts, nullptr);
+    count = replay_count_violations (result, &options, counts, nullptr);
     json_decref (counts);
     return count;
   }
--- a/tests/unit_decide_policy.cc
+++ b/tests/unit_decide_policy.cc
@@ -45,9 +45,9 @@
 TEST_P (PolicyTest, CalmLoadIsAttainedAtLowerCostThanLeastLoad)
 {
   auto config = config_of (GetParam (), POLICY_OURS, POLICY_CALM);
-  auto ours = policy_play (&config);
+  auto ours = policy_simulate (&config);
   config.arm = POLICY_LEAST_LOAD;
-  auto least = policy_play (&config);
+  auto least = policy_simulate (&config);
 
   EXPECT_GE (attained (ours), 0.995);
   EXPECT_LT (cost_each (ours), 0.95 * cost_each (least));
@@ -58,7 +58,7 @@
 TEST_P (PolicyTest, GoodputHoldsAtThreeTimesTheLoad)
 {
   auto config = config_of (GetParam (), POLICY_OURS, POLICY_BURST);
-  auto ours = policy_play (&config);
+  auto ours = policy_simulate (&config);
 
   EXPECT_GE (ours.goodput, 0.9 * policy_capacity (GetParam (), 1, 1));
 }
@@ -71,7 +71,7 @@
     {
       auto config =
           config_of (GetParam (), POLICY_OURS, static_cast<enum policy_experiment> (experiment));
-      auto result = policy_play (&config);
+      auto result = policy_simulate (&config);
       const char *name = policy_experiment_text (config.experiment);
 
       EXPECT_EQ (result.duplicates, 0u) << name;
@@ -83,8 +83,8 @@
 TEST_P (PolicyTest, IsReproducibleFromItsSeed)
 {
   auto config = config_of (GetParam (), POLICY_OURS, POLICY_DOMAIN_LOST);
-  auto first = policy_play (&config);
-  auto second = policy_play (&config);
+  auto first = policy_simulate (&config);
+  auto second = policy_simulate (&config);
 
   EXPECT_EQ (first.attained, second.attained);
   EXPECT_EQ (first.attempts, second.attempts);
--- a/tests/unit_member.cc
+++ b/tests/unit_member.cc
@@ -43,7 +43,7 @@
     unsigned count = 0;
 
     for (uint32_t i = 0; i < hosts.size (); i++)
-      count += i != about && spread_member_sees (hosts[i], about) == state ? 1 : 0;
+      count += i != about && spread_member_host_state (hosts[i], about) == state ? 1 : 0;
     return count;
   }
 
@@ -87,9 +87,9 @@
   spread_net_stop (c.net, 0, false);
   spread_net_stop (c.net, 1, false);
   c.run (5 * USEC_PER_SEC);
-  EXPECT_EQ (spread_member_sees (c.hosts[5], 4), HOST_ALIVE);
-  spread_net_go_on (c.net, 0);
-  spread_net_go_on (c.net, 1);
+  EXPECT_EQ (spread_member_host_state (c.hosts[5], 4), HOST_ALIVE);
+  spread_net_resume (c.net, 0);
+  spread_net_resume (c.net, 1);
   c.run (15 * USEC_PER_SEC);
   EXPECT_TRUE (c.all_alive ());
 }
@@ -135,7 +135,7 @@
   spread_net_stop (c.net, 2, true);
   c.run (20 * USEC_PER_SEC);
   EXPECT_EQ (c.count_seeing (2, HOST_DEAD), 8u);
-  spread_net_go_on (c.net, 2);
+  spread_net_resume (c.net, 2);
   c.run (20 * USEC_PER_SEC);
   EXPECT_TRUE (c.all_alive ());
   EXPECT_GT (c.sum_counter ("cherryarch_member_refutations_total"), 0);
@@ -158,7 +158,8 @@
           {
             if (about == 6 || i == 6 || about == i)
               continue;
-            ASSERT_EQ (spread_member_sees (c.hosts[i], about), HOST_ALIVE) << i << " " << about;
+            ASSERT_EQ (spread_member_host_state (c.hosts[i], about), HOST_ALIVE)
+                << i << " " << about;
           }
     }
   EXPECT_EQ (c.count_seeing (6, HOST_DEAD), 8u);
@@ -267,9 +268,9 @@
   spread_net_cut (c.net, 1, 0, true);
   c.run (2500 * USEC_PER_MSEC);
   spread_net_cut (c.net, 1, 0, false);
-  ASSERT_EQ (spread_member_sees (c.hosts[0], 1), HOST_SUSPECT);
+  ASSERT_EQ (spread_member_host_state (c.hosts[0], 1), HOST_SUSPECT);
   c.run (2 * USEC_PER_SEC);
-  EXPECT_EQ (spread_member_sees (c.hosts[0], 1), HOST_ALIVE);
+  EXPECT_EQ (spread_member_host_state (c.hosts[0], 1), HOST_ALIVE);
 }
 
 // A host reaches its peers but does not receive the newest configuration.  Callers would be served
@@ -347,7 +348,7 @@
         member_receive (c.hosts[0]->member, "host-001", altered.data (), altered.size (),
                         spread_net_now (c.net));
       }
-  EXPECT_EQ (spread_member_sees (c.hosts[0], 1), HOST_ALIVE);
+  EXPECT_EQ (spread_member_host_state (c.hosts[0], 1), HOST_ALIVE);
 }
 
 } // namespace
--- a/tests/whole_launch.h
+++ b/tests/whole_launch.h
@@ -80,7 +80,7 @@
   {
     json_t *counts = launch_counts (launch_);
 
-    EXPECT_EQ (replay_broken_promises (result, &options_, counts, stdout), 0u);
+    EXPECT_EQ (replay_count_violations (result, &options_, counts, stdout), 0u);
     json_decref (counts);
   }
 
