--- a/bench/cmd_explore.c
+++ b/bench/cmd_explore.c
@@ -107,8 +107,8 @@
   first = strtoull (argv[2], NULL, 10);
   seeds = strtoull (argv[3], NULL, 10);
   config.steps = (uint32_t) strtoul (argv[4], NULL, 10);
-  config.plain = argc == 6 && strcmp (argv[5], "plain") == 0;
-  config.bad_disks = argc == 6 && !config.plain;
+  config.no_contests = argc == 6 && strcmp (argv[5], "plain") == 0;
+  config.bad_disks = argc == 6 && !config.no_contests;
   config.tight_disks = argc == 6 && strcmp (argv[5], "tight-disks") == 0;
   config.spares = argc == 6 && strcmp (argv[5], "spares") == 0 ? 2 : 0;
   for (uint64_t i = 0; i < seeds; i++)
--- a/bench/cmd_fuzz.c
+++ b/bench/cmd_fuzz.c
@@ -54,7 +54,9 @@
   static const char said[] = "the input is in " CRASH_FILE "\n";
   int fd = open (CRASH_FILE, O_WRONLY | O_CREAT | O_TRUNC, 0600);
 
-  if (fd >= 0 && write (fd, fuzz_current.data, fuzz_current.length) == (ssize_t) fuzz_current.length
+  if (fd >= 0
+      && write (fd, fuzz_current_input.data, fuzz_current_input.length)
+             == (ssize_t) fuzz_current_input.length
       && write (STDERR_FILENO, said, sizeof said - 1) > 0)
     close (fd);
   signal (signo, SIG_DFL);
@@ -79,8 +81,8 @@
   clock_gettime (CLOCK_MONOTONIC, &start);
   fuzz_run (decoder, options->seed, options->runs, &result);
   printf ("%-16s %9llu runs  %9llu refused  %9llu taken  %7.1f s\n", decoder->name,
-          (unsigned long long) result.runs, (unsigned long long) result.refused,
-          (unsigned long long) result.taken, seconds_since (&start));
+          (unsigned long long) result.runs, (unsigned long long) result.rejected,
+          (unsigned long long) result.accepted, seconds_since (&start));
   fflush (stdout);
 }
 
--- a/bench/cmd_host-cost.c
+++ b/bench/cmd_host-cost.c
@@ -121,8 +121,8 @@
 static void
 make_ways (struct cost *cost,
            const struct pipeline_spec *spec,
-           struct host_cost_way *hosted,
-           struct host_cost_way *direct)
+           struct host_cost_request *hosted,
+           struct host_cost_request *direct)
 {
   const struct launch_host *host = &cost->launch->hosts[0];
   json_t *dump = call_json (cost->launch->caller, host->addresses[LAUNCH_OPERATORS], "GET",
@@ -131,8 +131,8 @@
 
   for (uint32_t i = 0; i < spec->n_stages; i++)
     targets[i] = target_of_pool (dump, spec->stages[i].pool);
-  host_cost_way_hosted (hosted, cost->launch, host->addresses[LAUNCH_CALLERS], spec);
-  host_cost_way_direct (direct, cost->launch, targets, spec);
+  host_cost_request_via_host (hosted, cost->launch, host->addresses[LAUNCH_CALLERS], spec);
+  host_cost_request_direct (direct, cost->launch, targets, spec);
   json_decref (dump);
 }
 
@@ -142,7 +142,7 @@
 {
   struct slopes_sample out;
 
-  INVARIANT (slopes_take (cost->launch, 0, &out) == STATUS_OK);
+  INVARIANT (slopes_sample_host (cost->launch, 0, &out) == STATUS_OK);
   return out;
 }
 
@@ -151,8 +151,8 @@
 {
   printf ("%s, %s: %u whole, %u refused, %u failed, %u wrong, %.0f a second, p50 %.2f ms, "
           "p99 %.2f ms\n",
-          spec, way, result->whole, result->refused, result->failed, result->wrong,
-          (double) result->whole / ((double) result->spent / (double) USEC_PER_SEC),
+          spec, way, result->correct, result->refused, result->failed, result->wrong,
+          (double) result->correct / ((double) result->elapsed_us / (double) USEC_PER_SEC),
           (double) host_cost_quantile (result, 0.50) / (double) USEC_PER_MSEC,
           (double) host_cost_quantile (result, 0.99) / (double) USEC_PER_MSEC);
 }
@@ -164,8 +164,8 @@
 {
   uint32_t round = (requests + ROUNDS - 1) / ROUNDS;
   struct caller *caller = cost->launch->caller;
-  struct host_cost_way hosted;
-  struct host_cost_way direct;
+  struct host_cost_request hosted;
+  struct host_cost_request direct;
   struct host_cost_result results[2];
   struct host_cost_result warm;
   double processor = 0;
@@ -191,8 +191,8 @@
   print_way (name, "direct", &results[1]);
   printf ("%s: %.1f us of the host's processor time a request\n", name,
           processor * (double) USEC_PER_SEC / (ROUNDS * round));
-  return results[0].whole == ROUNDS * round && results[1].whole == ROUNDS * round
-         && warm.whole == 2 * WARMUP_REQUESTS;
+  return results[0].correct == ROUNDS * round && results[1].correct == ROUNDS * round
+         && warm.correct == 2 * WARMUP_REQUESTS;
 }
 
 static void
@@ -217,9 +217,9 @@
 static bool
 measure_held (struct cost *cost)
 {
-  const struct host_cost_look look = { print_held_memory, cost, SAMPLE_DELAY };
-  struct host_cost_way hosted;
-  struct host_cost_way direct;
+  const struct host_cost_observer look = { print_held_memory, cost, SAMPLE_DELAY };
+  struct host_cost_request hosted;
+  struct host_cost_request direct;
   struct host_cost_result result;
 
   make_ways (cost, &cost->held, &hosted, &direct);
@@ -229,7 +229,7 @@
     return false;
   host_cost_run (cost->launch->caller, &hosted, cost->n_held, cost->n_held, &look, &result);
   print_way ("held", "host", &result);
-  return result.whole == cost->n_held;
+  return result.correct == cost->n_held;
 }
 
 static bool
@@ -256,7 +256,7 @@
   printf ("after %u were held at one time:\n", cost->n_held);
   good = measure (cost, &cost->service, cost->requests, cost->in_flight) && good;
   printf ("resident at the end: %.0f KiB; load %.1f\n", sample_host (cost).totals[SLOPES_RESIDENT],
-          slopes_load ());
+          slopes_load_average ());
   return good;
 }
 
--- a/bench/cmd_slopes.c
+++ b/bench/cmd_slopes.c
@@ -34,20 +34,21 @@
       /* With keys, every host is a seed, since a host pins the keys of its seeds. */
       if (hosts < 2 || hosts > (run->keys ? SETTINGS_SEEDS_MAX : LAUNCH_HOSTS_MAX)
           || homes > LAUNCH_POOLS_MAX || homes > hosts)
-        slopes_must (run, status_fail (STATUS_INVALID,
-                                       "expected 2 to %d hosts (%d with keys) and at most %d homes",
-                                       LAUNCH_HOSTS_MAX, SETTINGS_SEEDS_MAX, LAUNCH_POOLS_MAX));
+        slopes_exit_on_error (
+            run, status_fail (STATUS_INVALID,
+                              "expected 2 to %d hosts (%d with keys) and at most %d homes",
+                              LAUNCH_HOSTS_MAX, SETTINGS_SEEDS_MAX, LAUNCH_POOLS_MAX));
       slopes_start_hosts (run, hosts);
       for (uint32_t home = 0; home < homes; home++)
         slopes_start_targets (run, home, TARGETS_PER_HOME);
       slopes_wait (run, hosts * SETTLE_PER_HOST);
-      slopes_measure_rest (run, hosts);
+      slopes_measure_idle (run, hosts);
       if (homes > 0)
-        slopes_print_known (run);
+        slopes_print_target_counts (run);
       talloc_free (run->launch);
     }
   slopes_print_lines (run, "hosts");
-  slopes_count_asks (run);
+  slopes_scale_to_requests (run);
   slopes_print_lines (run, "(hosts - 1) / max (5, 0.4 hosts)");
 }
 
@@ -61,8 +62,8 @@
     {
       slopes_start_hosts (run, BASE_HOSTS);
       slopes_start_targets (run, BASE_HOSTS - 1, (uint32_t) run->sizes[i]);
-      slopes_measure_rest (run, run->sizes[i]);
-      slopes_print_known (run);
+      slopes_measure_idle (run, run->sizes[i]);
+      slopes_print_target_counts (run);
       talloc_free (run->launch);
     }
   slopes_print_lines (run, "targets");
@@ -81,7 +82,7 @@
       struct pool_spec spec = { .kind = kinds[i], .slots = 8, .eject_share_max = 0.5 };
 
       snprintf (spec.name, sizeof spec.name, "%s", names[i]);
-      slopes_must (run, launch_apply_pool (run->launch, &spec));
+      slopes_exit_on_error (run, launch_apply_pool (run->launch, &spec));
     }
   for (uint32_t i = 0; i < PIPELINES; i++)
     {
@@ -98,9 +99,9 @@
                                  json_pack ("{s:s, s:s, s:s}", "name", stage, "kind",
                                             names[s % n_kinds], "pool", names[s % n_kinds]));
         }
-      slopes_must (run,
-                   launch_apply (run->launch, RESOURCE_PIPELINE, name,
-                                 json_pack ("{s:i, s:o}", "deadlineMs", 4000, "stages", stages)));
+      slopes_exit_on_error (
+          run, launch_apply (run->launch, RESOURCE_PIPELINE, name,
+                             json_pack ("{s:i, s:o}", "deadlineMs", 4000, "stages", stages)));
     }
 }
 
@@ -112,7 +113,7 @@
 
   snprintf (name, sizeof name, "organisation-%u", number);
   snprintf (hash, sizeof hash, "%064x", number + 1);
-  slopes_must (
+  slopes_exit_on_error (
       run, launch_apply (run->launch, RESOURCE_ORGANISATION, name,
                          json_pack ("{s:f, s:f, s:f, s:[s]}", "weight", weight, "requestsPerSecond",
                                     100.0, "tokensPerSecond", 10000.0, "tokenHashes", hash)));
@@ -125,7 +126,7 @@
 
   run->unit = "organisations";
   slopes_start_hosts (run, BASE_HOSTS);
-  slopes_measure_rest (run, 0);
+  slopes_measure_idle (run, 0);
   memset (run->points, 0, sizeof run->points);
   printf ("  (above: nothing applied; below: with %d pipelines)\n", PIPELINES);
   apply_pipelines (run);
@@ -133,7 +134,7 @@
     {
       for (; applied < run->sizes[i]; applied++)
         apply_organisation (run, applied, 1);
-      slopes_measure_rest (run, run->sizes[i]);
+      slopes_measure_idle (run, run->sizes[i]);
     }
   talloc_free (run->launch);
   slopes_print_lines (run, "organisations");
@@ -152,7 +153,7 @@
   slopes_sample_all (run, before);
   for (uint32_t i = 0; i < changes; i++, made++)
     apply_organisation (run, i % 100, 2 + made * 0.001);
-  slopes_must (run, launch_wait_revision (run->launch));
+  slopes_exit_on_error (run, launch_wait_revision (run->launch));
   slopes_wait (run, SLOPES_WINDOW / 4);
   slopes_sample_all (run, after);
   for (uint32_t host = 0; host < run->launch->n_hosts; host++)
@@ -161,7 +162,7 @@
       double seconds = (double) (after[host].at - before[host].at) / (double) USEC_PER_SEC;
 
       printf ("%u changes, %s, %.1f s, load %.1f:", changes, slopes_role_texts[role], seconds,
-              slopes_load ());
+              slopes_load_average ());
       for (int i = 0; i < SLOPES_MEASURE_COUNT; i++)
         {
           double more = after[host].totals[i] - before[host].totals[i];
@@ -171,7 +172,7 @@
           if (i != SLOPES_RESIDENT)
             more -= rest[host][i] * seconds;
           printf (" %s %.1f;", slopes_measure_texts[i], more);
-          slopes_add (&run->points[role][i], changes, more);
+          slopes_add_point (&run->points[role][i], changes, more);
         }
       putchar ('\n');
     }
@@ -226,7 +227,7 @@
   spec.body_length = (size_t) snprintf (body, sizeof body,
                                         "{\"input\": \"question\", \"max_tokens\": %u}", tokens);
   bytes_init (&answer.body, scratch);
-  call (run->launch->caller, &spec, SLOPES_CALL_WITHIN, &answer);
+  call (run->launch->caller, &spec, SLOPES_CALL_TIMEOUT, &answer);
   if (answer.body.data && strstr (answer.body.data, "\"outcome\":\"whole\""))
     for (const char *at = answer.body.data; (at = strstr (at, "event: token")); at++)
       pieces++;
@@ -246,18 +247,19 @@
   uint32_t pieces = 0;
   double spent;
 
-  slopes_must (run, slopes_take (run->launch, host, &before));
+  slopes_exit_on_error (run, slopes_sample_host (run->launch, host, &before));
   for (uint32_t i = 0; i < STREAM_REQUESTS; i++)
     pieces += count_stream_pieces (run, host, tokens);
-  slopes_must (run, slopes_take (run->launch, host, &after));
+  slopes_exit_on_error (run, slopes_sample_host (run->launch, host, &after));
   spent = after.totals[SLOPES_PROCESSOR] - before.totals[SLOPES_PROCESSOR]
           - rest * (double) (after.at - before.at) / (double) USEC_PER_SEC;
   printf ("%u requests, %.1f pieces each, load %.1f: %.0f us of processor a request\n",
-          STREAM_REQUESTS, (double) pieces / STREAM_REQUESTS, slopes_load (),
+          STREAM_REQUESTS, (double) pieces / STREAM_REQUESTS, slopes_load_average (),
           spent / STREAM_REQUESTS * (double) USEC_PER_SEC);
   fflush (stdout);
-  slopes_add (&run->points[SLOPES_FOLLOWER][SLOPES_PROCESSOR], (double) pieces / STREAM_REQUESTS,
-              spent / STREAM_REQUESTS * (double) USEC_PER_SEC);
+  slopes_add_point (&run->points[SLOPES_FOLLOWER][SLOPES_PROCESSOR],
+                    (double) pieces / STREAM_REQUESTS,
+                    spent / STREAM_REQUESTS * (double) USEC_PER_SEC);
 }
 
 /* Sends one request at a time with pieces about 0.2 ms apart, so that each piece is read and
@@ -279,19 +281,19 @@
   struct slopes_line line;
 
   slopes_start_hosts (run, BASE_HOSTS);
-  slopes_must (run, launch_apply_pool (run->launch, &fakes.spec));
-  slopes_must (run, launch_apply (run->launch, RESOURCE_ORGANISATION, "organisation-0",
-                                  json_pack ("{s:f}", "weight", 1.0)));
-  slopes_must (run,
-               launch_apply (run->launch, RESOURCE_PIPELINE, "stream",
-                             json_pack ("{s:i, s:[{s:s, s:s, s:s}]}", "deadlineMs", 60000, "stages",
-                                        "name", "one", "kind", "generate", "pool", "generate")));
-  slopes_must (run, launch_start_fakes (run->launch, &fakes));
-  slopes_must (run, launch_wait_targets (run->launch, 1));
+  slopes_exit_on_error (run, launch_apply_pool (run->launch, &fakes.spec));
+  slopes_exit_on_error (run, launch_apply (run->launch, RESOURCE_ORGANISATION, "organisation-0",
+                                           json_pack ("{s:f}", "weight", 1.0)));
+  slopes_exit_on_error (
+      run, launch_apply (run->launch, RESOURCE_PIPELINE, "stream",
+                         json_pack ("{s:i, s:[{s:s, s:s, s:s}]}", "deadlineMs", 60000, "stages",
+                                    "name", "one", "kind", "generate", "pool", "generate")));
+  slopes_exit_on_error (run, launch_start_fakes (run->launch, &fakes));
+  slopes_exit_on_error (run, launch_wait_targets (run->launch, 1));
   slopes_wait (run, SLOPES_SETTLE);
-  slopes_must (run, slopes_take (run->launch, BASE_HOSTS - 1, &before));
+  slopes_exit_on_error (run, slopes_sample_host (run->launch, BASE_HOSTS - 1, &before));
   slopes_wait (run, SLOPES_WINDOW);
-  slopes_must (run, slopes_take (run->launch, BASE_HOSTS - 1, &after));
+  slopes_exit_on_error (run, slopes_sample_host (run->launch, BASE_HOSTS - 1, &after));
   slopes_rates (&before, &after, rates);
   for (uint32_t i = 0; i < run->n_sizes; i++)
     measure_stream (run, (uint32_t) run->sizes[i], rates[SLOPES_PROCESSOR] / 100);
--- a/bench/explore.c
+++ b/bench/explore.c
@@ -10,36 +10,36 @@
 #define JUMP_MAX (5 * USEC_PER_SEC)
 #define SLOW_MAX (300 * USEC_PER_MSEC)
 #define DISK_STOP_MAX 20
-#define CONTEST_WAIT (2500 * USEC_PER_MSEC)
-#define CONTEST_HAND_OVER (20 * USEC_PER_MSEC)
+#define CONTEST_WAIT_MAX (2500 * USEC_PER_MSEC)
+#define CONTEST_TRANSFER_MAX (20 * USEC_PER_MSEC)
 #define CONTEST_ROUND (20 * USEC_PER_MSEC)
 #define CONTEST_ROUNDS 60
-#define TOLD_ROOM (1u << 20)             /* free bytes that a full disk reports */
+#define REPORTED_FREE_BYTES (1u << 20)   /* free bytes that a full disk reports */
 #define REPLACE_AFTER (3 * USEC_PER_SEC) /* by a spare host, if there is one */
-#define TIGHT_ROOM 2000                  /* most bytes left on a nearly full disk */
+#define TIGHT_FREE_BYTES_MAX 2000        /* most bytes left on a nearly full disk */
 #define RESTART_ODDS 20                  /* one in this many steps */
-#define DISK_DEED_ODDS 8                 /* one in this many steps, with bad_disks */
+#define DISK_ACTION_ODDS 8               /* one in this many steps, with bad_disks */
 
 struct walk
 {
   struct fake_group *group;
   struct rng rng;
   uint32_t n;
-  bool jumps; /* clocks jump while hosts run; leases are off then */
-  bool plain;
+  bool clocks_jump; /* clocks jump while hosts run; leases are off then */
+  bool no_contests;
   bool bad_disks;
   bool tight_disks;
   bool disk_missing; /* a disk was lost and the group has not recovered yet */
 };
 
 static uint32_t
-any_host (struct walk *walk)
+random_host (struct walk *walk)
 {
   return (uint32_t) rng_below (&walk->rng, walk->n);
 }
 
 static bool
-is_up (struct walk *walk, uint32_t host)
+host_is_up (struct walk *walk, uint32_t host)
 {
   return fake_group_consensus (walk->group, host) != NULL;
 }
@@ -50,7 +50,7 @@
   uint32_t n = 1 + (uint32_t) rng_below (&walk->rng, 8);
 
   for (uint32_t i = 0; i < n; i++)
-    fake_group_propose (walk->group, any_host (walk), CALL_TIMEOUT);
+    fake_group_propose (walk->group, random_host (walk), CALL_TIMEOUT);
 }
 
 static void
@@ -63,18 +63,18 @@
 static void
 do_cut_one_way (struct walk *walk)
 {
-  fake_group_cut (walk->group, any_host (walk), any_host (walk), true);
+  fake_group_cut (walk->group, random_host (walk), random_host (walk), true);
 }
 
 static void
 do_isolate (struct walk *walk)
 {
-  fake_group_isolate (walk->group, any_host (walk), true);
+  fake_group_isolate (walk->group, random_host (walk), true);
 }
 
 /* Partitions the group into two random parts. */
 static void
-do_split (struct walk *walk)
+do_partition (struct walk *walk)
 {
   uint64_t side = rng_u64 (&walk->rng);
 
@@ -93,9 +93,9 @@
 static void
 do_crash (struct walk *walk)
 {
-  uint32_t host = any_host (walk);
+  uint32_t host = random_host (walk);
 
-  if (is_up (walk, host))
+  if (host_is_up (walk, host))
     fake_group_stop (walk->group, host, rng_below (&walk->rng, 4) != 0);
 }
 
@@ -103,16 +103,16 @@
 static void
 do_stop_disk (struct walk *walk)
 {
-  disk_fake_stop_after (fake_group_disk (walk->group, any_host (walk)),
+  disk_fake_stop_after (fake_group_disk (walk->group, random_host (walk)),
                         1 + rng_below (&walk->rng, DISK_STOP_MAX));
 }
 
 static void
-start (struct walk *walk, uint32_t host, char *breach)
+start_host (struct walk *walk, uint32_t host, char *breach)
 {
   enum status status;
 
-  if (is_up (walk, host))
+  if (host_is_up (walk, host))
     return;
   status = fake_group_start (walk->group, host);
   /* The disk may stop or be full during the start; any other error is a defect. */
@@ -125,7 +125,7 @@
 static void
 do_lose_disk (struct walk *walk)
 {
-  uint32_t host = any_host (walk);
+  uint32_t host = random_host (walk);
 
   if (walk->disk_missing || !fake_group_is_fully_replicated (walk->group))
     return;
@@ -139,22 +139,22 @@
 {
   int64_t delay = rng_below (&walk->rng, 2) == 0 ? 0 : (int64_t) rng_below (&walk->rng, SLOW_MAX);
 
-  fake_group_slow_disk (walk->group, any_host (walk), delay);
+  fake_group_slow_disk (walk->group, random_host (walk), delay);
 }
 
 static void
 do_jump_clock (struct walk *walk)
 {
-  uint32_t host = any_host (walk);
+  uint32_t host = random_host (walk);
 
-  if (walk->jumps || !is_up (walk, host))
+  if (walk->clocks_jump || !host_is_up (walk, host))
     fake_group_jump_clock (walk->group, host, (int64_t) rng_below (&walk->rng, JUMP_MAX));
 }
 
 static void
 do_transfer_from (struct walk *walk, uint32_t host)
 {
-  if (is_up (walk, host))
+  if (host_is_up (walk, host))
     consensus_voter_transfer (fake_group_consensus (walk->group, host),
                               fake_group_local_time (walk->group, host));
 }
@@ -162,11 +162,11 @@
 static void
 do_transfer (struct walk *walk)
 {
-  do_transfer_from (walk, any_host (walk));
+  do_transfer_from (walk, random_host (walk));
 }
 
 static int
-a_leader (struct walk *walk)
+find_leader (struct walk *walk)
 {
   for (uint32_t i = 0; i < walk->n; i++)
     {
@@ -185,25 +185,25 @@
 static void
 do_contest (struct walk *walk)
 {
-  int leader = a_leader (walk);
-  uint32_t rival = any_host (walk);
-  uint32_t third = any_host (walk);
-  bool hand_over = rng_below (&walk->rng, 3) == 0;
+  int leader = find_leader (walk);
+  uint32_t rival = random_host (walk);
+  uint32_t third = random_host (walk);
+  bool transferred = rng_below (&walk->rng, 3) == 0;
 
-  if (leader < 0 || (int) rival == leader || (int) third == leader || !is_up (walk, third))
+  if (leader < 0 || (int) rival == leader || (int) third == leader || !host_is_up (walk, third))
     return;
-  if (hand_over)
+  if (transferred)
     {
       do_transfer_from (walk, (uint32_t) leader);
-      fake_group_run (walk->group, (int64_t) rng_below (&walk->rng, CONTEST_HAND_OVER));
+      fake_group_run (walk->group, (int64_t) rng_below (&walk->rng, CONTEST_TRANSFER_MAX));
     }
   else
     {
       fake_group_cut (walk->group, (uint32_t) leader, rival, true);
-      fake_group_run (walk->group, (int64_t) rng_below (&walk->rng, CONTEST_WAIT));
+      fake_group_run (walk->group, (int64_t) rng_below (&walk->rng, CONTEST_WAIT_MAX));
     }
   fake_group_isolate (walk->group, (uint32_t) leader, true);
-  if (!hand_over && third != rival && is_up (walk, third) && rng_below (&walk->rng, 2) == 0)
+  if (!transferred && third != rival && host_is_up (walk, third) && rng_below (&walk->rng, 2) == 0)
     {
       fake_group_stop (walk->group, third, true);
       fake_group_start (walk->group, third);
@@ -223,31 +223,32 @@
 static void
 do_fill_disk (struct walk *walk)
 {
-  struct disk_fake *disk = fake_group_disk (walk->group, any_host (walk));
+  struct disk_fake *disk = fake_group_disk (walk->group, random_host (walk));
 
   disk_fake_set_capacity (
-      disk, walk->tight_disks ? disk_fake_used (disk) + rng_below (&walk->rng, TIGHT_ROOM) : 0);
-  disk_fake_set_reported (disk, rng_below (&walk->rng, 2) == 0 ? 0 : TOLD_ROOM);
+      disk,
+      walk->tight_disks ? disk_fake_used (disk) + rng_below (&walk->rng, TIGHT_FREE_BYTES_MAX) : 0);
+  disk_fake_set_reported (disk, rng_below (&walk->rng, 2) == 0 ? 0 : REPORTED_FREE_BYTES);
 }
 
 static void
-empty_disk (struct walk *walk, uint32_t host)
+remove_disk_limit (struct walk *walk, uint32_t host)
 {
   disk_fake_set_capacity (fake_group_disk (walk->group, host), UINT64_MAX);
   disk_fake_set_reported (fake_group_disk (walk->group, host), UINT64_MAX);
 }
 
 static void
-do_empty_disks (struct walk *walk)
+do_remove_disk_limits (struct walk *walk)
 {
   for (uint32_t i = 0; i < walk->n; i++)
-    empty_disk (walk, i);
+    remove_disk_limit (walk, i);
 }
 
 static void
 do_fail_sync (struct walk *walk)
 {
-  disk_fake_fail_sync (fake_group_disk (walk->group, any_host (walk)));
+  disk_fake_fail_sync (fake_group_disk (walk->group, random_host (walk)));
 }
 
 static void
@@ -256,28 +257,28 @@
   (void) walk;
 }
 
-struct deed
+struct action
 {
   void (*act) (struct walk *walk);
   uint32_t weight;
 };
 
 /* do_contest must be last: plain runs choose among the entries before it. */
-static const struct deed deeds[] = {
+static const struct action actions[] = {
   { do_propose, 40 },  { do_read, 20 },     { do_cut_one_way, 5 }, { do_isolate, 3 },
-  { do_split, 3 },     { do_heal, 20 },     { do_crash, 6 },       { do_stop_disk, 6 },
+  { do_partition, 3 }, { do_heal, 20 },     { do_crash, 6 },       { do_stop_disk, 6 },
   { do_lose_disk, 8 }, { do_slow_disk, 3 }, { do_jump_clock, 3 },  { do_transfer, 3 },
   { do_nothing, 20 },  { do_contest, 4 },
 };
 
-static const struct deed disk_deeds[] = {
+static const struct action disk_actions[] = {
   { do_fill_disk, 4 },
-  { do_empty_disks, 4 },
+  { do_remove_disk_limits, 4 },
   { do_fail_sync, 1 },
 };
 
 static void
-do_one_of (struct walk *walk, const struct deed *from, size_t n)
+do_weighted_action (struct walk *walk, const struct action *from, size_t n)
 {
   uint32_t total = 0;
   uint64_t pick;
@@ -292,21 +293,21 @@
 }
 
 static void
-do_any (struct walk *walk)
+do_random_action (struct walk *walk)
 {
-  size_t n = sizeof deeds / sizeof deeds[0];
+  size_t n = sizeof actions / sizeof actions[0];
 
-  if (walk->bad_disks && rng_below (&walk->rng, DISK_DEED_ODDS) == 0)
-    do_one_of (walk, disk_deeds, sizeof disk_deeds / sizeof disk_deeds[0]);
+  if (walk->bad_disks && rng_below (&walk->rng, DISK_ACTION_ODDS) == 0)
+    do_weighted_action (walk, disk_actions, sizeof disk_actions / sizeof disk_actions[0]);
   else
-    do_one_of (walk, deeds, walk->plain ? n - 1 : n);
+    do_weighted_action (walk, actions, walk->no_contests ? n - 1 : n);
 }
 
 /* Stops a host whose voter has failed permanently, as an operator who restarts the process. */
 static void
 restart_stopped (struct walk *walk, uint32_t host)
 {
-  if (is_up (walk, host)
+  if (host_is_up (walk, host)
       && consensus_voter_health (fake_group_consensus (walk->group, host)) != STATUS_OK)
     fake_group_stop (walk->group, host, false);
 }
@@ -315,17 +316,17 @@
 step (struct walk *walk, char *breach)
 {
   if (walk->bad_disks && rng_below (&walk->rng, RESTART_ODDS) == 0)
-    restart_stopped (walk, any_host (walk));
-  do_any (walk);
+    restart_stopped (walk, random_host (walk));
+  do_random_action (walk);
   fake_group_run (walk->group, (int64_t) rng_below (&walk->rng, STEP_MAX));
   if (rng_below (&walk->rng, 3) != 0)
-    start (walk, any_host (walk), breach);
+    start_host (walk, random_host (walk), breach);
   if (walk->disk_missing && fake_group_is_fully_replicated (walk->group))
     walk->disk_missing = false;
 }
 
 static void
-make_walk (struct walk *walk, const struct explore_config *config)
+init_walk (struct walk *walk, const struct explore_config *config)
 {
   struct fake_group_config group = {
     .voters = config->voters,
@@ -341,8 +342,8 @@
   memset (walk, 0, sizeof *walk);
   rng_init (&walk->rng, config->seed);
   group.seed = rng_u64 (&walk->rng);
-  walk->jumps = rng_below (&walk->rng, 2) == 0;
-  group.no_lease = walk->jumps;
+  walk->clocks_jump = rng_below (&walk->rng, 2) == 0;
+  group.no_lease = walk->clocks_jump;
   group.clock_ppm = (uint32_t) rng_below (&walk->rng, 20000);
   group.drop = (uint32_t) rng_below (&walk->rng, 100);
   group.duplicate = (uint32_t) rng_below (&walk->rng, 100);
@@ -350,7 +351,7 @@
       1000 + (int64_t) rng_below (&walk->rng, rng_below (&walk->rng, 2) == 0 ? 4000 : SLOW_MAX);
   if (config->spares > 0)
     group.timing.replace_after = REPLACE_AFTER;
-  walk->plain = config->plain;
+  walk->no_contests = config->no_contests;
   walk->bad_disks = config->bad_disks;
   walk->tight_disks = config->tight_disks;
   walk->n = config->voters + config->spares;
@@ -359,7 +360,7 @@
 
 /* Removes all faults and checks that the group recovers. */
 static void
-finish (struct walk *walk, char *breach)
+heal_and_check (struct walk *walk, char *breach)
 {
   int64_t until = fake_group_now (walk->group) + HEAL_TIME;
 
@@ -368,9 +369,9 @@
     {
       fake_group_slow_disk (walk->group, i, 0);
       disk_fake_stop_after (fake_group_disk (walk->group, i), 0);
-      empty_disk (walk, i);
+      remove_disk_limit (walk, i);
       restart_stopped (walk, i);
-      start (walk, i, breach);
+      start_host (walk, i, breach);
     }
   while (fake_group_now (walk->group) < until && fake_group_violation (walk->group)[0] == '\0'
          && !(fake_group_is_fully_replicated (walk->group)
@@ -381,7 +382,7 @@
       for (uint32_t i = 0; i < walk->n; i++)
         {
           restart_stopped (walk, i);
-          start (walk, i, breach);
+          start_host (walk, i, breach);
         }
     }
   if (breach[0] == '\0' && fake_group_violation (walk->group)[0] == '\0'
@@ -397,11 +398,11 @@
   struct walk walk;
 
   memset (out, 0, sizeof *out);
-  make_walk (&walk, config);
+  init_walk (&walk, config);
   fake_group_await_leader (walk.group, HEAL_TIME);
   for (uint32_t i = 0; i < config->steps && out->breach[0] == '\0'; i++)
     step (&walk, out->breach);
-  finish (&walk, out->breach);
+  heal_and_check (&walk, out->breach);
   if (fake_group_violation (walk.group)[0] != '\0')
     snprintf (out->breach, sizeof out->breach, "%s", fake_group_violation (walk.group));
   out->events = fake_group_events (walk.group);
--- a/bench/explore.h
+++ b/bench/explore.h
@@ -14,7 +14,7 @@
   uint32_t voters;
   uint32_t spares;  /* non-voting hosts that replicate the log and can replace a lost voter */
   uint32_t steps;   /* random actions; some tens of events lie between two */
-  bool plain;       /* no leader contests; keeps the runs of the first seeds that found faults */
+  bool no_contests; /* no leader contests; keeps the runs of the first seeds that found faults */
   bool tight_disks; /* a disk that fills up has room for some more writes */
   bool bad_disks;   /* disks also fill up, reported or not, and fail to sync */
 };
--- a/bench/fuzz.c
+++ b/bench/fuzz.c
@@ -4,18 +4,19 @@
 #include <string.h>
 #include <talloc.h>
 
-#define PLACES_MAX 4
+#define MUTATIONS_MAX 4
 #define SLICE_MAX 64
 #define INPUT_MAX (64u << 10)
 
 /* Bytes with a meaning to some decoder: MessagePack tags of long strings, arrays and extreme
  * numbers, JSON and INI punctuation, range limits, invalid UTF-8. */
-static const uint8_t telling[] = { 0x00, 0x01, 0x7f, 0x80, 0x8f, 0x90, 0x9f, 0xa0, 0xbf, 0xc0,
-                                   0xc1, 0xc4, 0xc6, 0xcb, 0xcf, 0xd3, 0xd9, 0xdb, 0xdc, 0xdd,
-                                   0xde, 0xdf, 0xe0, 0xff, '"',  '\\', '{',  '}',  '[',  ']',
-                                   ':',  ',',  '\n', '\r', ' ',  '-',  '9',  'e',  ';',  '=' };
+static const uint8_t significant_bytes[] = { 0x00, 0x01, 0x7f, 0x80, 0x8f, 0x90, 0x9f, 0xa0,
+                                             0xbf, 0xc0, 0xc1, 0xc4, 0xc6, 0xcb, 0xcf, 0xd3,
+                                             0xd9, 0xdb, 0xdc, 0xdd, 0xde, 0xdf, 0xe0, 0xff,
+                                             '"',  '\\', '{',  '}',  '[',  ']',  ':',  ',',
+                                             '\n', '\r', ' ',  '-',  '9',  'e',  ';',  '=' };
 
-struct bytes fuzz_current;
+struct bytes fuzz_current_input;
 
 static void
 flip_bit (struct bytes *data, struct rng *rng)
@@ -24,9 +25,10 @@
 }
 
 static void
-set_telling (struct bytes *data, struct rng *rng)
+set_significant_byte (struct bytes *data, struct rng *rng)
 {
-  data->data[rng_below (rng, data->length)] = (char) telling[rng_below (rng, sizeof telling)];
+  data->data[rng_below (rng, data->length)] =
+      (char) significant_bytes[rng_below (rng, sizeof significant_bytes)];
 }
 
 /* Sets up to 8 bytes to 0xff or 0x00, for example to make a length huge. */
@@ -42,14 +44,14 @@
 }
 
 static void
-cut_end (struct bytes *data, struct rng *rng)
+truncate_data (struct bytes *data, struct rng *rng)
 {
   data->length = rng_below (rng, data->length);
   data->data[data->length] = '\0';
 }
 
 static void
-cut_out (struct bytes *data, struct rng *rng)
+remove_slice (struct bytes *data, struct rng *rng)
 {
   size_t at = rng_below (rng, data->length);
   size_t length = 1 + rng_below (rng, SLICE_MAX);
@@ -82,13 +84,14 @@
 void
 fuzz_mutate (struct bytes *data, struct rng *rng)
 {
-  static void (*const ways[]) (struct bytes *, struct rng *) = {
-    flip_bit, set_telling, set_telling, set_run, cut_end, cut_out, repeat_slice,
+  static void (*const mutators[]) (struct bytes *, struct rng *) = {
+    flip_bit,      set_significant_byte, set_significant_byte, set_run,
+    truncate_data, remove_slice,         repeat_slice,
   };
-  uint64_t places = 1 + rng_below (rng, PLACES_MAX);
+  uint64_t mutations = 1 + rng_below (rng, MUTATIONS_MAX);
 
-  for (; places > 0 && data->length > 0; places--)
-    ways[rng_below (rng, sizeof ways / sizeof ways[0])](data, rng);
+  for (; mutations > 0 && data->length > 0; mutations--)
+    mutators[rng_below (rng, sizeof mutators / sizeof mutators[0])](data, rng);
 }
 
 enum status
@@ -121,14 +124,14 @@
   rng_init (&rng, seed);
   for (i = 0; i < runs; i++)
     {
-      bytes_clear (&fuzz_current);
-      decoder->sample ((uint32_t) (i % decoder->n_samples), &fuzz_current);
-      fuzz_mutate (&fuzz_current, &rng);
+      bytes_clear (&fuzz_current_input);
+      decoder->sample ((uint32_t) (i % decoder->n_samples), &fuzz_current_input);
+      fuzz_mutate (&fuzz_current_input, &rng);
       result->runs++;
-      if (fuzz_decode (decoder, fuzz_current.data, fuzz_current.length) == STATUS_OK)
-        result->taken++;
+      if (fuzz_decode (decoder, fuzz_current_input.data, fuzz_current_input.length) == STATUS_OK)
+        result->accepted++;
       else
-        result->refused++;
+        result->rejected++;
     }
-  bytes_clear (&fuzz_current);
+  bytes_clear (&fuzz_current_input);
 }
--- a/bench/fuzz.h
+++ b/bench/fuzz.h
@@ -29,8 +29,8 @@
 struct fuzz_result
 {
   uint64_t runs;
-  uint64_t taken; /* mutated inputs that the decoder accepted */
-  uint64_t refused;
+  uint64_t accepted; /* mutated inputs that the decoder accepted */
+  uint64_t rejected;
 };
 
 /* Applies one to four random mutations to `data`: changed bits, bytes and lengths, removed and
@@ -47,7 +47,7 @@
                struct fuzz_result *result);
 
 /* The input being decoded, for crash reports. */
-extern struct bytes fuzz_current;
+extern struct bytes fuzz_current_input;
 
 END_DECLS
 
--- a/bench/fuzz_config.c
+++ b/bench/fuzz_config.c
@@ -15,8 +15,8 @@
 #include <talloc.h>
 
 #define MESSAGES_MAX 16
-#define RECORDED 6
-#define SAMPLES (RECORDED + 2)
+#define RECORDED_MESSAGES 6
+#define SAMPLES (RECORDED_MESSAGES + 2)
 #define STEP (50 * USEC_PER_MSEC)
 #define STEPS 40
 #define OBJECTS 3
@@ -182,7 +182,7 @@
 
 /* Applies the declaration of the `i`-th pool on the voter. */
 static void
-declare (struct pair *pair, uint32_t i)
+declare_pool (struct pair *pair, uint32_t i)
 {
   static const char spec[] = "{\"kind\":\"generate\",\"slots\":4}";
   struct store_change change = {
@@ -237,9 +237,9 @@
   pair->voter.port.other = &pair->follower.port;
   pair->follower.port.other = &pair->voter.port;
   for (i = 0; i < OBJECTS; i++)
-    declare (pair, i);
+    declare_pool (pair, i);
   run (pair, STEPS);
-  declare (pair, OBJECTS);
+  declare_pool (pair, OBJECTS);
   run (pair, STEPS);
   talloc_free (pair);
   return n;
@@ -252,16 +252,17 @@
   struct bytes messages[MESSAGES_MAX];
   uint32_t n;
 
-  if (i >= RECORDED)
+  if (i >= RECORDED_MESSAGES)
     {
-      config_link_write_header (i == RECORDED ? CONFIG_WAIT_REQUEST : CONFIG_WAIT_REPLY, out);
+      config_link_write_header (i == RECORDED_MESSAGES ? CONFIG_WAIT_REQUEST : CONFIG_WAIT_REPLY,
+                                out);
       pack_uint (out, 1);
       pack_uint (out, OBJECTS);
     }
   else
     {
       n = record_run (parent, messages);
-      INVARIANT (n >= RECORDED);
+      INVARIANT (n >= RECORDED_MESSAGES);
       bytes_append (out, messages[i].data, messages[i].length);
     }
   talloc_free (parent);
@@ -277,7 +278,7 @@
   struct pack_reader reader;
   enum status status = STATUS_MALFORMED;
 
-  declare (pair, 0);
+  declare_pool (pair, 0);
   run (pair, 2);
   pair->follower.port.listener->ops->received (pair->follower.port.listener, "v", data, length,
                                                pair->now);
--- a/bench/fuzz_http.c
+++ b/bench/fuzz_http.c
@@ -13,7 +13,7 @@
 {
   struct h1_reader reader;
   struct bytes body;
-  bool whole;
+  bool complete;
 };
 
 static bool
@@ -46,14 +46,14 @@
 
 /* Feeds chunks of `step` bytes until a message that is not an interim response is complete. */
 static enum status
-read_all (struct reading *reading, const char *data, size_t length, size_t step)
+read_all (struct reading *reading, const char *data, size_t length, size_t chunk_size)
 {
   size_t at = 0;
   int messages = 0;
 
-  while (at < length && !reading->whole)
+  while (at < length && !reading->complete)
     {
-      size_t n = length - at < step ? length - at : step;
+      size_t n = length - at < chunk_size ? length - at : chunk_size;
       size_t used;
       enum status status = h1_read (&reading->reader, data + at, n, &used);
 
@@ -62,30 +62,30 @@
         return status;
       if (!reading->reader.done)
         continue;
-      reading->whole =
+      reading->complete =
           reading->reader.head.status >= 200 || reading->reader.parser.type == HTTP_REQUEST;
-      if (!reading->whole && ++messages == MESSAGES_MAX)
+      if (!reading->complete && ++messages == MESSAGES_MAX)
         return STATUS_LIMIT;
-      if (!reading->whole)
+      if (!reading->complete)
         h1_reader_next (&reading->reader);
     }
-  return reading->whole ? STATUS_OK : STATUS_MALFORMED;
+  return reading->complete ? STATUS_OK : STATUS_MALFORMED;
 }
 
 static enum status
-read_by (void *parent,
-         enum http_parser_type type,
-         const void *data,
-         size_t length,
-         size_t step,
-         struct bytes *body)
+read_in_chunks (void *parent,
+                enum http_parser_type type,
+                const void *data,
+                size_t length,
+                size_t chunk_size,
+                struct bytes *body)
 {
-  struct reading reading = { .whole = false };
+  struct reading reading = { .complete = false };
   enum status status;
 
   h1_reader_init (&reading.reader, &ops, type, H1_HEAD_BYTES_MAX);
   bytes_init (&reading.body, parent);
-  status = read_all (&reading, data, length, step);
+  status = read_all (&reading, data, length, chunk_size);
   h1_reader_clear (&reading.reader);
   *body = reading.body;
   return status;
@@ -95,15 +95,15 @@
 decode (void *parent, enum http_parser_type type, const void *data, size_t length)
 {
   struct bytes at_once;
-  struct bytes singly;
-  enum status status = read_by (parent, type, data, length, length + 1, &at_once);
-  enum status other = read_by (parent, type, data, length, 1, &singly);
+  struct bytes bytewise;
+  enum status status = read_in_chunks (parent, type, data, length, length + 1, &at_once);
+  enum status other = read_in_chunks (parent, type, data, length, 1, &bytewise);
 
   INVARIANT ((status == STATUS_OK) == (other == STATUS_OK));
   INVARIANT (
       status != STATUS_OK
-      || (at_once.length == singly.length
-          && (at_once.length == 0 || memcmp (at_once.data, singly.data, at_once.length) == 0)));
+      || (at_once.length == bytewise.length
+          && (at_once.length == 0 || memcmp (at_once.data, bytewise.data, at_once.length) == 0)));
   return status;
 }
 
@@ -129,7 +129,7 @@
   return decode (parent, HTTP_RESPONSE, data, length);
 }
 
-const struct fuzz_decoder fuzz_http_answer = {
+const struct fuzz_decoder fuzz_http_response = {
   .name = "http-answer",
   .n_samples = COUNT (answer_samples),
   .sample = answer_sample,
--- a/bench/fuzz_member.c
+++ b/bench/fuzz_member.c
@@ -87,7 +87,7 @@
 
 /* Returns the decoder's status, regardless of how the member handles the message. */
 static enum status
-read_whole (const void *data, size_t length)
+read_message (const void *data, size_t length)
 {
   struct pack_reader reader;
   struct member_head head;
@@ -128,7 +128,7 @@
   member_tick (member, NOW + USEC_PER_SEC);
   member_tick (member, NOW + 10 * USEC_PER_SEC);
   json_decref (member_describe (member, NOW + 10 * USEC_PER_SEC));
-  return read_whole (data, length);
+  return read_message (data, length);
 }
 
 const struct fuzz_decoder fuzz_member = {
--- a/bench/fuzz_message.c
+++ b/bench/fuzz_message.c
@@ -112,7 +112,7 @@
   return raft_members_read (data, length, &members);
 }
 
-const struct fuzz_decoder fuzz_members = {
+const struct fuzz_decoder fuzz_raft_members = {
   .name = "raft-members",
   .n_samples = 1,
   .sample = members_sample,
@@ -196,7 +196,7 @@
   return store_change_unpack (&change, data, length);
 }
 
-const struct fuzz_decoder fuzz_change = {
+const struct fuzz_decoder fuzz_store_change = {
   .name = "store-change",
   .n_samples = 2 * STORE_OP_COUNT,
   .sample = change_sample,
@@ -225,7 +225,7 @@
   return store_answer_unpack (&answer, data, length);
 }
 
-const struct fuzz_decoder fuzz_answer_of_store = {
+const struct fuzz_decoder fuzz_store_answer = {
   .name = "store-answer",
   .n_samples = STORE_VERDICT_COUNT,
   .sample = store_answer_sample,
--- a/bench/fuzz_parts.h
+++ b/bench/fuzz_parts.h
@@ -11,20 +11,20 @@
 extern const struct fuzz_decoder fuzz_settings;
 extern const struct fuzz_decoder fuzz_keyfile;
 extern const struct fuzz_decoder fuzz_sse;
-extern const struct fuzz_decoder fuzz_answer;
-extern const struct fuzz_decoder fuzz_piece;
+extern const struct fuzz_decoder fuzz_target_answer;
+extern const struct fuzz_decoder fuzz_target_piece;
 extern const struct fuzz_decoder fuzz_resource;
 
 /* fuzz_http.c */
-extern const struct fuzz_decoder fuzz_http_answer;
+extern const struct fuzz_decoder fuzz_http_response;
 extern const struct fuzz_decoder fuzz_http_request;
 
 /* fuzz_message.c */
 extern const struct fuzz_decoder fuzz_raft;
-extern const struct fuzz_decoder fuzz_members;
+extern const struct fuzz_decoder fuzz_raft_members;
 extern const struct fuzz_decoder fuzz_proposal;
-extern const struct fuzz_decoder fuzz_change;
-extern const struct fuzz_decoder fuzz_answer_of_store;
+extern const struct fuzz_decoder fuzz_store_change;
+extern const struct fuzz_decoder fuzz_store_answer;
 extern const struct fuzz_decoder fuzz_store_entry;
 extern const struct fuzz_decoder fuzz_store_snapshot;
 extern const struct fuzz_decoder fuzz_directory;
--- a/bench/fuzz_raft.c
+++ b/bench/fuzz_raft.c
@@ -40,7 +40,7 @@
 
 /* Handles each ready as a driver does, with a disk that never fails. */
 static void
-store_all (struct raft *raft, int64_t now)
+process_ready (struct raft *raft, int64_t now)
 {
   struct raft_ready ready;
 
@@ -52,7 +52,7 @@
 
 /* Returns a server with a few log entries, of which the first is committed. */
 static struct raft *
-filled_raft (void *parent, bool leads)
+make_raft (void *parent, bool is_leader)
 {
   const struct raft_state state = { .term = 0 };
   struct raft_message vote = { .from = OTHER, .to = SELF, .ok = true, .kind = RAFT_PRE_VOTE_REPLY };
@@ -65,51 +65,51 @@
 
   fill_members (&members);
   raft_bootstrap (raft, &members);
-  store_all (raft, 0);
-  if (!leads)
+  process_ready (raft, 0);
+  if (!is_leader)
     return raft;
   raft_tick (raft, SPAN);
-  store_all (raft, SPAN);
+  process_ready (raft, SPAN);
   vote.term = raft_term (raft) + 1;
   raft_step (raft, &vote, SPAN);
-  store_all (raft, SPAN);
+  process_ready (raft, SPAN);
   vote.kind = RAFT_VOTE_REPLY;
   vote.term = raft_term (raft);
   raft_step (raft, &vote, SPAN);
-  store_all (raft, SPAN);
+  process_ready (raft, SPAN);
   INVARIANT (raft_role (raft) == RAFT_LEADER);
   for (i = 0; i < ENTRIES; i++)
     raft_propose (raft, "x", 1, &index, &term);
-  store_all (raft, SPAN);
+  process_ready (raft, SPAN);
   return raft;
 }
 
 static enum status
-take (void *parent, const void *data, size_t length, bool leads)
+receive_message (void *parent, const void *data, size_t length, bool is_leader)
 {
-  struct raft *raft = filled_raft (parent, leads);
+  struct raft *raft = make_raft (parent, is_leader);
   struct raft_message message;
   enum status status = raft_message_read (parent, data, length, &message);
 
   if (status != STATUS_OK)
     return status;
   raft_step (raft, &message, 2 * SPAN);
-  store_all (raft, 2 * SPAN);
+  process_ready (raft, 2 * SPAN);
   raft_tick (raft, 3 * SPAN);
-  store_all (raft, 3 * SPAN);
+  process_ready (raft, 3 * SPAN);
   return STATUS_OK;
 }
 
 static enum status
 follower_decode (void *parent, const void *data, size_t length)
 {
-  return take (parent, data, length, false);
+  return receive_message (parent, data, length, false);
 }
 
 static enum status
 leader_decode (void *parent, const void *data, size_t length)
 {
-  return take (parent, data, length, true);
+  return receive_message (parent, data, length, true);
 }
 
 static void
--- a/bench/fuzz_text.c
+++ b/bench/fuzz_text.c
@@ -205,7 +205,7 @@
   return status;
 }
 
-const struct fuzz_decoder fuzz_answer = {
+const struct fuzz_decoder fuzz_target_answer = {
   .name = "target-answer",
   .n_samples = COUNT (answer_samples),
   .sample = answer_sample,
@@ -236,7 +236,7 @@
   return status;
 }
 
-const struct fuzz_decoder fuzz_piece = {
+const struct fuzz_decoder fuzz_target_piece = {
   .name = "target-piece",
   .n_samples = COUNT (piece_samples),
   .sample = piece_sample,
--- a/bench/host_cost.c
+++ b/bench/host_cost.c
@@ -23,10 +23,10 @@
 
 struct run
 {
-  struct timer look_timer; /* must be first: its callback casts to struct run */
-  const struct host_cost_look *look;
+  struct timer observer_timer; /* must be first: its callback casts to struct run */
+  const struct host_cost_observer *observer;
   struct caller *caller;
-  const struct host_cost_way *way;
+  const struct host_cost_request *request;
   struct host_cost_result *result;
   uint32_t to_start;
   uint32_t running;
@@ -38,7 +38,7 @@
 host_cost_result_init (struct host_cost_result *result, void *parent, uint32_t capacity)
 {
   *result = (struct host_cost_result){ .capacity = capacity };
-  result->latencies = talloc_array (parent, int64_t, capacity);
+  result->latencies_us = talloc_array (parent, int64_t, capacity);
 }
 
 static void
@@ -71,7 +71,7 @@
 start_step (struct slot *slot)
 {
   struct run *run = slot->run;
-  const struct host_cost_step *step = &run->way->steps[slot->step];
+  const struct host_cost_step *step = &run->request->steps[slot->step];
   struct http_client *client = caller_client (run->caller);
   int64_t now = loop_now (caller_loop (run->caller));
   const struct http_field headers[] = {
@@ -120,9 +120,9 @@
 }
 
 static bool
-as_expected (const struct slot *slot)
+answer_is_expected (const struct slot *slot)
 {
-  const struct bytes *expected = &slot->run->way->expected;
+  const struct bytes *expected = &slot->run->request->expected;
 
   return slot->answer.length > 0
          && memmem (slot->answer.data, slot->answer.length, expected->data, expected->length);
@@ -133,15 +133,16 @@
 {
   struct host_cost_result *result = slot->run->result;
 
-  if (!as_expected (slot))
+  if (!answer_is_expected (slot))
     {
       if (result->wrong++ == 0)
-        fprintf (stderr, "expected %s, got %s\n", slot->run->way->expected.data,
+        fprintf (stderr, "expected %s, got %s\n", slot->run->request->expected.data,
                  slot->answer.data ? slot->answer.data : "nothing");
       return;
     }
-  INVARIANT (result->whole < result->capacity);
-  result->latencies[result->whole++] = loop_now (caller_loop (slot->run->caller)) - slot->started;
+  INVARIANT (result->correct < result->capacity);
+  result->latencies_us[result->correct++] =
+      loop_now (caller_loop (slot->run->caller)) - slot->started;
 }
 
 static void
@@ -155,7 +156,7 @@
     result->refused++;
   else if (slot->code != 200)
     result->failed++;
-  else if (++slot->step < slot->run->way->n_steps)
+  else if (++slot->step < slot->run->request->n_steps)
     {
       start_step (slot);
       return;
@@ -178,40 +179,40 @@
 }
 
 static void
-on_look (struct timer *timer, int64_t now)
+on_observer_timer (struct timer *timer, int64_t now)
 {
   struct run *run = (struct run *) timer;
 
   (void) now;
-  run->look->look (run->look->user, run->running);
+  run->observer->observe (run->observer->user, run->running);
 }
 
 void
 host_cost_run (struct caller *caller,
-               const struct host_cost_way *way,
+               const struct host_cost_request *request,
                uint32_t requests,
                uint32_t in_flight,
-               const struct host_cost_look *look,
+               const struct host_cost_observer *look,
                struct host_cost_result *result)
 {
   static const struct http_call_sink_ops ops = {
     .head = on_head, .data = on_data, .end = on_end, .failed = on_failed
   };
-  static const struct timer_ops look_ops = { .fire = on_look };
+  static const struct timer_ops observer_ops = { .fire = on_observer_timer };
   struct loop *loop = caller_loop (caller);
   struct run *run = talloc_zero (NULL, struct run);
   struct slot *slots = talloc_zero_array (run, struct slot, HOST_COST_SLOTS_MAX);
   int64_t start = loop_now (loop);
 
   INVARIANT (in_flight <= HOST_COST_SLOTS_MAX && requests > 0);
-  *run = (struct run){ .look_timer = { .ops = &look_ops },
-                       .look = look,
+  *run = (struct run){ .observer_timer = { .ops = &observer_ops },
+                       .observer = look,
                        .caller = caller,
-                       .way = way,
+                       .request = request,
                        .result = result,
                        .to_start = requests };
   if (look)
-    timer_arm (loop_timers (loop), &run->look_timer, start + look->after);
+    timer_arm (loop_timers (loop), &run->observer_timer, start + look->after_us);
   for (uint32_t i = 0; i < in_flight && run->to_start > 0; i++)
     {
       slots[i] = (struct slot){ .sink = { .ops = &ops }, .run = run };
@@ -219,8 +220,8 @@
       start_request (&slots[i]);
     }
   loop_run (loop);
-  timer_disarm (loop_timers (loop), &run->look_timer);
-  result->spent += loop_now (loop) - start;
+  timer_disarm (loop_timers (loop), &run->observer_timer);
+  result->elapsed_us += loop_now (loop) - start;
   talloc_free (run);
 }
 
@@ -236,8 +237,8 @@
 int64_t
 host_cost_quantile (struct host_cost_result *result, double q)
 {
-  if (result->whole == 0)
+  if (result->correct == 0)
     return 0;
-  qsort (result->latencies, result->whole, sizeof *result->latencies, compare);
-  return result->latencies[(uint32_t) (q * (result->whole - 1))];
+  qsort (result->latencies_us, result->correct, sizeof *result->latencies_us, compare);
+  return result->latencies_us[(uint32_t) (q * (result->correct - 1))];
 }
--- a/bench/host_cost.h
+++ b/bench/host_cost.h
@@ -19,7 +19,7 @@
   struct bytes body;
 };
 
-struct host_cost_way
+struct host_cost_request
 {
   struct host_cost_step steps[HOST_COST_STEPS_MAX];
   uint32_t n_steps;
@@ -28,13 +28,13 @@
 
 struct host_cost_result
 {
-  int64_t *latencies; /* us, of complete and expected answers; sorted by host_cost_quantile() */
+  int64_t *latencies_us; /* us, of complete and expected answers; sorted by host_cost_quantile() */
   uint32_t capacity;
-  uint32_t whole;
-  uint32_t refused; /* 429 and 503 */
-  uint32_t failed;  /* any other code, or no complete answer */
-  uint32_t wrong;   /* complete, but not the expected answer */
-  int64_t spent;    /* wall time, us */
+  uint32_t correct;
+  uint32_t refused;   /* 429 and 503 */
+  uint32_t failed;    /* any other code, or no complete answer */
+  uint32_t wrong;     /* complete, but not the expected answer */
+  int64_t elapsed_us; /* wall time, us */
 };
 
 void host_cost_result_init (struct host_cost_result *result, void *parent, uint32_t capacity);
@@ -43,31 +43,31 @@
 int64_t host_cost_quantile (struct host_cost_result *result, double q);
 
 /* A callback that is called once during the run, `after` microseconds from its start. */
-struct host_cost_look
+struct host_cost_observer
 {
-  void (*look) (void *user, uint32_t running);
+  void (*observe) (void *user, uint32_t running);
   void *user;
-  int64_t after; /* us */
+  int64_t after_us; /* us */
 };
 
 /* Runs `requests` with `in_flight` at a time and adds the outcome to `result`; `look` may be NULL.
  */
 void host_cost_run (struct caller *caller,
-                    const struct host_cost_way *way,
+                    const struct host_cost_request *request,
                     uint32_t requests,
                     uint32_t in_flight,
-                    const struct host_cost_look *look,
+                    const struct host_cost_observer *look,
                     struct host_cost_result *result);
 
 /* Make the calls to a service or to the four stages of a pipeline, through a host or directly. */
-void host_cost_way_hosted (struct host_cost_way *way,
-                           void *parent,
-                           const char *host,
-                           const struct pipeline_spec *spec);
-void host_cost_way_direct (struct host_cost_way *way,
-                           void *parent,
-                           const char *const *targets, /* one address per stage */
-                           const struct pipeline_spec *spec);
+void host_cost_request_via_host (struct host_cost_request *request,
+                                 void *parent,
+                                 const char *host,
+                                 const struct pipeline_spec *spec);
+void host_cost_request_direct (struct host_cost_request *request,
+                               void *parent,
+                               const char *const *targets, /* one address per stage */
+                               const struct pipeline_spec *spec);
 
 END_DECLS
 
--- a/bench/slopes.h
+++ b/bench/slopes.h
@@ -48,7 +48,7 @@
       totals[SLOPES_MEASURE_COUNT]; /* processor in seconds; messages and bytes since the start */
 };
 
-enum status slopes_take (struct launch *launch, uint32_t host, struct slopes_sample *out);
+enum status slopes_sample_host (struct launch *launch, uint32_t host, struct slopes_sample *out);
 
 /* Resident memory is that of `after`; the others are rates per second between the two samples,
  * processor time in percent of a core. */
@@ -72,13 +72,13 @@
   double residual; /* root mean square error of the fit */
 };
 
-void slopes_add (struct slopes_points *points, double x, double y);
+void slopes_add_point (struct slopes_points *points, double x, double y);
 
 /* Fits a line by least squares; returns false with fewer than two different x. */
 bool slopes_fit (const struct slopes_points *points, struct slopes_line *out);
 
 /* Returns the 1-minute load average of the machine; -1 if it is not available. */
-double slopes_load (void);
+double slopes_load_average (void);
 
 END_DECLS
 
--- a/bench/slopes_fit.c
+++ b/bench/slopes_fit.c
@@ -3,7 +3,7 @@
 #include <math.h>
 
 void
-slopes_add (struct slopes_points *points, double x, double y)
+slopes_add_point (struct slopes_points *points, double x, double y)
 {
   INVARIANT (points->count < SLOPES_POINTS_MAX);
   points->x[points->count] = x;
--- a/bench/slopes_run.c
+++ b/bench/slopes_run.c
@@ -4,8 +4,8 @@
 #include <stdlib.h>
 #include <talloc.h>
 
-#define TARGETS_A_PROCESS 100
-#define START_STEP (130 * USEC_PER_MSEC)
+#define TARGETS_PER_PROCESS 100
+#define START_INTERVAL (130 * USEC_PER_MSEC)
 
 const char *const slopes_role_texts[SLOPES_ROLE_COUNT] = {
 #define X(name, text) [SLOPES_##name] = text,
@@ -20,7 +20,7 @@
 };
 
 void
-slopes_must (struct slopes_run *run, enum status status)
+slopes_exit_on_error (struct slopes_run *run, enum status status)
 {
   if (status == STATUS_OK)
     return;
@@ -46,11 +46,11 @@
 
   run->launch = launch_new (NULL);
   if (run->launch == NULL)
-    slopes_must (run, STATUS_IO);
-  slopes_must (run,
-               launch_add_hosts (run->launch, hosts, domains, sizeof domains / sizeof *domains));
-  slopes_must (run, launch_start_hosts (run->launch));
-  slopes_must (run, launch_wait_healthy (run->launch));
+    slopes_exit_on_error (run, STATUS_IO);
+  slopes_exit_on_error (
+      run, launch_add_hosts (run->launch, hosts, domains, sizeof domains / sizeof *domains));
+  slopes_exit_on_error (run, launch_start_hosts (run->launch));
+  slopes_exit_on_error (run, launch_wait_healthy (run->launch));
 }
 
 void
@@ -67,13 +67,13 @@
   };
 
   snprintf (fakes.spec.name, sizeof fakes.spec.name, "pool-%u", home);
-  slopes_must (run, launch_apply_pool (run->launch, &fakes.spec));
-  for (uint32_t begun = 0; begun < count; begun += fakes.targets)
+  slopes_exit_on_error (run, launch_apply_pool (run->launch, &fakes.spec));
+  for (uint32_t started = 0; started < count; started += fakes.targets)
     {
-      fakes.targets = count - begun < TARGETS_A_PROCESS ? count - begun : TARGETS_A_PROCESS;
-      snprintf (prefix, sizeof prefix, "--name-prefix=%s-%u", fakes.spec.name, begun);
-      slopes_must (run, launch_start_fakes (run->launch, &fakes));
-      slopes_wait (run, START_STEP);
+      fakes.targets = count - started < TARGETS_PER_PROCESS ? count - started : TARGETS_PER_PROCESS;
+      snprintf (prefix, sizeof prefix, "--name-prefix=%s-%u", fakes.spec.name, started);
+      slopes_exit_on_error (run, launch_start_fakes (run->launch, &fakes));
+      slopes_wait (run, START_INTERVAL);
     }
 }
 
@@ -91,7 +91,7 @@
 slopes_sample_all (struct slopes_run *run, struct slopes_sample samples[LAUNCH_HOSTS_MAX])
 {
   for (uint32_t i = 0; i < run->launch->n_hosts; i++)
-    slopes_must (run, slopes_take (run->launch, i, &samples[i]));
+    slopes_exit_on_error (run, slopes_sample_host (run->launch, i, &samples[i]));
 }
 
 /* Prints one row per role: the mean over its hosts. */
@@ -106,7 +106,7 @@
       if (counts[role] == 0)
         continue;
       printf ("%g %s, %s (%u), load %.1f:", size, run->unit, slopes_role_texts[role], counts[role],
-              slopes_load ());
+              slopes_load_average ());
       for (int i = 0; i < SLOPES_MEASURE_COUNT; i++)
         printf (" %s %.2f;", slopes_measure_texts[i], sums[role][i] / counts[role]);
       putchar ('\n');
@@ -115,10 +115,10 @@
 }
 
 static void
-take_rates (struct slopes_run *run,
-            double size,
-            const struct slopes_sample *before,
-            const struct slopes_sample *after)
+add_rates (struct slopes_run *run,
+           double size,
+           const struct slopes_sample *before,
+           const struct slopes_sample *after)
 {
   double sums[SLOPES_ROLE_COUNT][SLOPES_MEASURE_COUNT] = { 0 };
   uint32_t counts[SLOPES_ROLE_COUNT] = { 0 };
@@ -132,7 +132,7 @@
       for (int i = 0; i < SLOPES_MEASURE_COUNT; i++)
         {
           sums[role][i] += rates[i];
-          slopes_add (&run->points[role][i], size, rates[i]);
+          slopes_add_point (&run->points[role][i], size, rates[i]);
         }
       counts[role]++;
     }
@@ -140,7 +140,7 @@
 }
 
 void
-slopes_measure_rest (struct slopes_run *run, double size)
+slopes_measure_idle (struct slopes_run *run, double size)
 {
   struct slopes_sample before[LAUNCH_HOSTS_MAX] = { 0 };
   struct slopes_sample after[LAUNCH_HOSTS_MAX] = { 0 };
@@ -149,7 +149,7 @@
   slopes_sample_all (run, before);
   slopes_wait (run, SLOPES_WINDOW);
   slopes_sample_all (run, after);
-  take_rates (run, size, before, after);
+  add_rates (run, size, before, after);
 }
 
 void
@@ -168,7 +168,7 @@
 }
 
 void
-slopes_print_known (struct slopes_run *run)
+slopes_print_target_counts (struct slopes_run *run)
 {
   printf ("  targets the first host may use: %u; at home at each host:",
           launch_usable_targets (run->launch, 0));
@@ -176,7 +176,7 @@
     {
       json_t *dump =
           call_json (run->launch->caller, run->launch->hosts[i].addresses[LAUNCH_OPERATORS], "GET",
-                     "/v1/dump", NULL, SLOPES_CALL_WITHIN, NULL);
+                     "/v1/dump", NULL, SLOPES_CALL_TIMEOUT, NULL);
 
       printf (" %" JSON_INTEGER_FORMAT, json_integer_value (json_object_get (
                                             json_object_get (dump, "directory"), "at_home")));
@@ -186,7 +186,7 @@
 }
 
 void
-slopes_count_asks (struct slopes_run *run)
+slopes_scale_to_requests (struct slopes_run *run)
 {
   for (int role = 0; role < SLOPES_ROLE_COUNT; role++)
     for (int i = 0; i < SLOPES_MEASURE_COUNT; i++)
--- a/bench/slopes_run.h
+++ b/bench/slopes_run.h
@@ -9,7 +9,7 @@
 
 #define SLOPES_WINDOW (20 * USEC_PER_SEC) /* interval that rates are computed over */
 #define SLOPES_SETTLE (10 * USEC_PER_SEC) /* wait before the interval */
-#define SLOPES_CALL_WITHIN (20 * USEC_PER_SEC)
+#define SLOPES_CALL_TIMEOUT (20 * USEC_PER_SEC)
 #define SLOPES_SIZES_MAX 16
 
 struct slopes_run
@@ -28,7 +28,7 @@
 extern const char *const slopes_measure_texts[SLOPES_MEASURE_COUNT];
 
 /* Exits the program if `status` is an error; the destructor of the launch ends the processes. */
-void slopes_must (struct slopes_run *run, enum status status);
+void slopes_exit_on_error (struct slopes_run *run, enum status status);
 void slopes_wait (struct slopes_run *run, int64_t span);
 
 void slopes_start_hosts (struct slopes_run *run, uint32_t hosts);
@@ -43,19 +43,19 @@
 void slopes_sample_all (struct slopes_run *run, struct slopes_sample samples[LAUNCH_HOSTS_MAX]);
 
 /* Measures the rates of all hosts at rest, prints them by role and adds them to the points. */
-void slopes_measure_rest (struct slopes_run *run, double size);
+void slopes_measure_idle (struct slopes_run *run, double size);
 
 /* Prints the fitted line for each role and measure. */
 void slopes_print_lines (const struct slopes_run *run, const char *per);
 
 /* Prints how many targets the first host may use and how many are at home at each host.  Call it
  * after sampling, because the answers themselves take memory. */
-void slopes_print_known (struct slopes_run *run);
+void slopes_print_target_counts (struct slopes_run *run);
 
 /* Replaces the number of hosts in the points by directory requests per second.  A host without
  * targets is polled every 5 s, or every 0.4 s times the number of hosts if that is longer
  * (directory_sync.c), so part of the cost grows with these requests and not with the hosts. */
-void slopes_count_asks (struct slopes_run *run);
+void slopes_scale_to_requests (struct slopes_run *run);
 
 END_DECLS
 
--- a/bench/slopes_sample.c
+++ b/bench/slopes_sample.c
@@ -6,7 +6,7 @@
 #include <talloc.h>
 #include <unistd.h>
 
-#define CALL_WITHIN (20 * USEC_PER_SEC)
+#define CALL_TIMEOUT (20 * USEC_PER_SEC)
 #define PROC_BYTES 4096
 #define STAT_UTIME 11 /* index of utime in the fields after the command's closing parenthesis */
 
@@ -82,7 +82,7 @@
   void *scratch = talloc_new (launch);
 
   bytes_init (&answer.body, scratch);
-  call (launch->caller, &spec, CALL_WITHIN, &answer);
+  call (launch->caller, &spec, CALL_TIMEOUT, &answer);
   if (answer.code != 200 || answer.body.data == NULL
       || !strstr (answer.body.data, "cherryarch_peer_bytes_total"))
     {
@@ -103,7 +103,7 @@
 }
 
 enum status
-slopes_take (struct launch *launch, uint32_t host, struct slopes_sample *out)
+slopes_sample_host (struct launch *launch, uint32_t host, struct slopes_sample *out)
 {
   enum status status = sample_metrics (launch, host, out);
 
@@ -126,7 +126,7 @@
 }
 
 double
-slopes_load (void)
+slopes_load_average (void)
 {
   double load = -1;
 
--- a/tests/unit_fuzz.cc
+++ b/tests/unit_fuzz.cc
@@ -61,7 +61,7 @@
 
   fuzz_run (GetParam (), SEED, RUNS, &result);
   EXPECT_EQ (result.runs, RUNS);
-  EXPECT_GT (result.refused, RUNS / 20);
+  EXPECT_GT (result.rejected, RUNS / 20);
 }
 
 std::vector<const struct fuzz_decoder *>
--- a/tests/unit_raft_explore.cc
+++ b/tests/unit_raft_explore.cc
@@ -61,7 +61,7 @@
                                    .voters = walk.voters,
                                    .spares = walk.spares,
                                    .steps = steps,
-                                   .plain = walk.plain,
+                                   .no_contests = walk.plain,
                                    .tight_disks = walk.tight_disks,
                                    .bad_disks = walk.bad_disks };
   struct explore_result result;
--- a/tests/unit_slopes.cc
+++ b/tests/unit_slopes.cc
@@ -10,12 +10,12 @@
   struct slopes_points points = {};
   struct slopes_line line;
 
-  slopes_add (&points, 1, 6);
+  slopes_add_point (&points, 1, 6);
   EXPECT_FALSE (slopes_fit (&points, &line));
-  slopes_add (&points, 1, 4);
+  slopes_add_point (&points, 1, 4);
   EXPECT_FALSE (slopes_fit (&points, &line));
-  slopes_add (&points, 3, 10);
-  slopes_add (&points, 3, 8);
+  slopes_add_point (&points, 3, 10);
+  slopes_add_point (&points, 3, 8);
   ASSERT_TRUE (slopes_fit (&points, &line));
   EXPECT_DOUBLE_EQ (line.slope, 2);
   EXPECT_DOUBLE_EQ (line.intercept, 3);
