--- a/bench/cmd_spread.c
+++ b/bench/cmd_spread.c
@@ -1,4 +1,5 @@
-/* spread: simulates ways to disseminate membership and the directory of targets on virtual time.
+/* spread: simulates ways to disseminate membership and the directory of targets on virtual time,
+ * and counts their traffic.
  *
  *   spread EXPERIMENT [--way NAME] [--hosts N] [--trials N] [--seconds N] [--loss SHARE] */
 #include "spread_measure.h"
--- a/bench/trace_generate.c
+++ b/bench/trace_generate.c
@@ -21,7 +21,7 @@
 #define TAIL_SHARE 0.04       /* of documents from the Pareto tail */
 #define TAIL_START_FACTOR 5.0 /* times the median */
 #define TAIL_ALPHA 1.3
-#define QUESTION_MEDIAN_TOKENS 60.0 /* tokens */
+#define QUESTION_MEDIAN_TOKENS 60.0
 #define QUESTION_SIGMA 0.7
 #define QUESTION_MAX_TOKENS 1000
 #define NEW_DOCUMENT_SHARE 0.25
