--- a/bench/fake_group.h
+++ b/bench/fake_group.h
@@ -50,8 +50,9 @@
 const char *fake_group_violation (const struct fake_group *group);
 
 int64_t fake_group_now (const struct fake_group *group);
-int64_t fake_group_local_time (const struct fake_group *group,
-                               uint32_t host); /* by its own clock */
+/* The time by the host's own clock. */
+int64_t fake_group_local_time (const struct fake_group *group, uint32_t host);
+
 uint64_t fake_group_events (const struct fake_group *group);
 struct consensus *fake_group_consensus (struct fake_group *group, uint32_t host); /* NULL: down */
 struct disk_fake *fake_group_disk (struct fake_group *group, uint32_t host);
--- a/bench/launch.c
+++ b/bench/launch.c
@@ -103,7 +103,7 @@
   return STATUS_OK;
 }
 
-/* Write "name@address, ..." of the hosts below `end`, except `but`. */
+/* Write "name@address, ..." of the hosts below `end`, except `skip`. */
 static void
 write_peers (const struct launch *launch, FILE *file, const char *key, uint32_t end, uint32_t skip)
 {
--- a/tests/unit_bench.cc
+++ b/tests/unit_bench.cc
@@ -81,7 +81,7 @@
     }
 }
 
-TEST (Trace, SameSeedGivesSameTrace)
+TEST (Trace, SeedDeterminesTheTrace)
 {
   struct trace *a = trace_generate (nullptr, TRACE_BKK, 5, 10 * USEC_PER_SEC, 20, 3);
   struct trace *same = trace_generate (a, TRACE_BKK, 5, 10 * USEC_PER_SEC, 20, 3);
