--- a/bench/replay.c
+++ b/bench/replay.c
@@ -182,7 +182,7 @@
     answer_input (request->trace, &input);
   answer_pipeline (request->spec, input.data, input.length, request->trace->output_tokens, &wanted);
   if (strcmp (end->request_id, request->trace->id) != 0)
-    problem = "x-request-id is another's";
+    problem = "x-request-id names another request";
   else if (!request->spec->service)
     problem = check_pipeline (request, end, &wanted);
   else if (end->body.length != wanted.length
@@ -234,7 +234,7 @@
   if (!end->sent)
     {
       request->record->said_not_run = true;
-      resend_or_end (request, REPLAY_NO_ANSWER, RESEND_PAUSE, now, "no host took it");
+      resend_or_end (request, REPLAY_NO_ANSWER, RESEND_PAUSE, now, "no host accepted the request");
       return;
     }
   request->record->said_not_run = false;
@@ -366,7 +366,7 @@
   text_copy_truncated (request->address, sizeof request->address,
                        replay_list_current (list_of (request), now));
   if (request->deadline - now < USEC_PER_MSEC)
-    end_request (request, REPLAY_NOT_RUN, now, "the window closed before it was sent");
+    end_request (request, REPLAY_NOT_RUN, now, "the deadline passed before the request was sent");
   else if (!send_try (request, now))
     end_without_answer (request, &nothing, now);
 }
--- a/bench/spread_measure.c
+++ b/bench/spread_measure.c
@@ -1,5 +1,4 @@
-/* Benchmarks of membership protocols.  Each trial creates new instances, so trials are independent.
- */
+/* Benchmarks of membership protocols.  Trials are independent, each with new instances. */
 #include "spread_measure.h"
 #include "rng.h"
 #include "status.h"
@@ -159,8 +158,7 @@
   talloc_free (samples->values);
 }
 
-/* Samples the time since `from` for each host at which `look` first returns `wanted` for `about`.
- */
+/* Adds the time since `from` for each host whose `look` at `about` first returns `wanted`. */
 static void
 sample_detections (struct group *group,
                    uint32_t about,
--- a/bench/spread_net.c
+++ b/bench/spread_net.c
@@ -19,7 +19,7 @@
 struct slot
 {
   struct spread_node *node;
-  uint32_t generation; /* incremented by each put and each stop */
+  uint32_t generation; /* incremented by each added instance and each stop */
   bool stopped;
   bool keep;
   struct spread_traffic traffic;
--- a/bench/spread_protocol.h
+++ b/bench/spread_protocol.h
@@ -17,7 +17,7 @@
   /* Whether the instance would list host `about` to a caller now. */
   bool (*sees) (const struct spread_node *node, uint32_t about);
 
-  /* Whether the instance considers it dead, not only suspected. */
+  /* Whether the instance considers host `about` dead, not only suspected. */
   bool (*considers_dead) (const struct spread_node *node, uint32_t about);
   void (*leave) (struct spread_node *node, int64_t now);
 
--- a/bench/spread_tree.c
+++ b/bench/spread_tree.c
@@ -68,8 +68,8 @@
   uint64_t state[SPREAD_HOSTS_MAX];
   struct neighbor active[ACTIVE_MAX];
   uint32_t n_active;
-  struct update seen[SEEN_MAX]; /* by id; 0 in `about` plus one for none */
-  uint64_t seen_id[SEEN_MAX];
+  struct update seen[SEEN_MAX]; /* of the ids in seen_id */
+  uint64_t seen_id[SEEN_MAX];   /* UINT64_MAX in an empty entry */
   uint32_t seen_at;
   struct missing missing[SEEN_MAX];
   int64_t next_heartbeat;
