--- a/bench/explore.c
+++ b/bench/explore.c
@@ -263,7 +263,7 @@
   uint32_t weight;
 };
 
-/* do_contest must be last: plain runs choose among the entries before it. */
+/* do_contest must be last: with no_contests, only the entries before it are chosen from. */
 static const struct action actions[] = {
   { do_propose, 40 },  { do_read, 20 },     { do_cut_one_way, 5 }, { do_isolate, 3 },
   { do_partition, 3 }, { do_heal, 20 },     { do_crash, 6 },       { do_stop_disk, 6 },
--- a/bench/host_cost.h
+++ b/bench/host_cost.h
@@ -28,30 +28,30 @@
 
 struct host_cost_result
 {
-  int64_t *latencies_us; /* us, of complete and expected answers; sorted by host_cost_quantile() */
+  int64_t *latencies_us; /* of correct answers; sorted by host_cost_quantile() */
   uint32_t capacity;
   uint32_t correct;
   uint32_t refused;   /* 429 and 503 */
   uint32_t failed;    /* any other code, or no complete answer */
   uint32_t wrong;     /* complete, but not the expected answer */
-  int64_t elapsed_us; /* wall time, us */
+  int64_t elapsed_us; /* wall time */
 };
 
 void host_cost_result_init (struct host_cost_result *result, void *parent, uint32_t capacity);
 
-/* Returns microseconds; 0 if there was no complete answer. */
+/* Returns microseconds; 0 if there was no correct answer. */
 int64_t host_cost_quantile (struct host_cost_result *result, double q);
 
-/* A callback that is called once during the run, `after` microseconds from its start. */
+/* Called once during the run, `after_us` from its start. */
 struct host_cost_observer
 {
   void (*observe) (void *user, uint32_t running);
   void *user;
-  int64_t after_us; /* us */
+  int64_t after_us;
 };
 
-/* Runs `requests` with `in_flight` at a time and adds the outcome to `result`; `look` may be NULL.
- */
+/* Sends `request` `requests` times, `in_flight` at a time, and adds the outcome to `result`;
+ * `look` may be NULL. */
 void host_cost_run (struct caller *caller,
                     const struct host_cost_request *request,
                     uint32_t requests,
@@ -59,7 +59,7 @@
                     const struct host_cost_observer *look,
                     struct host_cost_result *result);
 
-/* Make the calls to a service or to the four stages of a pipeline, through a host or directly. */
+/* Make a request to a service, or to the four stages of a pipeline, through a host or directly. */
 void host_cost_request_via_host (struct host_cost_request *request,
                                  void *parent,
                                  const char *host,
