--- a/src/flow.h
+++ b/src/flow.h
@@ -52,7 +52,7 @@
   X (NOT_READY, "not-ready", 503, "no confirmed configuration is in force here yet")               \
   X (TARGET_FAILED, "target-failed", 503, "a target failed")                                       \
   X (TARGET_REFUSED, "target-refused", 503, "targets did not take the work")                       \
-  X (TARGET_WRONG, "target-wrong", 503, "a target's answer was malformed or for another request")  \
+  X (TARGET_WRONG, "target-wrong", 503, "a target's answer was not this request's or malformed")   \
   X (TARGET_TIMEOUT, "target-timeout", 503, "a target did not answer in time")                     \
   X (TARGET_BROKEN, "target-broken", 503, "the connection to a target failed")                     \
   X (TARGET_REJECTED, "target-rejected", 503, "a target found the request invalid")                \
@@ -66,7 +66,7 @@
   X (HOLDER_LOST, "holder-lost", 500, "the host that claimed it is gone: it may have run")         \
   X (REPLAYED, "replayed", 200, "the stored outcome of the first run")                             \
   X (ANSWER_NOT_KEPT, "answer-not-kept", 500, "it ran; its answer is too long to be kept")         \
-  X (ABORTED, "aborted", 503, "the host shut down before the request ended")                       \
+  X (ABORTED, "aborted", 503, "the host ended before the request did")                             \
   X (NO_MEMORY, "no-memory", 503, "out of memory")
 
 enum flow_reason
--- a/src/order_plan.c
+++ b/src/order_plan.c
@@ -56,10 +56,7 @@
   out->fence = (uint64_t) json_integer_value (json_object_get (root, "fence"));
   out->incarnation = (uint64_t) json_integer_value (json_object_get (root, "incarnation"));
   json_decref (root);
-  return good ? STATUS_OK
-              : status_fail (STATUS_MALFORMED,
-                             "target's state must be a JSON object with models and "
-                             "adapters as arrays of names, version and role as names");
+  return good ? STATUS_OK : status_fail (STATUS_MALFORMED, "target's state cannot be read");
 }
 
 static bool
--- a/src/order_target.c
+++ b/src/order_target.c
@@ -242,7 +242,7 @@
   else if (target->sending_order)
     handle_refusal (target, now);
   else
-    fail (target, "GET /v1/state was not answered with status 200", now);
+    fail (target, "its state is not to be had", now);
 }
 
 /* An order whose answer is lost may have been accepted: the state is read before it is resent. */
--- a/src/routing.c
+++ b/src/routing.c
@@ -75,7 +75,7 @@
   for (uint32_t i = 0; i < route->n_stages; i++)
     /* A stage that depends on itself or a later one could never start. */
     if ((route->stages[i].depends_on >> i) != 0)
-      return status_fail (STATUS_INVALID, "route %s: stage %u depends on itself or a later stage",
+      return status_fail (STATUS_INVALID, "route %s: stage %u needs one that is not before it",
                           route->name, i);
   return STATUS_OK;
 }
