--- a/bench/quarantine_fleet.h
+++ b/bench/quarantine_fleet.h
@@ -33,7 +33,7 @@
   int64_t poison_run_max;  /* longest run until its target crashes */
   double normal_rate;      /* arrivals per second of all other requests */
   double popular;          /* share of the other requests that is one request */
-  uint32_t power_cuts;     /* moments at which a quarter of the targets end together */
+  uint32_t power_cuts;     /* moments at which a quarter of the targets crash together */
   uint32_t restarts;       /* of single entry hosts and controllers, whose tables are lost */
   uint32_t full_restarts;  /* restarts of all entry hosts and controllers at once */
   uint32_t partitions;     /* 4 s partitions of single entry hosts and controllers */
--- a/src/balance.c
+++ b/src/balance.c
@@ -13,8 +13,8 @@
 
 /* Cost of not using a prompt's home engine: this share of the cost of prefilling its shared parts
  * again, up to a maximum.  When all hosts restart they don't know the engines' caches; a part that
- * was first prefilled on its home engine is found there again.  Over forty days this lost 0.002
- * less of the mean worth to repeated prefill, 0.530 instead of 0.523 in all. */
+ * was first prefilled on its home engine is found there again.  Mean worth over 40 days: 0.530
+ * instead of 0.523 in all, of which 0.002 is less repeated prefill. */
 #define LEAVE_HOME_COST_SHARE 0.3
 #define LEAVE_HOME_COST_MAX_US 80000.0
 
--- a/src/balance.h
+++ b/src/balance.h
@@ -61,9 +61,9 @@
 
 /* Costs added to the queueing delay in the choice of a model engine: shared tokens that are
  * prefilled again although another engine has them cached, and stage results that cross failure
- * domains.  Both cost users more than a delay that most requests can afford.  With 10 us a kilobyte
- * and 26 us a token the mean worth over fifty days lost 0.040 to crossing and 0.031 to repeated
- * prefill; with these values 0.028 and 0.029, at the same credit. */
+ * domains.  Both cost users more than a delay that most requests can afford.  Mean worth over 50
+ * days lost to crossing and to repeated prefill: 0.040 and 0.031 with 10 us a kilobyte and 26 us a
+ * token, 0.028 and 0.029 with these values, at the same credit. */
 #define BALANCE_REPEATED_PREFILL_US 45.0 /* per token */
 #define BALANCE_CROSS_DOMAIN_US 60.0     /* per kilobyte */
 
--- a/src/batch.h
+++ b/src/batch.h
@@ -38,7 +38,7 @@
 /* Attempts to make a piece before its order fails. */
 #define BATCH_ATTEMPTS_MAX 4
 
-/* An order fails when this many targets have ended during calls with its pieces. */
+/* An order fails when this many targets have crashed during calls with its pieces. */
 #define BATCH_ENDED_TARGETS_MAX 3
 
 /* Delay before an order is retried after the connection of its call broke: by then it is mostly
@@ -85,8 +85,8 @@
 
 struct batch *batch_new (void *parent, const struct batch_config *config);
 
-/* Sets the watch that tells whether a target ended when a call to it broke.  Without one, or with
- * NULL, that is unknown. */
+/* Sets the watch that determines whether a target ended when a call to it broke.  Without one, or
+ * with NULL, that is unknown. */
 void batch_set_watch (struct batch *batch, struct target_watch *watch);
 
 /* Loads the batch settings of the pools.  To be called again when a new routing takes effect. */
--- a/src/batch_break.c
+++ b/src/batch_break.c
@@ -1,8 +1,8 @@
-/* Orders during whose calls targets end.
+/* Orders during whose calls targets crash.
  *
- * Load pattern: a piece that ends each target it is given to.  Batched with others again and again
- * it would use up their attempts; so an order during whose call a target ended gets calls of its
- * own, and fails when that has happened BATCH_ENDED_TARGETS_MAX times. */
+ * Load pattern: a piece that crashes each target it is sent to.  Batched with others again and
+ * again it would use up their attempts; so an order during whose call a target crashed gets calls
+ * of its own, and fails when that has happened BATCH_ENDED_TARGETS_MAX times. */
 #include "batch_private.h"
 #include "log.h"
 #include <jansson.h>
--- a/src/batch_call.c
+++ b/src/batch_call.c
@@ -40,7 +40,7 @@
     batch_requeue (call->pool, &call->pieces[i], tried, now);
 }
 
-/* The connection broke: the target may have ended because of one of the pieces. */
+/* The connection broke: one of the pieces may have crashed the target. */
 static void
 note_break (struct batch_call *call, int64_t now)
 {
@@ -98,7 +98,7 @@
       batch_complete_piece (pool, piece, result, now);
       return;
     }
-  /* Waiting does not bring back an input that is gone: whoever ordered the piece makes it again. */
+  /* Waiting does not restore a missing input: the host that ordered the piece has it made again. */
   if (result->outcome == PIECE_INPUT_GONE)
     {
       struct batch_order *order = batch_order_of (pool->batch, piece);
--- a/src/batch_private.h
+++ b/src/batch_private.h
@@ -88,7 +88,8 @@
  * would waste an attempt. */
 bool batch_target_has_ended (const struct batch *batch, const struct balance_target *target);
 
-/* Has a target ended during a call with its pieces?  Then its pieces go into calls of their own. */
+/* Has a target crashed during a call with its pieces?  Then its pieces go into calls of their
+ * own. */
 bool batch_order_is_isolated (const struct batch_order *order);
 
 /* batch_queue.c */
--- a/src/batch_queue.c
+++ b/src/batch_queue.c
@@ -206,7 +206,8 @@
   return false;
 }
 
-/* Pieces of an order during whose call a target ended share no call with those of another order. */
+/* Pieces of an order during whose call a target crashed share no call with those of another
+ * order. */
 static bool
 can_share_call (const struct batch_order *order, const struct draft *draft)
 {
--- a/src/cli_quarantine.c
+++ b/src/cli_quarantine.c
@@ -1,5 +1,5 @@
-/* `cherryarch quarantine`: lists the requests under which targets ended, and releases one so that
- * it may be sent again. */
+/* `cherryarch quarantine`: lists the requests whose targets crashed while running them, and
+ * releases one so that it may be sent again. */
 #include "cli_object.h"
 #include "request_digest.h"
 #include <stdio.h>
--- a/src/cli_session.c
+++ b/src/cli_session.c
@@ -27,7 +27,7 @@
   struct cli_options options;
   struct loop *loop;
   struct http_client *http;
-  uint32_t current; /* index of the host to call next; unchanged after a response */
+  uint32_t current; /* index of the host to call next; unchanged after a final response */
   char authorization[CLI_TOKEN_SIZE + 8];
 };
 
--- a/src/cli_session.h
+++ b/src/cli_session.h
@@ -43,7 +43,7 @@
   const char *path;
   const void *body; /* NULL for none */
   size_t length;
-  const char *change_id; /* idempotency key, the same for each resend; NULL for reads */
+  const char *change_id; /* idempotency key, the same for each resend; NULL for none, as in reads */
 };
 
 struct cli_answer
--- a/src/forward_private.h
+++ b/src/forward_private.h
@@ -79,7 +79,7 @@
 struct retry_budget
 {
   char pool[ROUTING_NAME_SIZE];
-  double retries_left; /* retries left; fractions accumulate */
+  double retries_left; /* each request to the pool adds a fraction */
 };
 
 /* The event stream being sent to the client; it may continue over several attempts. */
@@ -110,7 +110,7 @@
   char organisation[ROUTING_NAME_SIZE];
   bool has_digest;
   struct request_digest digest; /* set by job_digest() */
-  bool is_trial;                /* admitted as a trial although targets ended while running it */
+  bool is_trial;                /* admitted as a trial although targets crashed while running it */
   bool is_suspected;            /* its last run broke, and it was a suspect even before that */
   bool is_counted;              /* its current run is counted among the runs of a suspect */
   uint64_t version;             /* of the routing that it was admitted under */
@@ -122,15 +122,13 @@
   struct timer timer;
   struct timer fetch_timer; /* fires when inputs should have been fetched */
   struct balance_prompt prompt;
-  char
-      engine_domain[ROUTING_NAME_SIZE]; /* failure domain of the likely engine; "" without stages */
-  uint64_t send_id;                     /* identifies the newest send in engine_broadcast */
+  char engine_domain[ROUTING_NAME_SIZE]; /* of the likely engine; "" without stages */
+  uint64_t send_id;                      /* identifies the newest send in engine_broadcast */
 
   /* Stages. */
   struct forward_stage stages[ROUTING_STAGES_MAX];
-  bool stages_rerun; /* its stages were run a second time */
-  int64_t
-      critical_path_time; /* expected time from the start of its stages to the first byte, in us */
+  bool stages_rerun;          /* its stages were run a second time */
+  int64_t critical_path_time; /* expected from the stages' start to the first byte; us */
   int64_t stages_done;
 
   /* The current attempt and the earlier ones. */
@@ -225,7 +223,7 @@
 /* forward_result.c */
 bool job_stage_is_done (const struct forward_job *job, uint32_t stage);
 
-/* Whether all stages of a set are made. */
+/* Whether all stages of a set are done or skipped. */
 bool job_stages_are_done (const struct forward_job *job, uint32_t stages);
 
 /* Frees the results that no stage or engine still has to fetch. */
--- a/src/forward_quarantine.c
+++ b/src/forward_quarantine.c
@@ -3,7 +3,7 @@
 #include "text.h"
 
 /* A connection that was silent for at least this long before its reset was timed out by this host's
- * kernel: its target may have ended at any time since it was last heard. */
+ * kernel: its target may have ended at any time since data last arrived from it. */
 #define TIMEOUT_RESET_SILENCE (2500 * USEC_PER_MSEC)
 
 /* Retry-After, in seconds.  QUARANTINED: the request may have been cleared by then.  SUSPECTED:
@@ -115,9 +115,9 @@
   quarantine_entry_connection_broke (quarantine_of (job), job->target, &suspect, now);
 }
 
-/* The pool's owner has seen the targets end and which requests shared their calls.  The ends
- * recorded here are synthetic: random ids that no incarnation has, at times too far apart for one
- * cause. */
+/* The pool's owner has observed the crashes of the targets and which requests shared their calls.
+ * The crashes recorded here are synthetic: random ids that no incarnation has, at times too far
+ * apart for one cause. */
 void
 job_quarantine (struct forward_job *job, int64_t now)
 {
--- a/src/host.h
+++ b/src/host.h
@@ -1,4 +1,4 @@
-/* A host's process: builds and connects all components and runs until it is told to stop. */
+/* A host's process: builds and connects all components and runs until a signal stops it. */
 #ifndef HOST_H
 #define HOST_H
 
--- a/src/operator.c
+++ b/src/operator.c
@@ -107,8 +107,7 @@
   return false;
 }
 
-/* Reads the object's name from "/v1/KIND/NAME"; false if the path is neither that nor "/v1/KIND".
- */
+/* Reads the object's name from "/v1/KIND/NAME"; false for any path but that and "/v1/KIND". */
 static bool
 parse_path (struct operator_request *request, const char *prefix)
 {
--- a/src/operator_change.c
+++ b/src/operator_change.c
@@ -252,7 +252,8 @@
 
 /* A proposal failed.  After a timeout or STATUS_UNAVAILABLE the entry may have been applied or may
  * still be.  With a change id it is retried, since the state machine recognises a duplicate;
- * without one the operator has to decide. */
+ * without one the operator has to decide.  After any other failure the entry was not applied, and
+ * it is retried also without a change id.  Retries end at the deadline. */
 static void
 handle_failed_proposal (struct operator_pending_change *pending, enum status status, int64_t now)
 {
--- a/src/operator_private.h
+++ b/src/operator_private.h
@@ -31,7 +31,8 @@
   struct counter *resent;
 };
 
-/* A request for a resource kind or one of its objects. */
+/* A request for a resource kind, one of its objects or another path of the operator API.  Handlers
+ * get it after the token's role was checked; only the health path needs no token. */
 struct operator_request
 {
   struct operator_api *api;
--- a/src/order.c
+++ b/src/order.c
@@ -42,7 +42,7 @@
   orders->n_assignments = 0;
   orders->assignments = talloc_zero_array (orders, struct assignment_spec, count + 1);
   if (orders->assignments == NULL)
-    return; /* `stale` stays set, so the next pass tries again */
+    return; /* `assignments_stale` stays set, so the next pass tries again */
   for (; object != NULL; object = store_next (store, RESOURCE_ASSIGNMENT, object->name))
     {
       union resource_spec spec;
--- a/src/quarantine.h
+++ b/src/quarantine.h
@@ -3,10 +3,10 @@
  *
  * A crash is the end of an incarnation, for whatever reason, while it ran the request.
  *
- * Load pattern: one request is repeated at any host, and each run ends a target and everything
- * else that runs there.  Every request that ran on a target when it crashed becomes a suspect.  A
- * complete answer clears a suspect, so that only the request that is present at every crash stays
- * one.
+ * Load pattern: one request is repeated at any host, and each run crashes a target and fails
+ * everything else that runs there.  Every request that ran on a target when it crashed becomes a
+ * suspect.  A complete answer clears a suspect, so that only the request that is present at every
+ * crash stays one.
  *
  * The evidence against a request is a set of crashes, each valid or retracted.  Sets may be merged
  * in any order, any number of times, and the verdict is a function of the set.  Only crashes that
--- a/src/settings_private.h
+++ b/src/settings_private.h
@@ -1,4 +1,4 @@
-/* Internal declarations of the settings parser: settings.c reads single keys, settings_together.c
+/* Internal declarations of the settings parser: settings.c reads single keys, settings_rules.c
  * checks the rules over several keys. */
 #ifndef SETTINGS_PRIVATE_H
 #define SETTINGS_PRIVATE_H
--- a/src/settings_value.c
+++ b/src/settings_value.c
@@ -64,9 +64,8 @@
   return read_number (colon + 1, any_port ? 0 : 1, PORT_MAX, &port);
 }
 
-/* Parses "name@ip:port" or "name@ip:port/KEY" from the left, because the key may contain '@', ':'
- * and
- * '/'. */
+/* Parses "name@ip:port" or "name@ip:port/KEY" from the left, because the key may contain the
+ * characters '@', ':' and '/'. */
 static bool
 read_peer (const char *text, struct settings_peer *out)
 {
--- a/src/settings_value.h
+++ b/src/settings_value.h
@@ -52,8 +52,7 @@
 /* Describes the valid values of a key, such as "a whole number from 1 to 9". */
 void setting_describe_expected (const struct setting_key *key, char out[SETTING_TEXT_SIZE]);
 
-/* True for "ip:port" with an IPv4 address other than 0.0.0.0; port 0 is valid only if `any_port`.
- */
+/* True for "ip:port" with an IPv4 address other than 0.0.0.0; port 0 only if `any_port`. */
 bool setting_is_address (const char *text, bool any_port);
 
 END_DECLS
--- a/src/target_watch.c
+++ b/src/target_watch.c
@@ -154,7 +154,7 @@
 
 /* ---- the registry ---- */
 
-/* The target lived at `alive`, so it did not end at the breaks before. */
+/* The target was alive at `alive`, so it did not end at the breaks before. */
 static void
 note_alive (struct watched *watched, int64_t alive, int64_t now)
 {
--- a/src/target_watch.h
+++ b/src/target_watch.h
@@ -1,9 +1,9 @@
 /* Determines whether a target ended when a connection to it broke.
  *
  * A broken connection alone does not show that: links are cut, connections reset and answers broken
- * off while the target goes on.  A target has ended if its address refuses connections, if it has
- * restarted as another incarnation, or if its lease has expired; it lives if the same incarnation
- * renews after the break.
+ * off while the target keeps running.  A target has ended if its address refuses connections, if it
+ * has restarted as another incarnation, or if its lease has expired; it lives if the same
+ * incarnation renews after the break.
  *
  * Load pattern: breaks are rare and come in bursts, all of one target at one moment; so there is
  * one watch per incarnation, and at most one probe per period, however many of its connections
@@ -24,7 +24,7 @@
 /* Timeout of a probe that is neither accepted nor refused. */
 #define TARGET_WATCH_PROBE_TIMEOUT (1000 * USEC_PER_MSEC)
 
-/* A renewal counts as made after a break if it is heard more than this later, since reports of
+/* A renewal counts as made after a break if it arrives more than this later, since reports of
  * renewals may be delayed. */
 #define TARGET_WATCH_RENEWAL_DELAY_MAX (1000 * USEC_PER_MSEC)
 
--- a/tests/unit_config_random.cc
+++ b/tests/unit_config_random.cc
@@ -25,7 +25,7 @@
   std::vector<state> accepted = { state (NAMES, 0) }; // by revision
   std::vector<struct change> log;
   std::map<std::string, size_t> applied;
-  std::map<std::string, uint64_t> last_revision; // also before restarts
+  std::map<std::string, uint64_t> last_revision; // highest seen, also before restarts
 
   void
   catch_up (const std::string &voter, size_t upto)
--- a/tests/unit_target_watch.cc
+++ b/tests/unit_target_watch.cc
@@ -141,7 +141,8 @@
   EXPECT_EQ (heard.fates.size (), 1u);
 }
 
-// Connections are reset while their target goes on: that is no end, however many there are.
+// Connections are reset while their target keeps running: that does not count as its end, however
+// many there are.
 TEST_F (TargetWatch, ReportsNoEndOfATargetThatGoesOn)
 {
   listening there (loop);
