--- a/bench/fake_task.c
+++ b/bench/fake_task.c
@@ -92,7 +92,7 @@
   struct service_load load;
   int64_t span;
 
-  /* The analyzer cannot tell that the list of a waiting task is not empty.
+  /* The analyzer does not know that the list of a waiting task is not empty.
    * NOLINTNEXTLINE(clang-analyzer-core.NullDereference) */
   DL_DELETE (target->waiting, task);
   target->n_waiting--;
--- a/bench/fuzz_config.c
+++ b/bench/fuzz_config.c
@@ -269,7 +269,7 @@
 }
 
 /* Delivers the message to both hosts and drops their replies.  The hosts report no error, since a
- * message from another release is silently ignored; they must only keep running.  The status tells
+ * message from another release is silently ignored; they must only keep running.  The status shows
  * whether the message has a known kind. */
 static enum status
 config_decode (void *parent, const void *data, size_t length)
--- a/bench/replay.h
+++ b/bench/replay.h
@@ -48,7 +48,7 @@
   int64_t latency; /* from the scheduled send time to the last answer */
   uint32_t tries;
   uint32_t cuts;     /* truncated answers */
-  uint32_t ran;      /* tries whose host did not say "not run" */
+  uint32_t ran;      /* tries whose host did not answer "not run" */
   bool said_not_run; /* the last answer */
   char detail[160];  /* why it was not attained, human-readable */
 };
--- a/bench/spread_tree.c
+++ b/bench/spread_tree.c
@@ -26,7 +26,7 @@
   HEARTBEAT,
   JOIN,     /* from a host without neighbours */
   VIEW,     /* the sender's known states, or some of them */
-  NEIGHBOR, /* asks to become a neighbour */
+  NEIGHBOR, /* requests to become a neighbour */
   DISCONNECT,
   EAGER, /* an event in full */
   IHAVE, /* an event by its id */
@@ -47,7 +47,7 @@
 {
   uint32_t index;
   bool eager;
-  bool heard; /* a message came from it; before that, silence is no sign of failure */
+  bool heard; /* a message came from it; before that, silence is not a sign of failure */
   int64_t heard_at;
 };
 
--- a/src/claim_log.h
+++ b/src/claim_log.h
@@ -28,7 +28,7 @@
    * same order. */
   struct consensus *groups[CLAIM_LOG_GROUPS_MAX];
   uint32_t n_groups;
-  struct board *board; /* tells which holders are dead */
+  struct board *board; /* shows which holders are dead */
   struct timer_service *timers;
   struct counters *counters;
   struct dump *dump;
--- a/src/config_feed.c
+++ b/src/config_feed.c
@@ -95,7 +95,7 @@
   config_link_send (feed->config.link, follower->host, &message); /* the follower retries */
 }
 
-/* Send every object, in parts.  The follower asks again when a part is lost. */
+/* Send every object, in parts.  The follower repeats its request when a part is lost. */
 static void
 send_snapshot (struct config_feed *feed, struct feed_follower *follower)
 {
--- a/src/config_wait.c
+++ b/src/config_wait.c
@@ -189,7 +189,7 @@
     if (asker->id == id && strcmp (asker->host, from) == 0)
       return;
   if (wait->n_askers == ASKERS_MAX)
-    drop_asker (wait, wait->askers); /* it asks again */
+    drop_asker (wait, wait->askers); /* it repeats its request */
   asker = talloc_zero (wait, struct wait_asker);
   if (asker == NULL)
     return;
--- a/src/config_wait.h
+++ b/src/config_wait.h
@@ -1,7 +1,8 @@
 /* Waits until a revision is in force on every reachable host.
  *
- * The waiting host asks each host of the board directly and repeats until it answers.  The answer
- * is as new as the message and does not depend on gossiped revisions, which lag. */
+ * The waiting host sends a request to each host of the board directly and repeats it until that
+ * host answers.  The answer is as new as the message and does not depend on gossiped revisions,
+ * which lag. */
 #ifndef CONFIG_WAIT_H
 #define CONFIG_WAIT_H
 
--- a/src/consensus_form.c
+++ b/src/consensus_form.c
@@ -1,10 +1,11 @@
 /* Forming a group from the initial voters, and joining an existing one.
  *
- * The first voter named in the settings forms the group, once, after it has heard from all others
- * and none of them belongs to a group; the server ids it received become the initial members.  Any
- * other host joins the group of the first raft message addressed to its id, which only a server
- * that received that id from it can send.  A host that lost its disk has a new id and no group.  It
- * does not form a group while any of the others belongs to one, and waits to be added. */
+ * The first voter named in the settings forms the group, once, after it has received a message from
+ * all others and none of them belongs to a group; the server ids it received become the initial
+ * members.  Any other host joins the group of the first raft message addressed to its id, which
+ * only a server that received that id from it can send.  A host that lost its disk has a new id and
+ * no group.  It does not form a group while any of the others belongs to one, and waits to be
+ * added. */
 #include "consensus_voter_private.h"
 #include "log.h"
 #include "text.h"
@@ -41,8 +42,8 @@
   return newest;
 }
 
-/* Collect the members of a new group.  False while a voter has not been heard recently, or when one
- * already belongs to a group. */
+/* Collect the members of a new group.  False while no recent message from one of the voters has
+ * arrived, or when one already belongs to a group. */
 static bool
 collect_members (const struct consensus_voter *self, struct raft_members *members, int64_t now)
 {
--- a/src/consensus_peer.c
+++ b/src/consensus_peer.c
@@ -96,7 +96,7 @@
 
 /* Record the sender.  False for a message of an earlier start than one already seen: either the
  * message was delayed, or an older copy of the data folder was restored and started.  The sender is
- * told, since it can tell which. */
+ * notified, since it can distinguish the two. */
 static bool
 record_contact (struct consensus_voter *self,
                 uint64_t id,
--- a/src/consensus_repair.c
+++ b/src/consensus_repair.c
@@ -16,7 +16,7 @@
 /* Maximum age of the last hello of a host that waits to be added. */
 #define HELLO_AGE_MAX (6 * USEC_PER_SEC)
 
-/* Time since the member was last heard, in microseconds. */
+/* Time since the last message from the member, in microseconds. */
 static int64_t
 time_since_heard (const struct consensus_voter *self, const struct raft_member *member, int64_t now)
 {
--- a/src/consensus_route.c
+++ b/src/consensus_route.c
@@ -59,7 +59,7 @@
 }
 
 /* Forward a local request to the leader.  A voter that cannot store its vote follows no leader, and
- * asks the configured hosts like a host outside the group. */
+ * sends the request to the configured hosts like a host outside the group. */
 static void
 forward (struct consensus_voter *self, struct request *request, int64_t now)
 {
--- a/src/consensus_voter.h
+++ b/src/consensus_voter.h
@@ -25,7 +25,7 @@
   int64_t replace_after; /* silence after which a voter is replaced; USEC_NEVER: never */
   int64_t repair_period; /* between checks of the members and of the free space */
   int64_t hello_period;  /* between hellos of a host that waits to be added */
-  int64_t hello_after;   /* a member that hears no leader for this long sends hellos too */
+  int64_t hello_after;   /* a member without a leader for this long sends hellos too */
   uint32_t drift_ppm;
 };
 
@@ -46,7 +46,7 @@
   struct disk *disk;
 
   /* Names of the initial voters, the same on every host.  The first of them forms the group once it
-   * has heard from all; see docs/CONSENSUS.md. */
+   * has received messages from all; see docs/CONSENSUS.md. */
   const char *const *voters;
   uint32_t n_voters;
   uint32_t wanted_voters; /* number of voters in the group; 0: as many as the initial ones */
--- a/src/controller.h
+++ b/src/controller.h
@@ -14,7 +14,7 @@
 
 BEGIN_DECLS
 
-/* Lease of an entry host: one not heard from for this long is no longer listed to clients.  It
+/* Lease of an entry host: one that sent nothing for this long is no longer listed to clients.  It
  * sends a request every SYNC_REQUEST_PERIOD, so two may be lost. */
 #define CONTROLLER_HOST_LEASE (1800 * USEC_PER_MSEC)
 
--- a/src/directory_state.h
+++ b/src/directory_state.h
@@ -15,7 +15,7 @@
 /* A target that neither renews nor leaves is removed from the board after this time. */
 #define DIRECTORY_LAPSED_RETENTION (60 * USEC_PER_SEC)
 
-/* A target's last incarnation and sequence are kept for this long after it is gone, so that a
+/* A target's last incarnation and sequence are kept for this long after it is removed, so that a
  * replayed announcement is recognised as old. */
 #define DIRECTORY_ENTRY_RETENTION (3600 * USEC_PER_SEC)
 
--- a/src/directory_wire.h
+++ b/src/directory_wire.h
@@ -9,7 +9,7 @@
 
 BEGIN_DECLS
 
-#define DIRECTORY_INTEREST_MAX 64     /* targets of which a request asks for load reports */
+#define DIRECTORY_INTEREST_MAX 64     /* targets in one request for load reports */
 #define DIRECTORY_LOADS_MAX 32        /* load reports in one answer */
 #define DIRECTORY_EXCEPTIONS_MAX 2048 /* targets in an answer with a shorter lease */
 #define DIRECTORY_CHANGES_MAX 128     /* changes in one message */
--- a/src/engine_broadcast.h
+++ b/src/engine_broadcast.h
@@ -28,8 +28,8 @@
 #define ENGINE_BROADCAST_DIRECT_HOSTS_MAX 96
 
 /* Starts to relay are batched for this long: one message then carries those of all hosts of other
- * domains.  Until the controllers announce that a relaying host is gone, its domain misses these
- * starts, and its engines read some parts again. */
+ * domains.  Until the controllers announce that a relaying host has left or died, its domain misses
+ * these starts, and its engines read some parts again. */
 #define ENGINE_BROADCAST_RELAY_DELAY (30 * USEC_PER_MSEC)
 
 struct engine_broadcast;
--- a/src/engine_load.c
+++ b/src/engine_load.c
@@ -39,7 +39,7 @@
   int64_t expected_wait; /* wait, as estimated at its start */
   int64_t read_time;     /* the part of it in which the engine reads this prompt */
   int64_t begins_at;     /* when its answer begins, as expected now */
-  bool expects_begin;    /* this host will be told when it begins */
+  bool expects_begin;    /* a message will report when it begins */
   bool began;
   struct engine_request *prev;
   struct engine_request *next;
--- a/src/engine_load.h
+++ b/src/engine_load.h
@@ -2,9 +2,9 @@
  *
  * An engine reads prompts (prefill) one after another, so the wait for a first byte is the time to
  * read the prompts before it; a part that it read lately is still cached and not read again.  Each
- * host tells the others what it sends, when the answer begins and when it ends
+ * host announces to the others what it sends, when the answer begins and when it ends
  * (engine_broadcast.c), so that all choose by the same estimate, a few milliseconds old, without
- * asking the engines.
+ * querying the engines.
  *
  * Pure: time is passed in. */
 #ifndef ENGINE_LOAD_H
@@ -37,7 +37,7 @@
 /* `cache_tokens`: the size of one engine's cache, 0 when not known. */
 void engine_load_set_cache_tokens (struct engine_load *load, uint64_t cache_tokens);
 
-/* A host sent a prompt, its answer began, it ended.  `expects_begin`: this host will be told of the
+/* A host sent a prompt, its answer began, it ended.  `expects_begin`: a message will report the
  * beginning; otherwise the answer is assumed to begin when expected.  Idempotent by target and
  * request number: a prompt that is sent to the same target again has another number. */
 void engine_load_started (struct engine_load *load,
@@ -49,7 +49,7 @@
 void engine_load_began (struct engine_load *load, uint64_t target, uint64_t request, int64_t now);
 void engine_load_ended (struct engine_load *load, uint64_t target, uint64_t request, int64_t now);
 
-/* The target is gone: drop its requests and its cache. */
+/* The target was removed: drop its requests and its cache. */
 void engine_load_remove_target (struct engine_load *load, uint64_t target);
 
 struct engine_cost
--- a/src/flow_claim.c
+++ b/src/flow_claim.c
@@ -179,7 +179,7 @@
 }
 
 /* A truncated answer must not be replayed as complete: an answer over the size limit is stored as a
- * failure whose reason says that the request ran. */
+ * failure whose reason states that the request ran. */
 static enum status
 settle_as_not_kept (struct flow_request *request,
                     const struct claim_key *key,
--- a/src/forward.h
+++ b/src/forward.h
@@ -1,8 +1,8 @@
 /* Forwarding of client requests to targets: admission, stages, attempts, answers.
  *
  * Guarantees for each request: it runs at most as often as its route allows; the client gets the
- * complete answer of one run or an answer that is recognizable as a failure; an answer that says
- * "not run" is true. */
+ * complete answer of one run or an answer that is recognizable as a failure; an answer "not run" is
+ * given only if the request did not run. */
 #ifndef FORWARD_H
 #define FORWARD_H
 
--- a/src/forward_attempt.c
+++ b/src/forward_attempt.c
@@ -13,8 +13,8 @@
 #define FIRST_BYTE_TIMEOUT_FACTOR 4.0
 #define FIRST_BYTE_TIMEOUT_OBJECTIVE_SHARE 0.5
 
-/* Retry-After, in seconds.  REFUSED: short, as one target's refusal says little about the others.
- * NO_TARGET: targets may have registered by then. */
+/* Retry-After, in seconds.  REFUSED: short, as one target's refusal is little evidence about the
+ * others.  NO_TARGET: targets may have registered by then. */
 #define REFUSED_RETRY_AFTER_SEC 0.2
 #define NO_TARGET_RETRY_AFTER_SEC 0.3
 
@@ -162,7 +162,7 @@
     job_give_up (job, job->runs == 0 ? FORWARD_REFUSED : reason, REFUSED_RETRY_AFTER_SEC);
 }
 
-/* A complete answer that says the request did not run. */
+/* A complete answer which states that the request did not run. */
 static void
 handle_refusal (struct forward_job *job, int64_t now)
 {
@@ -180,7 +180,7 @@
 }
 
 /* A signed failure answer is passed on unchanged if the request cannot be retried.  A 503 is not
- * passed on: it would promise that the request has not run, which the target did not say. */
+ * passed on: it would guarantee that the request has not run, which the target did not state. */
 static void
 handle_failure (struct forward_job *job, int64_t now)
 {
--- a/src/forward_end.c
+++ b/src/forward_end.c
@@ -70,7 +70,7 @@
   job_free (job);
 }
 
-/* The request may have run: the status does not say whether it did. */
+/* The request may have run: the status does not state whether it did. */
 void
 job_fail (struct forward_job *job, enum forward_reason reason)
 {
--- a/src/forward_place.c
+++ b/src/forward_place.c
@@ -4,7 +4,7 @@
 #include "text.h"
 #include <string.h>
 
-/* Least transfer between failure domains, in bytes, for which a stage asks for a certain domain.
+/* Least transfer between failure domains, in bytes, for which a stage requests a certain domain.
  * Waiting for a target in one domain takes about half a call, which costs more than the transfer of
  * a few hundred kilobytes. */
 #define CROSSING_MIN_BYTES 500000
--- a/src/h1.c
+++ b/src/h1.c
@@ -206,8 +206,8 @@
   return 0;
 }
 
-/* Pauses the parser between the parts of a chunked body, so that framing bytes can be told from
- * data. */
+/* Pauses the parser between the parts of a chunked body, so that framing bytes can be distinguished
+ * from data. */
 static int
 pause_at_part (http_parser *parser)
 {
--- a/src/h1_client.c
+++ b/src/h1_client.c
@@ -131,7 +131,7 @@
       CONTAINER_OF (reader, struct h1_client_connection, reader);
   const struct h1_head *head = &reader->head;
 
-  /* No request asks for an upgrade, so 101 is an error: another protocol would follow it. */
+  /* No request has an Upgrade header, so 101 is an error: another protocol would follow it. */
   if (head->status < 100 || head->status == HTTP_STATUS_SWITCHING_PROTOCOLS)
     return false;
   connection->skipping = true;
--- a/src/h1_client.h
+++ b/src/h1_client.h
@@ -37,8 +37,8 @@
 
 struct h1_call_ops
 {
-  /* The head of a response.  Returning false says that it belongs to another call; it is skipped
-   * and the next response is tried. */
+  /* The head of a response.  Return false if it belongs to another call; it is skipped and the next
+   * response is tried. */
   bool (*head) (struct h1_call *call, const struct h1_head *head, int64_t now);
   void (*data) (struct h1_call *call, const char *data, size_t length, int64_t now);
 
@@ -81,7 +81,8 @@
                            bool fresh,
                            int64_t now);
 
-/* Cancel the call without a callback.  The connection is closed, which tells the target to stop. */
+/* Cancel the call without a callback.  The connection is closed, which signals the target to
+ * stop. */
 void h1_call_cancel (struct h1_call *call);
 
 /* Close the idle connections to the address of a removed target. */
--- a/src/h1_server.h
+++ b/src/h1_server.h
@@ -99,8 +99,7 @@
  * complete. */
 void h1_reply_end (struct h1_exchange *exchange, bool whole);
 
-/* Reset the connection without a complete response, which tells the client nothing about whether
- * the request ran. */
+/* Reset the connection without a complete response, which leaves open whether the request ran. */
 void h1_reply_abort (struct h1_exchange *exchange);
 
 END_DECLS
--- a/src/host.h
+++ b/src/host.h
@@ -10,7 +10,7 @@
 /* name, value: the exit status of `cherryarch run` */
 #define HOST_EXIT_LIST(X)                                                                          \
   X (OK, 0)           /* shut down gracefully, no request cut */                                   \
-  X (UNFINISHED, 3)   /* drain bound exceeded or second signal: see the log */                     \
+  X (UNFINISHED, 3)   /* drain_bound exceeded or second signal: see the log */                     \
   X (START_FAILED, 4) /* an address, key or data folder could not be used */
 
 enum host_exit
--- a/src/http_client.c
+++ b/src/http_client.c
@@ -124,7 +124,8 @@
 
 /* ---- the answer ---- */
 
-/* A response that ends with its connection is rejected: it cannot be told from a truncated one. */
+/* A response that ends with its connection is rejected: it cannot be distinguished from a truncated
+ * one. */
 static enum status
 check_head (const struct http_call *call, const struct h1_head *head)
 {
--- a/src/http_server_private.h
+++ b/src/http_server_private.h
@@ -145,7 +145,7 @@
 int server_on_event (
     struct lws *wsi, enum lws_callback_reasons reason, void *user, void *in, size_t len);
 
-/* Bytes that lws has read from the socket so far; 0 if the kernel does not tell. */
+/* Bytes that lws has read from the socket so far; 0 if the kernel does not report it. */
 uint64_t server_connection_bytes_read (const struct server_connection *connection);
 
 /* http_server_answer.c */
--- a/src/member.c
+++ b/src/member.c
@@ -14,8 +14,8 @@
  * still known, and dead hosts count in the decision whether this host is cut off. */
 #define DEAD_HOST_TTL (3600 * USEC_PER_SEC)
 
-/* A host that is behind the newest revision it heard of for this long sets its `behind` flag (an
- * accepted change must be in force everywhere within 11 s). */
+/* A host that is behind the newest revision announced to it for this long sets its `behind` flag
+ * (an accepted change must be in force everywhere within 11 s). */
 #define BEHIND_AFTER (11 * USEC_PER_SEC)
 
 /* So does a host whose revision no quorum confirmed for this long. */
@@ -27,7 +27,7 @@
 #define VITALS_INTERVAL_PER_HOST (100 * USEC_PER_MSEC)
 #define LOAD_STEP_PERCENT 12 /* a smaller change of load is not gossiped */
 
-/* A suspect is told of its suspicion this often, so that its refutation does not depend on one
+/* A suspect is notified of the suspicion this often, so that its refutation does not depend on one
  * message.  A suspicion that is not gossiped reaches the suspect in no other way. */
 #define SUSPECT_PING_INTERVAL (1 * USEC_PER_SEC)
 
--- a/src/member.h
+++ b/src/member.h
@@ -1,10 +1,10 @@
 /* Membership: which hosts exist, which of them are alive, and the record each publishes of itself.
  *
- * Each host probes one other host a period, and asks a few others to probe it before it suspects
- * it, so that one bad link makes no host dead.  A suspect has time to refute.  Changes are
- * piggybacked on probes (Das, Gupta, Motivala: SWIM, DSN 2002; sending a suspicion to the suspect
- * itself and the extra gossip are of Dadgar, Phillips, Currey: Lifeguard, DSN-W 2018).  The cost
- * per host does not grow with the number of hosts.
+ * Each host probes one other host a period.  Before it suspects that host it has a few others probe
+ * it too, so that one bad link does not make a host dead.  A suspect has time to refute.  Changes
+ * are piggybacked on probes (Das, Gupta, Motivala: SWIM, DSN 2002; sending a suspicion to the
+ * suspect itself and the extra gossip are of Dadgar, Phillips, Currey: Lifeguard, DSN-W 2018).  The
+ * cost per host does not grow with the number of hosts.
  *
  * A host is the only writer of its own record, which is ordered by (incarnation, sequence); others
  * may only mark the record they know "suspect" or "dead".  Liveness depends on answers to probes,
--- a/src/member_state.h
+++ b/src/member_state.h
@@ -38,7 +38,7 @@
   uint64_t vitals_version;
   int64_t state_changed_at;  /* when its state changed in this view */
   int64_t suspect_until;     /* when a suspect becomes dead */
-  int64_t next_suspect_ping; /* when to tell the suspect again that it is one */
+  int64_t next_suspect_ping; /* when to notify the suspect again of the suspicion */
   uint64_t probe_round;      /* probe round in which it was probed last, or added */
   bool local;                /* suspect or dead on this host's evidence alone; not gossiped */
   bool suspicion_gossiped;   /* suspected on a helper's evidence too; its death is gossiped */
--- a/src/operator_watch.c
+++ b/src/operator_watch.c
@@ -160,8 +160,8 @@
 }
 
 /* Ends all watches when the host shuts down: a watch never ends by itself, so an open one would
- * delay the shutdown until its time limit.  The last bookmark tells the client from which revision
- * to resume on another host. */
+ * delay the shutdown until its time limit.  The last bookmark gives the revision from which the
+ * client can resume on another host. */
 static void
 end_all (struct operator_watches *watches)
 {
--- a/src/quarantine_control.c
+++ b/src/quarantine_control.c
@@ -103,8 +103,8 @@
   bytes_clear (&written);
 }
 
-/* Sends new evidence to all peers.  An entry host asks the first controller that takes the message
- * to relay it. */
+/* Sends new evidence to all peers.  An entry host has the first controller that takes the message
+ * relay it. */
 static void
 send_update (struct quarantine_control *control,
              const struct bytes *suspects,
--- a/src/quarantine_entry.c
+++ b/src/quarantine_entry.c
@@ -63,7 +63,7 @@
   entry->n_pending = kept;
 }
 
-/* After a complete answer the fate of the targets says nothing about the request. */
+/* After a complete answer the fate of the targets is no evidence against the request. */
 static void
 drop_pending (struct quarantine_entry *entry, const struct request_digest *digest)
 {
--- a/src/raft.c
+++ b/src/raft.c
@@ -47,7 +47,7 @@
   raft->applied = snapshot->index;
   raft_configs_add (raft, snapshot->index, &snapshot->members);
   bytes_init (&raft->incoming.data, raft);
-  /* A restart loses the time when the leader was last heard, and that leader may hold a lease based
+  /* A restart loses the time of the leader's last message, and that leader may hold a lease based
    * on this server not voting for election_min: refuse votes for that long from the start.  A
    * server that never had a term acknowledged nothing, and in a group without leases nothing
    * depends on it. */
@@ -350,9 +350,9 @@
     raft_become_follower (raft, raft->state.term, 0, now);
 }
 
-/* A term or vote that was not sent to anybody binds nobody.  With the state as last stored this
- * server looks to the others like one whose messages were lost, and it adopts the term again with
- * the next message. */
+/* A term or vote that was not sent to any server is not binding.  With the state as last stored
+ * this server looks to the others like one whose messages were lost, and it adopts the term again
+ * with the next message. */
 void
 raft_discard_ready (struct raft *raft, int64_t now)
 {
--- a/src/raft.h
+++ b/src/raft.h
@@ -144,13 +144,13 @@
  * does not fit the current members, STATUS_UNAVAILABLE when the learner has not caught up. */
 enum status raft_change_members (struct raft *raft, const struct raft_change *change);
 
-/* Transfer leadership to the voter `to`; 0 selects the most advanced one, and among equals the
- * one heard last.  STATUS_AGAIN while a transfer is in progress; it is abandoned after
- * election_max when the receiver starts no election.  STATUS_UNAVAILABLE when no such voter was
- * heard recently. */
+/* Transfer leadership to the voter `to`; 0 selects the most advanced one, and among equals the one
+ * whose last message is the newest.  STATUS_AGAIN while a transfer is in progress; it is abandoned
+ * after election_max when the receiver starts no election.  STATUS_UNAVAILABLE when no such voter
+ * has sent a message recently. */
 enum status raft_transfer (struct raft *raft, uint64_t to, int64_t now);
 
-/* On the leader: the other voters that were heard recently and have disk space form a quorum
+/* On the leader: the other voters that sent a message recently and have disk space form a quorum
  * without it. */
 bool raft_has_quorum_without_leader (const struct raft *raft, int64_t now);
 
@@ -168,7 +168,7 @@
  * called. */
 void raft_discard_ready (struct raft *raft, int64_t now);
 
-/* While paused, entries from a leader are refused and it is told to wait. */
+/* While paused, entries from a leader are refused with a reply that makes it wait. */
 void raft_set_paused (struct raft *raft, bool paused);
 
 /* Returns the next entry to apply, NULL when all committed and stored entries are applied;
@@ -187,7 +187,7 @@
 uint64_t raft_term (const struct raft *raft);
 enum raft_role raft_role (const struct raft *raft);
 uint64_t raft_leader (const struct raft *raft);         /* 0: unknown */
-int64_t raft_leader_heard_at (const struct raft *raft); /* time a leader was last heard */
+int64_t raft_leader_heard_at (const struct raft *raft); /* time of the last message from a leader */
 uint64_t raft_committed (const struct raft *raft);
 uint64_t raft_applied (const struct raft *raft);
 uint64_t raft_first (const struct raft *raft); /* first entry held in memory */
@@ -199,7 +199,7 @@
 const struct raft_snapshot *raft_last_snapshot (const struct raft *raft);
 
 /* The leader proved that this server no longer holds entries that it acknowledged: its data folder
- * is older than what it told the others.  It must stop for good. */
+ * is older than its acknowledgements.  It must stop for good. */
 bool raft_has_lost_entries (const struct raft *raft);
 
 /* Replication progress of another member. */
--- a/src/raft_election.c
+++ b/src/raft_election.c
@@ -12,9 +12,9 @@
 
 /* After all hosts lost power no request is served until a leader is elected.  Where no lease
  * depends on it, a server therefore starts its first election after half of the usual timeout.
- * This does not disturb a live leader: the others have heard it recently and refuse the pre-vote.
- * With timeouts of 350 to 700 ms three voters that start together elect a leader within 0.4 s in 20
- * of 20 seeds; with the full timeout in 7. */
+ * This does not disturb a live leader: the others have received its messages recently and refuse
+ * the pre-vote.  With timeouts of 350 to 700 ms three voters that start together elect a leader
+ * within 0.4 s in 20 of 20 seeds; with the full timeout in 7. */
 void
 raft_set_first_election_time (struct raft *raft, int64_t now)
 {
--- a/src/raft_private.h
+++ b/src/raft_private.h
@@ -89,7 +89,7 @@
   bool lost_entries;
 
   int64_t heard_at;    /* last message from a leader; no vote before heard_at + election_min */
-  int64_t election_at; /* start of the next election, unless a leader is heard first */
+  int64_t election_at; /* start of the next election, unless a leader's message arrives first */
 
   /* candidate */
   uint64_t granted[RAFT_MEMBERS_MAX];
--- a/src/raft_read.c
+++ b/src/raft_read.c
@@ -3,8 +3,8 @@
 #include <string.h>
 #include <talloc.h>
 
-/* The followers that echoed the round vote for nobody for election_min after they received it,
- * which is after the leader sent it.  Their clocks may run faster and the leader's slower, by up to
+/* The followers that echoed the round cast no vote for election_min after they received it, which
+ * is after the leader sent it.  Their clocks may run faster and the leader's slower, by up to
  * drift_ppm each. */
 bool
 raft_lease_valid (const struct raft *raft, int64_t now)
--- a/src/raft_replicate.c
+++ b/src/raft_replicate.c
@@ -399,9 +399,9 @@
 }
 
 /* When two hosts shut down one after the other, the second one, the leader, could transfer to the
- * first, which held the whole log and was heard a moment ago, and wait in vain.  Among voters with
- * equal logs the one heard last is the most likely to be alive.  One with a full disk is the last
- * choice, since it could not store its first entry. */
+ * first, which held the whole log and had sent a message just before, and wait in vain.  Among
+ * voters with equal logs the one whose last message is the newest is the most likely to be alive.
+ * One with a full disk is the last choice, since it could not store its first entry. */
 static bool
 is_better_successor (const struct raft_peer *peer, const struct raft_peer *best)
 {
--- a/src/registry.c
+++ b/src/registry.c
@@ -68,8 +68,8 @@
   target->revision = ++registry->revision;
 }
 
-/* Addresses are reused: of two targets at one address, the one first heard later owns it now.  The
- * other becomes GONE, so that its delayed renewals do not bring it back. */
+/* Addresses are reused: of two targets at one address, the one whose first announcement arrived
+ * later owns it now.  The other becomes GONE, so that its delayed renewals do not bring it back. */
 static void
 resolve_address (struct registry *registry, struct registry_target *newcomer)
 {
--- a/src/registry.h
+++ b/src/registry.h
@@ -4,7 +4,7 @@
  * forwards it to all entry hosts.  The target's own sequence orders its registrations, so the merge
  * needs no leader.  Each start of a target is an incarnation, usually with a new identity; a target
  * that restarts with the same identity reports a later start time, and its sequence starts over. Of
- * two identities at one address, the one first heard later owns the address.
+ * two identities at one address, the one whose first announcement arrived later owns the address.
  *
  * No I/O and no clock: time is passed in. */
 #ifndef REGISTRY_H
@@ -23,7 +23,7 @@
 
 #define REGISTRY_NAME_SIZE 64
 
-/* A target that is gone or expired is kept for this long after its last renewal, so that a delayed
+/* A target that is GONE or expired is kept for this long after its last renewal, so that a delayed
  * renewal does not bring it back. */
 #define REGISTRY_RETENTION (60 * USEC_PER_SEC)
 
--- a/src/resource.h
+++ b/src/resource.h
@@ -44,7 +44,7 @@
   X (RETRIEVE, "retrieve")                                                                         \
   X (RERANK, "rerank")                                                                             \
   X (GENERATE, "generate")                                                                         \
-  X (CALL, "call") /* a service without model stages */
+  X (CALL, "call") /* a call of a plain service; the only stage of RESOURCE_SERVICE */
 
 enum stage_kind
 {
--- a/src/subscriber.c
+++ b/src/subscriber.c
@@ -10,7 +10,7 @@
 
 #define TICK_PERIOD (50 * USEC_PER_MSEC)
 
-/* A controller learned from another one is removed when it was neither heard from nor named by
+/* A controller learned from another one is removed when it neither sent a message nor was named by
  * another for this long. */
 #define CONTROLLER_TTL (30 * USEC_PER_SEC)
 
--- a/src/subscriber.h
+++ b/src/subscriber.h
@@ -22,7 +22,7 @@
 /* The interval until the first answer. */
 #define SYNC_FIRST_REQUEST_PERIOD (100 * USEC_PER_MSEC)
 
-/* A controller or entry host not heard from for this long counts as unreachable. */
+/* A controller or entry host that sent nothing for this long counts as unreachable. */
 #define SYNC_CONTACT_TIMEOUT (2 * USEC_PER_SEC)
 
 struct subscriber;
@@ -53,7 +53,7 @@
   struct counters *counters;
   struct routing_codec *codec;
   struct subscriber_listener *listener;
-  int64_t target_lease; /* in us; a target not heard from for this long gets no new work */
+  int64_t target_lease; /* in us; a target without a renewal for this long gets no new work */
   int64_t ready_for;    /* in us; this host is ready for this long after a confirmation */
   int64_t (*boottime) (void);
 };
@@ -80,7 +80,7 @@
 const char *subscriber_domain (const struct subscriber *subscriber);
 bool subscriber_is_self (const struct subscriber *subscriber, const struct sync_host *host);
 
-/* Mark this host as leaving and tell the controllers at once. */
+/* Mark this host as leaving and notify the controllers at once. */
 void subscriber_leave (struct subscriber *subscriber, int64_t now);
 
 /* Store the names of the reachable controllers in `out` and return their count.  The names are
--- a/src/tcp.h
+++ b/src/tcp.h
@@ -1,7 +1,7 @@
 /* TCP byte streams on the event loop: listeners, connections, bounded send buffers.
  *
- * Used for forwarding requests, where libwebsockets' HTTP does not fit (docs/DESIGN.md): a
- * stream tells an orderly end from a reset, which decides whether a response without a length is
+ * Used for forwarding requests, where libwebsockets' HTTP does not fit (docs/DESIGN.md): a stream
+ * distinguishes an orderly end from a reset, which decides whether a response without a length is
  * complete. */
 #ifndef TCP_H
 #define TCP_H
--- a/src/work.c
+++ b/src/work.c
@@ -367,7 +367,7 @@
 
 /* An earlier owner may still answer: its results are as good, but only if complete.  Results for an
  * order that was withdrawn, or that another owner has made, would occupy room at their targets
- * until they expire; the owner that made them is told to free them. */
+ * until they expire; a message makes the owner that made them free them. */
 static void
 handle_done (struct work *work, struct pack_reader *in, const char *from, int64_t now)
 {
--- a/src/work.h
+++ b/src/work.h
@@ -19,7 +19,7 @@
 
 /* An owner that has orders of this host is pinged at this period, and counts as dead after this
  * silence: a chain of stages has about 1 s, and a host that loses power resets no connection.  It
- * gets no orders until it is heard again, or until the suspicion expires. */
+ * gets no orders until it sends a message again, or until the suspicion expires. */
 #define WORK_PING_PERIOD (120 * USEC_PER_MSEC)
 #define WORK_OWNER_TIMEOUT (400 * USEC_PER_MSEC)
 #define WORK_SUSPECT_PERIOD (4 * USEC_PER_SEC)
--- a/tests/unit_claim.cc
+++ b/tests/unit_claim.cc
@@ -485,9 +485,9 @@
   EXPECT_EQ (acquire_waiter.verdict, CLAIM_GRANTED);
 }
 
-// The acquire times out: the caller is told that the request was not run, and resends it to another
-// host.  The acquire was in the log, and without a release the resend would always be answered "in
-// flight".
+// The acquire times out: the caller gets the answer that the request was not run, and resends it to
+// another host.  The acquire was in the log, and without a release the resend would always be
+// answered "in flight".
 TEST_F (ClaimLog, TimedOutAcquireDoesNotBlockTheResend)
 {
   struct acquire_waiter lost;
@@ -626,8 +626,8 @@
   EXPECT_EQ (claim_log_pending (a.claims), 0u);
 }
 
-// An answer over the size bound is not stored.  A resend must be told that the request ran, and
-// never get a truncated or empty answer as if it were complete.
+// An answer over the size bound is not stored.  A resend must get the answer that the request ran,
+// and never get a truncated or empty answer as if it were complete.
 TEST_F (ClaimLog, AnswerTooLargeToStoreIsReported)
 {
   struct acquire_waiter first;
--- a/tests/unit_consensus.cc
+++ b/tests/unit_consensus.cc
@@ -110,9 +110,9 @@
   EXPECT_EQ (propose (3, 5), 5u);
 }
 
-// More controllers run than the group wants voters.  The spare ones serve targets, operators and
-// callers too, so each must apply what was committed, also one that starts later; and a lost voter
-// is replaced at once, since nothing has to be copied first.
+// More controllers run than the group has places for voters.  The spare ones serve targets,
+// operators and callers too, so each must apply what was committed, also one that starts later; and
+// a lost voter is replaced at once, since nothing has to be copied first.
 TEST_F (Group, SpareHostsFollowTheLogWithoutAVote)
 {
   struct fake_group_config config = voters (3);
@@ -242,7 +242,7 @@
       start (config);
       uint32_t dead = other (static_cast<uint32_t> (leader));
       fake_group_stop (group, dead, true);
-      // The next leader has never heard from it and does not know its match index.
+      // The next leader has no message from it and does not know its match index.
       ASSERT_EQ (
           consensus_voter_transfer (fake_group_consensus (group, static_cast<uint32_t> (leader)),
                                     fake_group_local_time (group, static_cast<uint32_t> (leader))),
--- a/tests/unit_consensus_remote.cc
+++ b/tests/unit_consensus_remote.cc
@@ -1,4 +1,5 @@
-// A host without a data folder and the voters it asks: leader hints, silent voters, deadlines.
+// A host without a data folder and the voters it sends requests to: leader hints, silent voters,
+// deadlines.
 #include "consensus_client.h"
 #include "consensus_remote.h"
 #include <gtest/gtest.h>
--- a/tests/unit_directory.cc
+++ b/tests/unit_directory.cc
@@ -401,7 +401,7 @@
 }
 
 // A target restarts at the same address.  An announcement of its old process, delayed or replayed,
-// arrives after the new one; accepting it would bring back a process that is gone.
+// arrives after the new one; accepting it would bring back a process that has ended.
 TEST (Directory, AnOldAnnouncementAfterARestartIsRefusedOnEveryHost)
 {
   struct net n (3);
--- a/tests/unit_drain.cc
+++ b/tests/unit_drain.cc
@@ -216,7 +216,7 @@
   EXPECT_TRUE (p.steps.empty ());
 }
 
-// A request never ends because its target hangs.  The shutdown must end at its bound.
+// A request never ends because its target hangs.  The shutdown must end at `drain_bound`.
 TEST (Drain, DrainBoundEndsAShutdownWithAHungRequest)
 {
   struct process p;
--- a/tests/unit_engine_load.cc
+++ b/tests/unit_engine_load.cc
@@ -152,7 +152,7 @@
   EXPECT_LT (cost (1, p).wait, 2 * cost (2, p).wait);
 }
 
-// Two hosts send to an idle engine at once; one of them hears of the other's prompt too late.  The
+// Two hosts send to an idle engine at once; one of them learns of the other's prompt too late.  The
 // wait for it must not be learned as a lower reading rate.
 TEST_F (EngineLoad, AQueueReportedTooLateDoesNotLowerTheRate)
 {
@@ -267,8 +267,8 @@
   EXPECT_EQ (cost (1, p).wait, idle);
 }
 
-// The first copy of a start says that its beginning will not be reported, the second that it will.
-// If the first one were decisive, a late engine would count as free.
+// The first copy of a start states that its beginning will not be reported, the second that it
+// will.  If the first one were decisive, a late engine would count as free.
 TEST_F (EngineLoad, ADuplicateStartIsToldIfOneCopyIs)
 {
   struct engine_prompt p = prompt (1, 0, 6000);
--- a/tests/unit_entries.cc
+++ b/tests/unit_entries.cc
@@ -97,8 +97,8 @@
   EXPECT_EQ (v.names (1), (std::set<std::string>{ "self", "other" }));
 }
 
-// A caller asks a host that is cut off from its peers and considers all of them dead.  A list of
-// only this host would keep the caller on the wrong side of the partition.
+// A caller sends a request to a host that is cut off from its peers and considers all of them dead.
+// A list of only this host would keep the caller on the wrong side of the partition.
 TEST (Entries, AHostThatIsCutOffListsTheOthers)
 {
   struct view v;
--- a/tests/unit_flow.cc
+++ b/tests/unit_flow.cc
@@ -149,7 +149,7 @@
 }
 
 // The caller disconnects while the second of four stages runs: the call is closed and the target
-// gets a cancel at once, since nobody reads the answer.
+// gets a cancel at once, since no client reads the answer any more.
 TEST_F (Flow, ACallerThatDisconnectsEndsRepeatableWork)
 {
   auto *x = send ("/v1/pipelines/claims/requests", R"({"input": "q"})");
--- a/tests/unit_flow_claim.cc
+++ b/tests/unit_flow_claim.cc
@@ -375,7 +375,7 @@
 }
 
 // The answer is longer than claim_answer_bytes.  The caller gets it completely; a resend must not
-// get a truncated answer, but a failure that says that the order ran.
+// get a truncated answer, but a failure which states that the order ran.
 TEST_F (FlowClaim, AnAnswerTooLongToKeepIsNeverReplayedTruncated)
 {
   auto *x = send_order ();
--- a/tests/unit_member.cc
+++ b/tests/unit_member.cc
@@ -256,8 +256,8 @@
 }
 
 // One of two hosts receives nothing from the other for a while and suspects it.  The other refutes,
-// but every copy of its refutation is lost.  When the link is back the suspect must be told again
-// and must refute again, or it becomes dead while both hosts are healthy.
+// but every copy of its refutation is lost.  When the link is back the suspect must be notified and
+// refute again, or it becomes dead while both hosts are healthy.
 TEST (Member, ASuspectIsToldUntilItRefutes)
 {
   struct cluster c (3);
--- a/tests/unit_raft.cc
+++ b/tests/unit_raft.cc
@@ -210,7 +210,8 @@
   EXPECT_EQ (raft_role (raft), RAFT_FOLLOWER);
 }
 
-// A lease read is answered without a message while a quorum was heard recently, and not later.
+// A lease read is answered without a message while messages from a quorum have arrived recently,
+// and not later.
 TEST_F (Raft, LeaseEndsBeforeAnotherLeaderCanBeElected)
 {
   restore (2, { 1, 2 });
@@ -224,7 +225,7 @@
 
 // Two hosts shut down one after the other.  The second one, the leader, transfers to the first,
 // which had caught up and was heard half a second ago; no election follows, and the shutdown waits
-// for its timeout.  The voter heard last must be selected.
+// for its timeout.  The voter whose last message is the newest must be selected.
 TEST_F (Raft, LeadershipGoesToTheVoterHeardLast)
 {
   struct raft_ready ready;
@@ -264,7 +265,7 @@
   raft_tick (raft, now);
   flush (); // round 2 is out
   ASSERT_EQ (raft_read_request (raft, 7, now), STATUS_OK);
-  flush (); // round 3 asks for the read
+  flush (); // round 3 is for the read
   acknowledge (2, 3, 2);
   EXPECT_FALSE (raft_pop_read (raft, &read));
   acknowledge (2, 3, 3);
@@ -275,8 +276,8 @@
 }
 
 // An older copy of a data folder is restored and started while the leader stays the same.  The
-// voter replies with fewer entries than it had acknowledged; the leader tells it so, and it stops
-// for good.
+// voter replies with fewer entries than it had acknowledged; the leader reports this to it, and it
+// stops for good.
 TEST_F (Raft, FollowerThatLostAcknowledgedEntriesIsTold)
 {
   restore (2, { 1, 2 });
--- a/tests/unit_stage.cc
+++ b/tests/unit_stage.cc
@@ -258,7 +258,7 @@
     }
 }
 
-// An engine that aborts says so in the last piece: the text must not count as complete.
+// An engine that aborts reports it in the last piece: the text must not count as complete.
 TEST_F (Stage, AnAbortedTextIsNotFinished)
 {
   const std::map<std::string, enum status> reasons = {
--- a/tests/unit_target_watch.cc
+++ b/tests/unit_target_watch.cc
@@ -71,7 +71,7 @@
     talloc_free (parent);
   }
 
-  // Registers a renewal of the target `id` with this sequence number, heard at `heard_at`.
+  // Registers a renewal of the target `id` with this sequence number, received at `heard_at`.
   struct balance_target *
   target (const char *id,
           const std::string &address,
@@ -121,7 +121,7 @@
   int64_t now = loop_now (loop);
 };
 
-// A target's process is gone: its address refuses connections.
+// A target's process has ended: its address refuses connections.
 TEST_F (TargetWatch, ReportsAnEndWhenTheAddressRefusesConnections)
 {
   std::string address;
--- a/tests/whole_store.cc
+++ b/tests/whole_store.cc
@@ -9,8 +9,8 @@
 class WholeStore : public WholeLaunch
 {
 protected:
-  // Change an organisation at `host`.  Returns the answer's code; `everywhere` tells whether the
-  // change is in force on all hosts.
+  // Change an organisation at `host`.  Returns the answer's code; `everywhere` is set to whether
+  // the change is in force on all hosts.
   int
   change (uint32_t host, int weight, bool *everywhere)
   {
