--- a/bench/cmd_host-cost.c
+++ b/bench/cmd_host-cost.c
@@ -212,8 +212,8 @@
   fclose (file);
 }
 
-/* Send requests whose target delays its answers, and read resident memory while all of them wait.
- */
+/* Send requests whose target delays its answers, and read resident memory while all of them
+ * wait. */
 static bool
 measure_held (struct cost *cost)
 {
--- a/bench/disk_fake.h
+++ b/bench/disk_fake.h
@@ -1,5 +1,5 @@
-/* In-memory disk that tracks written and synced content separately and injects faults on request.
- */
+/* In-memory disk that tracks written and synced content separately and injects faults on
+ * request. */
 #ifndef DISK_FAKE_H
 #define DISK_FAKE_H
 
@@ -36,8 +36,8 @@
 /* Set the capacity of the disk in bytes. */
 void disk_fake_set_capacity (struct disk_fake *disk, uint64_t bytes);
 
-/* Set the free bytes to report, regardless of the capacity.  UINT64_MAX: report the actual value.
- */
+/* Set the free bytes to report, regardless of the capacity.  UINT64_MAX: report the actual
+ * value. */
 void disk_fake_set_reported (struct disk_fake *disk, uint64_t bytes);
 
 /* Flip one bit of a file, in its durable content as well. */
--- a/bench/fake_group_private.h
+++ b/bench/fake_group_private.h
@@ -20,8 +20,8 @@
   struct peer_listener *listeners[PEER_CHANNEL_COUNT];
 };
 
-/* State machine: a running hash of all entries, which detects lost, duplicated or reordered ones.
- */
+/* State machine: a running hash of all entries, which detects lost, duplicated or reordered
+ * ones. */
 struct fake_machine
 {
   struct machine machine;
--- a/bench/fake_target.c
+++ b/bench/fake_target.c
@@ -65,8 +65,8 @@
   return *end == '\0';
 }
 
-/* An export lists which of the requested blocks are cached; an import adds the blocks to the cache.
- */
+/* An export lists which of the requested blocks are cached; an import adds the blocks to the
+ * cache. */
 static void
 on_export (struct fake_target *target, struct http_exchange *exchange, json_t *body, int64_t now)
 {
--- a/bench/fuzz_http.c
+++ b/bench/fuzz_http.c
@@ -44,8 +44,8 @@
   .complete = on_complete,
 };
 
-/* Feeds chunks of `chunk_size` bytes until a message that is not an interim response is complete.
- */
+/* Feeds chunks of `chunk_size` bytes until a message that is not an interim response is
+ * complete. */
 static enum status
 read_all (struct reading *reading, const char *data, size_t length, size_t chunk_size)
 {
--- a/bench/fuzz_text.c
+++ b/bench/fuzz_text.c
@@ -1,5 +1,5 @@
-/* Decoders of text: settings, key files, event streams, JSON from targets, operators and callers.
- */
+/* Decoders of text: settings, key files, event streams, JSON from targets, operators and
+ * callers. */
 #include "fuzz_parts.h"
 #include "keyfile.h"
 #include "resource_parse.h"
--- a/bench/launch.h
+++ b/bench/launch.h
@@ -126,8 +126,8 @@
 /* Wait at most `timeout` us for the process to end.  False if it still runs. */
 bool launch_wait_exit (struct launch *launch, struct launch_process *process, int64_t timeout);
 
-/* Inject a fault (see docs/INTERFACES.md) into a process of fakes.  Takes the reference to `fault`.
- */
+/* Inject a fault (see docs/INTERFACES.md) into a process of fakes.  Takes the reference to
+ * `fault`. */
 enum status launch_inject_fault (struct launch *launch, const char *pool, json_t *fault);
 
 /* Counters of all fakes: a new reference to an array of targets. */
--- a/bench/trace_generate.c
+++ b/bench/trace_generate.c
@@ -44,8 +44,8 @@
   bool in_burst;
 };
 
-/* Pipelines with the same document median share documents; the first of them identifies the group.
- */
+/* Pipelines with the same document median share documents; the first of them identifies the
+ * group. */
 static uint32_t
 document_group (const struct site *site, uint32_t pipeline)
 {
--- a/src/directory_ready.c
+++ b/src/directory_ready.c
@@ -3,8 +3,8 @@
  * Without it, a host that restarts under load is listed to callers as soon as its configuration is
  * confirmed, and fails a request midway because the home of a later stage's targets has not
  * answered yet.  Until every live host has sent its list, or until READY_TIMEOUT, the board's
- * `targets_unknown` is set: requests are refused as not run and the host is not listed to callers.
- */
+ * `targets_unknown` is set: requests are refused as not run and the host is not listed to
+ * callers. */
 #include "directory_state.h"
 
 #define READY_TIMEOUT (3 * USEC_PER_SEC)
--- a/src/host_private.h
+++ b/src/host_private.h
@@ -1,5 +1,5 @@
-/* The components of a host's process, shared by the files that build, connect and shut them down.
- */
+/* The components of a host's process, shared by the files that build, connect and shut them
+ * down. */
 #ifndef HOST_PRIVATE_H
 #define HOST_PRIVATE_H
 
--- a/src/peer_direct.h
+++ b/src/peer_direct.h
@@ -1,5 +1,5 @@
-/* Peer port whose host names are addresses: an unknown name is used as the address to connect to.
- */
+/* Peer port whose host names are addresses: an unknown name is used as the address to connect
+ * to. */
 #ifndef PEER_DIRECT_H
 #define PEER_DIRECT_H
 
--- a/src/peer_zmq.h
+++ b/src/peer_zmq.h
@@ -1,5 +1,5 @@
-/* Messages between hosts over ZeroMQ: each host has a ROUTER and one DEALER per peer it sends to.
- */
+/* Messages between hosts over ZeroMQ: each host has a ROUTER and one DEALER per peer it sends
+ * to. */
 #ifndef PEER_ZMQ_H
 #define PEER_ZMQ_H
 
--- a/src/peer_zmq_receive.c
+++ b/src/peer_zmq_receive.c
@@ -1,5 +1,5 @@
-/* Receiving from peers: parses envelopes, authenticates senders and passes payloads to listeners.
- */
+/* Receiving from peers: parses envelopes, authenticates senders and passes payloads to
+ * listeners. */
 #include "pack.h"
 #include "peer_zmq_private.h"
 #include <string.h>
--- a/src/timer.h
+++ b/src/timer.h
@@ -38,8 +38,8 @@
 bool timer_is_armed (const struct timer *timer);
 
 /* Fires the timers due at `now`, earliest first, and returns their number.  One run fires at most
- * as many timers as were armed at its start, so a timer that rearms itself cannot block the loop.
- */
+ * as many timers as were armed at its start, so a timer that rearms itself cannot block the
+ * loop. */
 unsigned timer_service_run (struct timer_service *service, int64_t now);
 
 /* The due time of the earliest timer, USEC_NEVER when none is armed. */
