--- a/src/operator.h
+++ b/src/operator.h
@@ -22,7 +22,7 @@
 {
   struct store *store;
   struct board *board;
-  struct access *access; /* NULL: no authentication, everybody is an admin */
+  struct access *access; /* NULL: no authentication, every operator is an admin */
   struct consensus *consensus;
   struct config_wait *wait; /* NULL: the `wait` parameter is ignored */
   struct timer_service *timers;
--- a/tests/flow_fakes.h
+++ b/tests/flow_fakes.h
@@ -195,7 +195,7 @@
   std::vector<struct claim_waiter *> waiting;
   std::map<std::string, settled> settlements;
   int taken = 0, released = 0, withdrawn = 0;
-  int64_t deadline = 0;                       // of the last take()
+  int64_t deadline = 0;                       // of the last acquire
   std::vector<struct claim_waiter *> storing; // answered by the store() of flow_harness.h
   bool manual_store = false;                  // outcomes are stored only by an explicit store()
 };
