--- a/src/directory_state.h
+++ b/src/directory_state.h
@@ -62,7 +62,7 @@
 };
 
 /* An item of this host's own list.  A removed target leaves a tombstone: `entry` is NULL, and
- * `name`, `incarnation`, `sequence` and `gone_at` are set. */
+ * `name`, `incarnation`, `sequence` and `removed_at` are set. */
 struct directory_item
 {
   struct directory_item *prev;
--- a/src/drain.h
+++ b/src/drain.h
@@ -6,7 +6,7 @@
  *                       run, requests in flight continue
  *   refusing --idle and quiet--> handing over: connections are no longer accepted; targets of this
  *                       host, leadership and limit shares are handed over
- *   handing over --done and idle, or HAND_OVER_MAX--> ended, exit 0
+ *   handing over --done and idle, or DRAIN_HAND_OVER_TIMEOUT--> ended, exit 0
  *
  * A second signal, or `drain_bound`, ends it in any state; unfinished requests are logged. */
 #ifndef DRAIN_H
