--- a/src/consensus_form.c
+++ b/src/consensus_form.c
@@ -89,7 +89,7 @@
 }
 
 /* A host with a group id may still be waiting: a learner whose addition was never committed,
- * because its leader was deposed, has stored the id but is not a member for anybody else.  A
+ * because its leader was deposed, has stored the id but is not a member for any other server.  A
  * partitioned member also sends hellos; the leader ignores them, since it already is a member. */
 bool
 voter_is_joining (const struct consensus_voter *self, int64_t now)
--- a/src/consensus_voter.c
+++ b/src/consensus_voter.c
@@ -58,7 +58,7 @@
     }
 }
 
-/* Stop this voter for good: its stored state can no longer be relied on.  From here on proposals
+/* Stop this voter permanently: its stored state can no longer be relied on.  From here on proposals
  * are forwarded to other voters, and reads are refused. */
 void
 voter_stop (struct consensus_voter *self, enum status status, const char *what, int64_t now)
--- a/src/consensus_voter.h
+++ b/src/consensus_voter.h
@@ -84,7 +84,7 @@
 /* Transfer leadership before a shutdown.  STATUS_NOT_LEADER when this host does not lead. */
 enum status consensus_voter_transfer (struct consensus *consensus, int64_t now);
 
-/* STATUS_OK, or why this voter stopped for good. */
+/* STATUS_OK, or why this voter stopped permanently. */
 enum status consensus_voter_health (const struct consensus *consensus);
 
 /* The underlying raft server, read-only. */
--- a/src/counter.c
+++ b/src/counter.c
@@ -193,7 +193,7 @@
 histogram_record (struct histogram *histogram, double value)
 {
   histogram->count++;
-  /* A NaN or infinite sample would make the sum non-finite for good. */
+  /* A NaN or infinite sample would make the sum non-finite permanently. */
   if (isfinite (value))
     histogram->sum += value;
   histogram->buckets[find_bucket (value)]++;
--- a/src/flow_attempt.c
+++ b/src/flow_attempt.c
@@ -239,8 +239,8 @@
     timer_arm (timers, &attempt->hedge, choice->hedge_at);
 }
 
-/* An engine may accept a call and never answer, so an attempt without data by `first_by` ends.
- * After the first data it has until `give_up`. */
+/* An engine may accept a call and never answer, so an attempt without data by `first_output_by`
+ * ends.  After the first data it has until `give_up`. */
 void
 flow_attempt_note_data (struct flow_attempt *attempt, int64_t now)
 {
